--- a/src/bayhinge/_internal/services/__init__.py
+++ b/src/bayhinge/_internal/services/__init__.py
@@ -1,1 +1,1 @@
-"""Mode services that wire the parts to a running daemon."""
+"""Services of the daemon, built on the ``mode`` framework."""
--- a/src/bayhinge/_internal/services/account_directory.py
+++ b/src/bayhinge/_internal/services/account_directory.py
@@ -1,4 +1,4 @@
-"""Client accounts as configuration has them now, found by name and by key."""
+"""Looks client accounts up in the current configuration, by name and by key."""
 
 from abc import ABC, abstractmethod
 
@@ -18,11 +18,11 @@
 
 
 class AccountSource(ABC):
-    """Where accounts are looked up."""
+    """Looks client accounts up."""
 
     @abstractmethod
     def find(self, name: str) -> Result[ClientAccount, str]:
-        """Returns the account, or why there is none."""
+        """Returns the account, or the reason why it can't be used."""
 
     @abstractmethod
     def find_by_key(self, key: str) -> ClientAccount | None:
@@ -30,19 +30,19 @@
 
     @abstractmethod
     def is_current(self) -> bool:
-        """True while this host can vouch for its configuration."""
+        """Returns whether this host can confirm that its configuration is recent."""
 
 
 class AccountDirectory(AccountSource):
-    """Accounts resolved from the configuration feed, kept until they change."""
+    """Resolves accounts from the configuration feed and caches them until they change."""
 
     def __init__(self, feed: ConfigFeed) -> None:
-        """Takes the feed; its changes drop what was resolved from them."""
+        """Subscribes to the feed, whose changes invalidate the cached accounts."""
         self._feed = feed
         self._resolved_by_name: dict[str, Result[ClientAccount, str]] = {}
         self._name_by_digest: dict[str, str] = {}
         self._digests_by_name: dict[str, tuple[str, ...]] = {}
-        feed.on_change = self._take_change
+        feed.on_change = self._apply_change
 
     def find(self, name: str) -> Result[ClientAccount, str]:
         """See :class:`AccountSource`."""
@@ -74,7 +74,7 @@
         resolved = resolve_account(_text(account), None if template is None else _text(template))
         return Ok(resolved.ok) if resolved.is_ok() else Error(resolved.error)
 
-    def _take_change(self, changed: ConfigObject) -> None:
+    def _apply_change(self, changed: ConfigObject) -> None:
         if changed.kind == ConfigKind.TEMPLATE:
             self._resolved_by_name.clear()
             return
--- a/src/bayhinge/_internal/services/adoption.py
+++ b/src/bayhinge/_internal/services/adoption.py
@@ -1,8 +1,8 @@
-"""Taking over the programs of a host that died or stopped.
+"""Takes over the programs of a host that died or stopped.
 
-The seal at the end of a journal names its successors; a program's own is chosen
-among them by rendezvous hashing of its identifier. A successor rebuilds the state
-from the sealed journal and writes it to its own before it serves the program.
+The seal at the end of a journal names its successors; each program's successor is
+chosen among them by rendezvous hashing of its identifier. A successor rebuilds the state
+from the sealed journal and writes it to its own journal before it serves the program.
 """
 
 import asyncio
@@ -45,17 +45,17 @@
 logger = logging.getLogger(__name__)
 
 MAX_SUCCESSORS = 8
-"""Successors of one journal: more would each read it for a small share."""
-TURN_S = 0.5
-"""Each survivor waits this much longer than the one ranked before it to seal."""
+"""Successors of one journal; each of them reads the whole journal for its share."""
+SEAL_STAGGER_S = 0.5
+"""Each survivor waits this much longer than the one ranked before it before it seals."""
 RETRY_S = 1.0
-MAX_CHAIN = 64
-"""Seals followed in one look-up; a day has some 90 of them over the whole fleet."""
+MAX_SEALS_FOLLOWED = 64
+"""Seals followed in one look-up."""
 
 
 @attrs.frozen
-class Location:
-    """Where a program is owned. ``path`` lists the sealed journals that led there."""
+class OwnerLocation:
+    """The owner of a program; ``path`` lists the sealed journals followed to find it."""
 
     incarnation: str
     path: tuple[str, ...]
@@ -65,41 +65,40 @@
     """Finds a program's owner from its identifier, following seals."""
 
     def __init__(self, store: ObjectStore, prefix: str, membership: Membership) -> None:
-        """Takes the store, the journals' prefix and the view of living hosts."""
         self._store = store
         self._prefix = prefix
         self._membership = membership
         # A seal never changes, so it is kept for as long as this process lives.
         self._seal_by_incarnation: dict[str, SealInfo] = {}
 
-    async def locate(self, program: ProgramId, distrust: str = "") -> Location | None:
+    async def locate(self, program: ProgramId, suspect: str = "") -> OwnerLocation | None:
         """Returns the owner, or None while a dead host's journal is not sealed yet.
 
         Args:
-            program: whose owner is looked for.
-            distrust: an incarnation that did not answer, whose seal is looked for
-                although its heartbeat still counts.
+            program: the program whose owner is looked up.
+            suspect: an incarnation that did not answer; its seal is looked up even
+                while its heartbeat is valid.
 
         Raises:
             StoreError: a seal must be read and the store did not answer.
-            RefusedError: no such journal ever was.
+            RefusedError: the program's journal never existed.
         """
         incarnation = program.incarnation
         path: list[str] = []
-        for _ in range(MAX_CHAIN):
+        for _ in range(MAX_SEALS_FOLLOWED):
             if incarnation not in self._seal_by_incarnation:
                 info = self._membership.find(incarnation)
-                # A fenced host still beats. Taken for an owner, it sent calls on to hosts
-                # that sent them back, as each knew of another seal.
+                # A fenced host still sends heartbeats but owns nothing. Returned as the owner,
+                # it would forward calls in a loop between hosts that know different seals.
                 alive = info is not None and info.state is not HostState.FENCED
-                if alive and incarnation != distrust:
-                    return Location(incarnation, tuple(path))
+                if alive and incarnation != suspect:
+                    return OwnerLocation(incarnation, tuple(path))
                 if not await self._read_seal(incarnation):
-                    return Location(incarnation, tuple(path)) if alive else None
+                    return OwnerLocation(incarnation, tuple(path)) if alive else None
             path.append(incarnation)
             successors = self._seal_by_incarnation[incarnation].successors
-            # Two hosts that went at the same time may name each other: a journal that
-            # was passed already is sealed, so nobody continues there.
+            # Two hosts that leave at the same time may name each other as successors;
+            # a journal already on the path is sealed, so its host owns nothing.
             fresh = [name for name in successors if name not in path]
             chosen = choose(str(program), fresh)
             if chosen is None:
@@ -107,8 +106,8 @@
             incarnation = chosen
         return None
 
-    def note_seal(self, incarnation: str, seal: SealInfo) -> None:
-        """Remembers a seal that this host has set or read."""
+    def record_seal(self, incarnation: str, seal: SealInfo) -> None:
+        """Caches a seal that this host has written or read."""
         self._seal_by_incarnation[incarnation] = seal
 
     async def _read_seal(self, incarnation: str) -> bool:
@@ -116,7 +115,7 @@
         if tail.seal is not None:
             self._seal_by_incarnation[incarnation] = tail.seal
         elif not tail.next_sequence and self._membership.find(incarnation) is None:
-            # No host of this name lives and none has written: nothing was ever opened there.
+            # The host is not a member and its journal is empty: it never opened a program.
             why = f"no journal '{incarnation}' exists, so it holds no program"
             raise RefusedError(refuse_unaccepted(RefusalCode.UNKNOWN_PROGRAM, why))
         return tail.seal is not None
@@ -134,7 +133,6 @@
         membership: Membership,
         locator: OwnerLocator,
     ) -> None:
-        """Takes the owner's parts, its programs, and where journals and hosts are."""
         self._parts = parts
         self._registry = registry
         self._store = store
@@ -145,11 +143,13 @@
         self._locks_by_incarnation: dict[str, asyncio.Lock] = {}
 
     async def take_over(self, dead: HostInfo) -> None:
-        """Settles a host that is gone: seals its journal and adopts this host's share."""
+        """Seals the journal of a dead host and adopts this host's share of its programs."""
         me = self._membership.me.incarnation
         survivors = [info.incarnation for info in self._membership.serving()]
-        turn = rank(dead.incarnation, survivors).index(me) if me in survivors else len(survivors)
-        await asyncio.sleep(turn * TURN_S)
+        seal_order = (
+            rank(dead.incarnation, survivors).index(me) if me in survivors else len(survivors)
+        )
+        await asyncio.sleep(seal_order * SEAL_STAGGER_S)
         while True:
             try:
                 seal = await self._seal(dead)
@@ -158,13 +158,15 @@
                 await self._membership.forget(dead.incarnation)
                 return
             except StoreError as error:
-                logger.info("taking over %s waits for the store: %s", dead.incarnation, error)
+                logger.info(
+                    "takeover of %s is delayed by the store, retrying: %s", dead.incarnation, error
+                )
                 await asyncio.sleep(RETRY_S)
             except FencedError:
-                # This host was itself held dead meanwhile; its successors settle both.
+                # This host was declared dead meanwhile; its successors take over both.
                 return
             except CorruptObjectError as error:
-                logger.error("the journal of %s can't be taken over: %s", dead.incarnation, error)
+                logger.error("the journal of %s is corrupt: %s", dead.incarnation, error)
                 return
 
     async def _seal(self, dead: HostInfo) -> SealInfo:
@@ -173,12 +175,12 @@
         successors = rank(dead.incarnation, candidates)[:MAX_SUCCESSORS]
         me = self._membership.me.incarnation
         if me not in successors:
-            # Whoever seals is alive for sure; the others only seem to be.
+            # Only the sealing host is certain to be alive.
             successors.append(me)
         seal = await seal_journal(
             self._store, self._prefix, dead.incarnation, successors, me, "its heartbeat stopped"
         )
-        self._locator.note_seal(dead.incarnation, seal)
+        self._locator.record_seal(dead.incarnation, seal)
         if seal.sealed_by == me:
             self._parts.timeline.record(
                 Mechanism.MEMBERSHIP,
@@ -206,11 +208,11 @@
             self._adopted.add(incarnation)
         await self._settle_grants(incarnation, seal, states.values())
 
-    async def adopt_one(self, program: ProgramId, path: tuple[str, ...]) -> OwnedProgram | None:
-        """Adopts a program that a caller asked for, from the last journal that knows it.
+    async def adopt_program(self, program: ProgramId, path: tuple[str, ...]) -> OwnedProgram | None:
+        """Adopts a requested program from the last journal on the path that holds it.
 
         Raises:
-            StoreError: the journals can't be read now.
+            StoreError: the store did not answer.
             CorruptObjectError: a journal is damaged.
         """
         for incarnation in reversed(path):
@@ -226,14 +228,14 @@
                     return self._registry.find(str(program))
         return None
 
-    async def take_handed_over(self, state: ProgramState) -> None:
+    async def adopt_handed_over(self, state: ProgramState) -> None:
         """Adopts a program that its owner hands over in a planned stop."""
         if self._registry.find(str(state.program_id)) is None:
             await self._adopt(state.program_id.incarnation, [state])
 
     async def _adopt(self, incarnation: str, states: list[ProgramState]) -> None:
         wanted = [state for state in states if self._registry.find(str(state.program_id)) is None]
-        # Queued together, they share a few journal objects; order within one program holds.
+        # Appended together so that they share journal objects; order within a program is kept.
         durable = [self._parts.journal.append(encode_adopted(state)) for state in wanted]
         for state in wanted:
             if state.unfinished is not None:
@@ -251,7 +253,7 @@
             )
 
     async def _close_unfinished(self, state: ProgramState) -> None:
-        """Records that a started call's outcome will never be known; it is not run again."""
+        """Records the outcome of a started call as unknown, so that it is not run again."""
         started = state.unfinished
         assert started is not None
         why = (
@@ -275,7 +277,7 @@
     async def _settle_grants(
         self, incarnation: str, seal: SealInfo, states: Iterable[ProgramState]
     ) -> None:
-        """Closes a dead host's budget grants; one successor does it for each account."""
+        """Closes a dead host's budget grants, each account's at one successor."""
         me = self._membership.me.incarnation
         for account in sorted({state.account for state in states}):
             if choose(account, seal.successors) != me:
@@ -285,7 +287,7 @@
                 self._parts.timeline.record(
                     Mechanism.BUDGET,
                     "grant written off",
-                    f"nothing proves what {incarnation} had left of its grant to be unspent",
+                    f"the part of its grant that {incarnation} left unspent is unknown",
                     Figure("tokens", lost),
                     account=account,
                 )
@@ -295,7 +297,7 @@
     """Rebuilds the state of every program in a journal, without message bytes.
 
     Raises:
-        CorruptObjectError: a record can't be read, or stands out of order.
+        CorruptObjectError: a record can't be decoded or is out of order.
     """
     states: dict[str, ProgramState] = {}
     for record in contents.records:
--- a/src/bayhinge/_internal/services/answers.py
+++ b/src/bayhinge/_internal/services/answers.py
@@ -1,4 +1,4 @@
-"""A running answer that any number of callers may follow, from any offset."""
+"""Buffers a running answer that any number of callers may follow, from any offset."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -8,10 +8,9 @@
 
 
 class LiveAnswer:
-    """Collects an answer and wakes those who follow it."""
+    """Buffers an answer and wakes its followers."""
 
     def __init__(self) -> None:
-        """Starts empty."""
         self._pieces: list[str] = []
         self._length = 0
         self._end: AnswerEnd | None = None
@@ -79,7 +78,7 @@
 
 
 async def replay(text: str, end: AnswerEnd, offset: int) -> AsyncIterator[AnswerItem]:
-    """Yields a recorded answer in the form of a running one."""
+    """Yields a recorded answer, from an offset in characters on, and then the end."""
     if offset < len(text):
         yield AnswerPart(offset, text[offset:])
     yield end
--- a/src/bayhinge/_internal/services/held_sweep.py
+++ b/src/bayhinge/_internal/services/cache_sweep.py
@@ -1,8 +1,8 @@
-"""Frees engine memory that is held for programs which are gone.
+"""Frees engine memory that is held for ended programs.
 
-A release that was never sent, because its owner died or an engine did not answer,
-would hold memory for ever. So each queue home compares what its engines say they
-hold with the programs' owners, who alone know which programs are gone.
+A release may never be sent, because the owner died or an engine did not answer. So each
+queue dispatcher asks its engines which programs they hold memory for, and asks the programs'
+owners whether they have ended.
 """
 
 import asyncio
@@ -14,27 +14,26 @@
 from bayhinge._internal.models.ids import parse_program_id
 from bayhinge._internal.models.refusals import RefusalCode
 from bayhinge._internal.network.endpoint_client import EndpointClient
-from bayhinge._internal.services.queue_home import QueueHome
+from bayhinge._internal.services.queue_dispatcher import QueueDispatcher
 from bayhinge._internal.services.router import CallRouter
 from bayhinge._internal.services.timeline import Timeline
 
 logger = logging.getLogger(__name__)
 
-SWEEP_S = 5.0
+SWEEP_INTERVAL_S = 5.0
 
 
-class HeldSweep:
-    """The sweep over the engines of this host's cells."""
+class CacheSweep:
+    """Sweeps the engines of this host's cells."""
 
     def __init__(
         self,
-        home: QueueHome,
+        dispatcher: QueueDispatcher,
         router: CallRouter,
         endpoints: EndpointClient,
         timeline: Timeline,
     ) -> None:
-        """Takes the cells, the way to owners, and the way to engines."""
-        self._home = home
+        self._dispatcher = dispatcher
         self._router = router
         self._endpoints = endpoints
         self._timeline = timeline
@@ -42,28 +41,28 @@
     async def run(self) -> None:
         """Sweeps until it is cancelled."""
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             await self.sweep()
 
     async def sweep(self) -> None:
-        """Looks at every engine once."""
-        for view in self._home.engines():
+        """Checks every engine once."""
+        for view in self._dispatcher.engines():
             held = await self._endpoints.held(view.address)
             for program in held or []:
-                if view.resident(program) is None and await self._is_gone(program):
+                if view.resident(program) is None and await self._has_ended(program):
                     await self._endpoints.release(view.address, program)
                     self._timeline.record(
                         Mechanism.CACHE,
                         "swept",
-                        "the engine held memory for a program that is gone",
+                        "the engine held memory for a program that has ended",
                         program=program,
                         endpoint=view.name,
                     )
 
-    async def _is_gone(self, program: str) -> bool:
-        """Asks the program's owner; where nobody can tell, the program counts as living."""
+    async def _has_ended(self, program: str) -> bool:
+        """Asks the program's owner; a program whose owner can't be reached counts as live."""
         if parse_program_id(program) is None:
-            # Not one of ours: somebody else may use the engine too.
+            # Not a program of this scheduler: others may use the engine too.
             return False
         shown = await self._router.command("show", "", program)
         if shown.is_ok():
--- a/src/bayhinge/_internal/services/call_codec.py
+++ b/src/bayhinge/_internal/services/call_codec.py
@@ -1,4 +1,4 @@
-"""Calls and answers on the peer link, as thrift structs and back."""
+"""Encodes and decodes calls and answers on the peer link as thrift structs."""
 
 from bayhinge._internal.models.calls import (
     AnswerEnd,
@@ -11,17 +11,17 @@
 from bayhinge._internal.services.record_codec import WIRE_KIND, end_from_wire, end_to_wire
 from bayhinge._internal.wire import ttypes as wire
 
-_KIND = {value: kind for kind, value in WIRE_KIND.items()}
-_WIRE_MODE = {
+_KIND_BY_WIRE = {value: kind for kind, value in WIRE_KIND.items()}
+_WIRE_BY_MODE = {
     MessagesMode.WHOLE: wire.MessagesMode.WHOLE,
     MessagesMode.NEW: wire.MessagesMode.NEW,
     MessagesMode.REWRITE: wire.MessagesMode.REWRITE,
 }
-_MODE = {value: mode for mode, value in _WIRE_MODE.items()}
+_MODE_BY_WIRE = {value: mode for mode, value in _WIRE_BY_MODE.items()}
 
 
 def encode_call(incoming: IncomingCall) -> bytes:
-    """Encodes a call that is passed on."""
+    """Encodes a call that is forwarded."""
     message = wire.CallRequest(
         incoming.account,
         incoming.program,
@@ -34,7 +34,7 @@
         incoming.patience_s,
         incoming.idempotency_key,
         incoming.repeatable,
-        _WIRE_MODE[incoming.mode],
+        _WIRE_BY_MODE[incoming.mode],
         incoming.resume_offset,
         incoming.hops,
         incoming.content_type,
@@ -43,17 +43,17 @@
 
 
 def decode_call(payload: bytes) -> IncomingCall:
-    """Decodes a call that was passed on.
+    """Decodes a call that was forwarded.
 
     Raises:
-        FrameError: the bytes are no call.
+        FrameError: the payload can't be decoded.
     """
     message = decode_message(wire.CallRequest(), payload)
     return IncomingCall(
         message.account,
         message.program,
         message.index,
-        _KIND[message.kind],
+        _KIND_BY_WIRE[message.kind],
         message.target,
         message.http_method,
         message.path,
@@ -62,7 +62,7 @@
         message.patience_s,
         message.idempotency_key,
         message.repeatable,
-        _MODE[message.messages_mode],
+        _MODE_BY_WIRE[message.messages_mode],
         message.resume_offset,
         message.hops,
     )
@@ -79,7 +79,7 @@
     """Decodes one message of an answer's stream.
 
     Raises:
-        FrameError: the bytes are no such message.
+        FrameError: the payload can't be decoded.
     """
     message = decode_message(wire.AnswerItem(), payload)
     if message.end is not None:
--- a/src/bayhinge/_internal/services/call_records.py
+++ b/src/bayhinge/_internal/services/call_records.py
@@ -1,4 +1,4 @@
-"""The journal's records of calls that have ended."""
+"""Builds the journal's records of finished calls."""
 
 from bayhinge._internal.commands.accept_call import NewMessages
 from bayhinge._internal.models.calls import CallKind
@@ -17,7 +17,7 @@
     result: CallResult,
     text: str,
 ) -> wire.CallFinished:
-    """Builds the record of a call that got its whole answer."""
+    """Builds the record of a call with a complete answer."""
     call = prepared.call
     kind = CallKind.MODEL if new is not None else CallKind.SERVICE
     messages: tuple[bytes, ...] = ()
@@ -48,7 +48,7 @@
 def failure_record(
     state: ProgramState, call: UnfinishedCall, refusal: Refusal
 ) -> wire.CallFinished:
-    """Builds the record of a call whose outcome will never be known."""
+    """Builds the record of a call whose outcome is unknown."""
     return wire.CallFinished(
         str(state.program_id),
         call.index,
--- a/src/bayhinge/_internal/services/call_runner.py
+++ b/src/bayhinge/_internal/services/call_runner.py
@@ -1,4 +1,4 @@
-"""Runs one accepted call: budget, grant, send, retries, and what is to be recorded."""
+"""Runs one accepted call: requests an endpoint, sends the call, and retries it."""
 
 import asyncio
 import uuid
@@ -24,17 +24,18 @@
 from bayhinge._internal.services.timeline import Timeline
 
 MAX_ATTEMPTS = 4
-"""Sends of one repeatable call, the first included."""
-FIRST_RETRY_S = 0.05
-SERVICE_RETRY_S = 2.0
+"""Sends of one repeatable call, including the first."""
+FIRST_BACKOFF_S = 0.05
+RETRY_AFTER_S = 2.0
 
 
 @attrs.frozen
 class PreparedCall:
-    """A call with all that is needed to send it.
+    """A call with everything that is needed to send it.
 
-    ``prompt`` is the whole message list of a model call, encoded. ``extend_budget`` sets
-    more tokens aside before a model call is sent again, or refuses the call.
+    ``prompt`` is the whole message list of a model call, encoded. ``deadline`` is on the
+    loop's clock. ``extend_budget`` reserves more tokens before a model call is sent again,
+    or refuses the call.
     """
 
     state: ProgramState
@@ -48,7 +49,7 @@
 
 @attrs.frozen
 class CallResult:
-    """What a call came to; ``spend`` counts the tokens of failed attempts too."""
+    """The result of a call; ``spend`` includes the tokens of failed attempts."""
 
     end: AnswerEnd
     endpoint: str
@@ -56,33 +57,33 @@
     spend: int = 0
 
 
-FINISHED = "stop"
-"""Why an answer ends where its engine gives no other reason."""
+DEFAULT_FINISH_REASON = "stop"
+"""The finish reason of an answer whose engine gives none."""
 
 
 @attrs.define
 class _Progress:
-    """What has happened to a call over all its attempts."""
+    """The state of a call over all its attempts."""
 
     attempt: CallAttempt = attrs.field(factory=CallAttempt)
     avoid: set[str] = attrs.field(factory=set)
     tool_calls: list[dict[str, object]] = attrs.field(factory=list)
     usage: Usage = attrs.field(factory=Usage)
-    finish_reason: str = FINISHED
+    finish_reason: str = DEFAULT_FINISH_REASON
     tries: int = 0
-    lost_tokens: int = 0
+    failed_tokens: int = 0
 
     def begin_attempt(self) -> None:
-        """Forgets what an attempt that failed had collected besides text."""
+        """Clears everything but text that a failed attempt has collected."""
         self.attempt.note_send()
         self.tries += 1
         self.tool_calls.clear()
         self.usage = Usage()
-        self.finish_reason = FINISHED
+        self.finish_reason = DEFAULT_FINISH_REASON
 
 
 BeforeSend = Callable[[str, CallAttempt], Awaitable[None]]
-"""Makes a call's start durable; takes the endpoint and the call's attempts."""
+"""Makes a call's start durable; called with the endpoint and the call's attempts."""
 
 
 class CallRunner:
@@ -97,7 +98,6 @@
         timeline: Timeline,
         random_unit: Callable[[], float],
     ) -> None:
-        """Takes who this owner is and what it sends through."""
         self._incarnation = incarnation
         self._settings = settings
         self._grants = grants
@@ -107,10 +107,10 @@
         self._background: set[asyncio.Task[None]] = set()
 
     async def run_model(self, prepared: PreparedCall, live: LiveAnswer) -> CallResult:
-        """Runs a model call, resuming its stream elsewhere where an engine fails.
+        """Runs a model call; resumes its stream at another engine after a failure.
 
         Raises:
-            RefusedError: there is no whole answer.
+            RefusedError: the call got no complete answer.
         """
         work = prepared.call.work
         assert isinstance(work, ModelCall)
@@ -120,7 +120,7 @@
             why = f"no pool serves model '{work.model}'"
             raise RefusedError(progress.attempt.refuse(RefusalCode.NO_ENDPOINT, why))
         while True:
-            granted = await self._ask(pool.name, prepared, progress)
+            granted = await self._request_endpoint(pool.name, prepared, progress)
             try:
                 return await self._stream(prepared, work, granted, live, progress)
             except EndpointError as error:
@@ -131,25 +131,31 @@
         prepared: PreparedCall,
         before_send: BeforeSend | None,
     ) -> CallResult:
-        """Runs a plain call; ``before_send`` makes its start durable where that matters.
+        """Runs a service call.
+
+        Args:
+            prepared: the call.
+            before_send: awaited before each send of a call that may not be repeated.
 
         Raises:
-            RefusedError: there is no whole answer.
+            RefusedError: the call got no complete answer.
         """
         work = prepared.call.work
         assert isinstance(work, ServiceCall)
         progress = _Progress()
         if work.service not in self._settings.services_by_name:
-            why = f"no service is called '{work.service}'"
+            why = f"service '{work.service}' does not exist"
             raise RefusedError(progress.attempt.refuse(RefusalCode.NO_ENDPOINT, why))
         while True:
-            granted = await self._ask(work.service, prepared, progress)
+            granted = await self._request_endpoint(work.service, prepared, progress)
             try:
                 return await self._send_service(prepared, work, granted, progress, before_send)
             except EndpointError as error:
                 await self._after_failure(prepared, progress, error)
 
-    async def _ask(self, pool: str, prepared: PreparedCall, progress: _Progress) -> GrantedEndpoint:
+    async def _request_endpoint(
+        self, pool: str, prepared: PreparedCall, progress: _Progress
+    ) -> GrantedEndpoint:
         now = asyncio.get_running_loop().time()
         patience_s = prepared.deadline - now
         if patience_s <= 0:
@@ -157,7 +163,7 @@
             figures = (Figure("tries", progress.tries),)
             raise RefusedError(
                 progress.attempt.refuse(
-                    RefusalCode.PATIENCE_EXCEEDED, why, *figures, retry_after_s=SERVICE_RETRY_S
+                    RefusalCode.PATIENCE_EXCEEDED, why, *figures, retry_after_s=RETRY_AFTER_S
                 )
             )
         try:
@@ -184,7 +190,7 @@
             priority=prepared.account.priority,
             patience_s=patience_s,
             weight=prepared.account.weight,
-            shared_prefix=_prefix_name(first),
+            shared_prefix=_prefix_key(first),
             shared_tokens=shared,
             avoid=frozenset(progress.avoid),
         )
@@ -209,18 +215,18 @@
                 if piece.text and not first_token_s:
                     first_token_s = loop.time() - started
                 pieces += bool(piece.text)
-                self._take(piece, live, progress)
+                self._apply_piece(piece, live, progress)
             outcome = Outcome.FINISHED
         except EndpointError as error:
             outcome = _outcome_of(error)
             if error.may_have_run:
-                await self._pay_for_failure(prepared, progress, pieces)
+                await self._charge_failed_attempt(prepared, progress, pieces)
             else:
                 progress.attempt.note_unsent()
             raise
         finally:
             if outcome is Outcome.CANCELLED:
-                # The caller left or the program was cancelled: free the engine at once.
+                # The caller disconnected or the program was cancelled: free the engine at once.
                 self._spawn(self._endpoints.cancel(granted.address, request.request_id))
             seconds = loop.time() - started
             usage = progress.usage
@@ -236,17 +242,17 @@
             self._grants.done(granted, done)
         progress.attempt.answered = True
         end = _model_end(prepared, work, progress)
-        spend = progress.usage.total + progress.lost_tokens
+        spend = progress.usage.total + progress.failed_tokens
         return CallResult(end, granted.endpoint, loop.time() - started, spend)
 
-    async def _pay_for_failure(
+    async def _charge_failed_attempt(
         self, prepared: PreparedCall, progress: _Progress, pieces: int
     ) -> None:
-        """Counts what a failed attempt has cost, and sets as much aside for the next one."""
-        lost = estimate_tokens(prepared.prompt) + pieces
-        progress.lost_tokens += lost
+        """Counts the tokens of a failed attempt, and reserves as many for the next one."""
+        cost = estimate_tokens(prepared.prompt) + pieces
+        progress.failed_tokens += cost
         if prepared.extend_budget is not None:
-            await prepared.extend_budget(lost, progress.attempt)
+            await prepared.extend_budget(cost, progress.attempt)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -271,7 +277,7 @@
             fields["resume_offset"] = offset
         return EngineRequest(request_id, splice(fields, prepared.prompt))
 
-    def _take(self, piece: EnginePiece, live: LiveAnswer, progress: _Progress) -> None:
+    def _apply_piece(self, piece: EnginePiece, live: LiveAnswer, progress: _Progress) -> None:
         live.add(piece.text)
         if piece.tool_calls is not None:
             merge_tool_calls(progress.tool_calls, piece.tool_calls)
@@ -318,7 +324,7 @@
             answer.status,
             answer.content_type,
             answer.body,
-            FINISHED,
+            DEFAULT_FINISH_REASON,
             Usage(),
             None,
             work.service,
@@ -328,7 +334,7 @@
     async def _after_failure(
         self, prepared: PreparedCall, progress: _Progress, error: EndpointError
     ) -> None:
-        """Waits before the next attempt, or refuses where there must be none."""
+        """Waits before the next attempt, or refuses the call if there must be none."""
         progress.avoid.add(error.endpoint)
         attempt = progress.attempt
         self._record(
@@ -350,12 +356,12 @@
             figures = (Figure("tries", progress.tries),)
             raise RefusedError(
                 attempt.refuse(
-                    RefusalCode.ENDPOINT_FAILED, why, *figures, retry_after_s=SERVICE_RETRY_S
+                    RefusalCode.ENDPOINT_FAILED, why, *figures, retry_after_s=RETRY_AFTER_S
                 )
             ) from error
         if not error.draining:
-            longest = FIRST_RETRY_S * 2**progress.tries
-            await asyncio.sleep(longest * (0.5 + self._random_unit() / 2))
+            max_s = FIRST_BACKOFF_S * 2**progress.tries
+            await asyncio.sleep(max_s * (0.5 + self._random_unit() / 2))
 
     def _record(
         self, prepared: PreparedCall, what: str, why: str, *figures: Figure, endpoint: str = ""
@@ -392,6 +398,9 @@
     return Outcome.FAILED if error.may_have_run else Outcome.NOT_SENT
 
 
-def _prefix_name(first_message: bytes) -> str:
-    """Names a prefix that programs of one template share: their first message."""
+def _prefix_key(first_message: bytes) -> str:
+    """Returns a key for the prompt prefix that programs of one template share.
+
+    The prefix is the first message.
+    """
     return xxhash.xxh3_64_hexdigest(first_message) if first_message else ""
--- a/src/bayhinge/_internal/services/config_editor.py
+++ b/src/bayhinge/_internal/services/config_editor.py
@@ -1,4 +1,4 @@
-"""Accepts operators' edits of templates and client accounts, checked as a whole."""
+"""Validates operators' edits of templates and client accounts and proposes them."""
 
 from collections.abc import Iterator
 
@@ -21,14 +21,13 @@
 
 
 class ConfigEditor:
-    """Checks edits and proposes them to the feed."""
+    """Validates edits and proposes them to the feed."""
 
     def __init__(self, feed: ConfigFeed) -> None:
-        """Takes the feed that accepted changes go to."""
         self._feed = feed
 
     async def edit(self, edit: ConfigEdit) -> ConfigAnswer:
-        """Accepts an edit, or says why not: findings, a conflict, or a store that is away."""
+        """Proposes an edit; answers with findings, a conflict or a store error if it fails."""
         findings = list(self._check(edit))
         if findings:
             body = {"findings": [_finding_fields(finding) for finding in findings]}
@@ -55,7 +54,9 @@
             yield Finding(Place(file), "unknown kind", f"use one of {', '.join(ConfigKind)}")
             return
         if NAME_PATTERN.fullmatch(edit.name) is None:
-            yield Finding(Place(file), "the name may have small letters, digits and hyphens alone")
+            yield Finding(
+                Place(file), "the name may contain only lower-case letters, digits and hyphens"
+            )
         kind = ConfigKind(edit.kind)
         if edit.text is None:
             yield from self._check_delete(kind, edit.name, file)
@@ -94,7 +95,7 @@
         for item in self._feed.all(ConfigKind.ACCOUNT):
             if item.name != name and own & set(read_digests(item.text or "")):
                 place = Place(file, 0, ConfigKind.ACCOUNT.value, "key_sha256")
-                yield Finding(place, f"client account '{item.name}' has one of these keys")
+                yield Finding(place, f"client account '{item.name}' uses one of these keys")
 
 
 def _finding_fields(finding: Finding) -> dict[str, object]:
--- a/src/bayhinge/_internal/services/disk_sets.py
+++ b/src/bayhinge/_internal/services/disk_sets.py
@@ -1,4 +1,4 @@
-"""The set of disks that count, as one object of the store that changes by condition alone."""
+"""The set of member disks, one object of the store that is only changed by compare-and-set."""
 
 import asyncio
 import random
@@ -21,65 +21,67 @@
 DISK_SET_KEY = "disk-sets/main"
 
 RETRY_S = 0.4
-"""Pause after the store refused or was silent."""
+"""Pause after the store rejected a call or did not answer."""
 
 FIRST_BACKOFF_S = 0.05
-LONGEST_BACKOFF_S = 1.0
-"""A change that met another one comes again after a random part of this, doubled each time: disks
-that start together otherwise meet as often as there are pairs of them."""
+MAX_BACKOFF_S = 1.0
+"""Backoff after a version conflict: full jitter, doubled each time, because disks that start
+together conflict with each other."""
 
 Change = Callable[[list[DiskMember]], list[DiskMember] | None]
 
 
 async def read_disk_set(store: ObjectStore) -> DiskSet | None:
-    """Returns the newest set, or None where there is none yet.
+    """Returns the newest set, or None if there is none yet.
 
     Raises:
-        StoreError: the store gave none that can be read.
+        StoreError: the store did not answer, or its object can't be decoded.
     """
     stored = await store.get(DISK_SET_KEY)
     return None if stored is None else _decoded(stored.value)
 
 
 def _decoded(value: bytes) -> DiskSet:
-    """Decodes a set that stands in the store.
+    """Decodes a set that was read from the store.
 
     Raises:
-        StoreUnavailableError: it can't be read. Nobody may take it for no set and write another
-            one over it: turns are on the disks of the set that was there.
+        StoreUnavailableError: it can't be decoded. It must not be treated as missing and
+            overwritten: its disks hold turns.
     """
     what = f"read {DISK_SET_KEY}"
     try:
         disk_set = decode_message(DiskSet(), value)
     except FrameError as error:
-        raise StoreUnavailableError(what, f"it can't be read: {error.__cause__}") from error
-    odd = [one.address for one in disk_set.members if not is_ipv4_with_port(one.address)]
-    if odd:
-        raise StoreUnavailableError(what, f"'{odd[0][:SHOWN]}' is no address of a disk")
+        raise StoreUnavailableError(what, f"can't decode it: {error.__cause__}") from error
+    invalid = [one.address for one in disk_set.members if not is_ipv4_with_port(one.address)]
+    if invalid:
+        raise StoreUnavailableError(what, f"'{invalid[0][:SHOWN]}' is not a disk address")
     return disk_set
 
 
 async def change_disk_set(
     store: ObjectStore, change: Change, settled_version: int | None = None
 ) -> DiskSet:
-    """Applies a change to the newest set until the store has taken it; returns the newest set.
-
-    ``change`` gets the members and returns the new ones, or None where nothing is to be
-    done. It may be called again: another disk may have written meanwhile, or the answer
-    to an earlier write was lost.
-
-    ``settled_version`` is the one that the asking disk has found settled. A newer set is left as it
-    is: nobody may have caught up with it, and of two changes on end what both of the disks that
-    left had taken is known to nobody who stays. None is for disks that begin a set.
+    """Applies a change to the newest set and writes it; returns the newest set.
+
+    Args:
+        store: the store that holds the set.
+        change: gets the members and returns the new ones, or None if there is nothing to
+            change. May be called again: another disk may have written meanwhile, or the
+            answer to an earlier write was lost.
+        settled_version: the version that the calling disk has found settled; None for disks
+            that begin a set. A newer set is left as it is, because its new members may not have
+            caught up: after two changes in a row, turns that only the two removed disks hold
+            would be lost.
     """
     conflicts = 0
     while True:
         try:
             changed = await _try_change(store, change, settled_version)
         except (AlreadyExistsError, VersionConflictError):
-            longest_s = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2**conflicts)
+            max_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**conflicts)
             conflicts += 1
-            await asyncio.sleep(random.uniform(0, longest_s))
+            await asyncio.sleep(random.uniform(0, max_s))
             continue
         except (StoreUnavailableError, StoreRateLimitedError) as error:
             eliot.log_message("disk_set.not_changed", why=str(error))
--- a/src/bayhinge/_internal/services/front_service.py
+++ b/src/bayhinge/_internal/services/front_service.py
@@ -1,4 +1,4 @@
-"""The daemon as its HTTP front sees it."""
+"""Implements the HTTP front's handler with the parts of this host."""
 
 import asyncio
 from collections.abc import AsyncIterator, Iterator, Mapping
@@ -30,17 +30,16 @@
 from bayhinge.coordination.membership import HostInfo
 from bayhinge.coordination.rendezvous import rank
 
-QUERY_PEER_S = 2.0
-"""How long one silent peer may hold an operator's query up."""
+PEER_QUERY_TIMEOUT_S = 2.0
+"""How long one silent peer may delay an operator's query."""
 
-NOT_GAUGES = frozenset({"host", "latency_ms"})
+NON_GAUGE_FIELDS = frozenset({"host", "latency_ms"})
 
 
 class FrontService(FrontHandler):
-    """Serves the front from the parts of this host."""
+    """Serves the front's requests."""
 
     def __init__(self, parts: HostParts, opener: ProgramOpener, queries: LocalQueries) -> None:
-        """Takes the parts of this host."""
         self._parts = parts
         self._opener = opener
         self._queries = queries
@@ -70,13 +69,13 @@
 
     async def end_single(self, account: ClientAccount, program: str, reason: str) -> None:
         """See :class:`FrontHandler`."""
-        # The caller has its answer; it need not wait until the end is durable.
+        # In the background: the caller has its answer and need not wait for durability.
         verb = "end" if reason == "its one call has ended" else "cancel"
-        task = asyncio.create_task(self._end_quietly(verb, account.name, program))
+        task = asyncio.create_task(self._end_program(verb, account.name, program))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def _end_quietly(self, verb: str, account: str, program: str) -> None:
+    async def _end_program(self, verb: str, account: str, program: str) -> None:
         await self._parts.router.command(verb, account, program)
 
     async def open_program(
@@ -113,7 +112,7 @@
         if owner in serving:
             order.remove(owner)
             order.insert(0, owner)
-        # The hall's own hosts are nearer; ties keep the hashed order.
+        # Hosts of the own hall come first; the sort is stable, so each group keeps its rank.
         if not program:
             order.sort(key=lambda name: serving[name].hall != membership.me.hall)
         addresses = tuple(f"http://{serving[name].public_address}" for name in order)
@@ -141,13 +140,13 @@
         me = self._parts.membership.me.incarnation
         peers = [info for info in self._parts.membership.alive() if info.incarnation != me]
         message = encode_message(wire.OperatorQuery(name, dict(parameters)))
-        answers = await asyncio.gather(*(self._ask(info, message) for info in peers))
+        answers = await asyncio.gather(*(self._query_peer(info, message) for info in peers))
         items = [item for answer in [own.ok, *answers] for item in orjson.loads(answer)]
         return Ok(orjson.dumps(list(_merged(name, items))))
 
-    async def _ask(self, peer: HostInfo, message: bytes) -> bytes:
+    async def _query_peer(self, peer: HostInfo, message: bytes) -> bytes:
         try:
-            async with asyncio.timeout(QUERY_PEER_S):
+            async with asyncio.timeout(PEER_QUERY_TIMEOUT_S):
                 return await self._parts.peers.call(peer.peer_address, "query", message)
         except (PeerUnreachableError, PeerFailureError, TimeoutError):
             return b"[]"
@@ -165,7 +164,9 @@
         """See :class:`FrontHandler`."""
         stats = self._queries.stats()
         names = [field.name for field in attrs.fields(type(stats))]
-        gauges = {name: float(getattr(stats, name)) for name in names if name not in NOT_GAUGES}
+        gauges = {
+            name: float(getattr(stats, name)) for name in names if name not in NON_GAUGE_FIELDS
+        }
         return metrics_page(self._parts.latencies, gauges)
 
     def note_latency(self, what: str, seconds: float) -> None:
@@ -174,7 +175,7 @@
 
 
 def _merged(name: str, items: list[dict[str, object]]) -> Iterator[dict[str, object]]:
-    """Puts events of all hosts into one order by their hybrid clock's stamp."""
+    """Sorts events of all hosts by the stamps of their hybrid clocks."""
     if name == "events":
         return iter(sorted(items, key=lambda item: (item["stamp"], item["host"])))
     return iter(items)
--- a/src/bayhinge/_internal/services/gossip.py
+++ b/src/bayhinge/_internal/services/gossip.py
@@ -1,7 +1,7 @@
-"""Hellos between hosts over UDP: who is there, in what phase, with which versions and loads.
+"""Exchanges heartbeats between hosts over UDP: membership, phases, versions and loads.
 
-A hello decides nothing alone: versions heard lead to a fetch, loads to better placement,
-silence to a host being left out of what callers are told.
+Heartbeats are only hints: a newer version triggers a fetch, loads improve placement, and a
+silent host is left out of the addresses that callers get.
 """
 
 import asyncio
@@ -26,68 +26,64 @@
 from bayhinge._internal.wire.hosts.ttypes import Hello, HostPhase, HostRole
 
 PERIOD_S = 0.3
-"""Between two rounds of hellos, in a site of up to ``PERIOD_HOSTS`` hosts; longer in larger
-ones, whose hosts hear the same news from more sides."""
+"""Time between two rounds of heartbeats, in a site of up to ``PERIOD_HOSTS`` hosts; it grows
+in proportion in larger ones."""
 
 PERIOD_HOSTS = 60
 
-FIRST_PERIOD_S = 0.05
-FIRST_S = 1.5
-"""The period for so long after the start: the sooner a host knows others, the sooner it serves."""
+STARTUP_PERIOD_S = 0.05
+STARTUP_S = 1.5
+"""A host uses ``STARTUP_PERIOD_S`` for so long after its start, to discover others sooner."""
 
 NEAR_TARGETS = 5
 FAR_TARGETS = 2
-"""Hosts of the own hall, and of other halls, that one round goes to, each in its turn. A
-hello with four addresses has 241 bytes, and each load adds some 25: at most 8 KB a second on a
-small site, less on larger ones, where rounds are rarer. Where one kind has fewer hosts, the other
-gets its places."""
+"""Hosts of the own hall, and of other halls, that get a heartbeat in one round, round robin. If
+there are fewer of one kind, the other gets the unused places."""
 
 ALL_TARGETS = NEAR_TARGETS + FAR_TARGETS
 
-UNHEARD_TARGETS = 1
-"""Addresses that were told and never heard, that one round goes to. The store's list of hosts may
-hold thousands that are long gone: counted like hosts, they made a host greet every 20 s."""
+UNSEEN_TARGETS = 1
+"""Addresses without a received heartbeat that one round goes to. They don't count as hosts: the
+store's list may hold thousands of removed hosts, which would stretch the period."""
 
-FRESH_CYCLES = 3
-"""A host that is silent while it should have greeted so often is not counted on."""
+SILENCE_CYCLES = 3
+"""A host that is silent for so many full cycles through its targets is left out."""
 
-LEAST_FRESH_S = 1.5
+MIN_SILENCE_S = 1.5
 
 STALL_S = 1.0
-"""A round that is late by more: the host stood still, and hellos waited for it meanwhile."""
+"""A round that is late by more than this shows that the process stalled."""
 
 AFTER_STALL_S = 0.5
-"""For so long after it, hellos may have waited. What they say is not told on: it would keep hosts
-that went silent meanwhile on the lists of the whole hall."""
+"""For so long after a stall, heartbeats are not passed on to the hall: they may have been queued
+and would keep hosts listed that have gone silent meanwhile."""
 
-READ_S = 0.02
-"""Time to read them before the next round: they come one a turn. Hellos of 29 hosts that waited for
-2 s were read within 7 ms. A round before it took all but one for silent, and its homes hold until
-the next one."""
+CATCH_UP_S = 0.02
+"""Time after a stall to read queued heartbeats before the next round, which would otherwise treat
+their hosts as silent."""
 
-FORGET_S = 60.0
-"""An address that was silent for so long is not greeted any more."""
+FORGET_AFTER_S = 60.0
+"""An address that was silent for so long is removed."""
 
-ODD_LINES_PER_S = 1
-"""Lines about addresses that are none; hellos come several times a second."""
+INVALID_ADDRESS_LINES_PER_S = 1
+"""Rate limit of log lines about invalid addresses."""
 
-MOST_KNOWN = 4
+MAX_KNOWN_ADDRESSES = 4
 """Addresses that a hello names, drawn anew each time."""
 
 
 @attrs.define
-class HeardHost:
-    """The newest hello of another host and when it came, on this host's clock."""
+class ObservedHost:
+    """The newest heartbeat of another host and when it was received, on the loop's clock."""
 
-    hello: Hello
-    heard_s: float
+    heartbeat: Hello
+    received_s: float
 
 
 class Gossip(Service):
-    """Greets other hosts and remembers what they said."""
+    """Sends heartbeats to other hosts and keeps the newest one of each."""
 
     def __init__(self, settings: SiteSettings, role: HostRole) -> None:
-        """Takes this host's settings and what it is there for."""
         super().__init__()
         self._settings = settings
         self.me = Hello(
@@ -106,26 +102,26 @@
             [],
             False,
         )
-        self._heard_by_host: dict[str, HeardHost] = {}
-        self._last_heard_by_address: dict[str, float] = {}
-        self._greeted_by_address: dict[str, int] = {}
-        self._odd_lines = LineBudget(ODD_LINES_PER_S)
-        self._near_fresh_s = self._far_fresh_s = LEAST_FRESH_S
+        self._observed_by_host: dict[str, ObservedHost] = {}
+        self._last_seen_by_address: dict[str, float] = {}
+        self._sent_beat_by_address: dict[str, int] = {}
+        self._invalid_address_lines = LineBudget(INVALID_ADDRESS_LINES_PER_S)
+        self._near_silence_limit_s = self._far_silence_limit_s = MIN_SILENCE_S
         self._sightings = Sightings()
         self._stalled_until_s = 0.0
         self._transport: asyncio.DatagramTransport | None = None
-        self.on_hello: Callable[[Hello], None] = lambda hello: None
+        self.on_hello: Callable[[Hello], None] = lambda heartbeat: None
         self.on_round: Callable[[], None] = lambda: None
-        self.describe: Callable[[Hello], None] = lambda hello: None
+        self.describe: Callable[[Hello], None] = lambda heartbeat: None
 
     async def on_start(self) -> None:
-        """Opens the socket and begins to greet."""
+        """Opens the socket and starts the rounds of heartbeats."""
         loop = asyncio.get_running_loop()
         host, port = split_address(self._settings.gossip_address)
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: Datagrams(self._take), local_addr=(host, port)
+            lambda: Datagrams(self._receive), local_addr=(host, port)
         )
-        self.learn(f"{seed}:{self._settings.gossip_port}" for seed in self._settings.seeds)
+        self.add_addresses(f"{seed}:{self._settings.gossip_port}" for seed in self._settings.seeds)
         self.add_future(keep_running("hellos", self._run))
 
     async def on_stop(self) -> None:
@@ -133,162 +129,170 @@
         if self._transport is not None:
             self._transport.close()
 
-    def learn(self, addresses: Iterable[str]) -> None:
-        """Takes addresses of hosts that may be up."""
+    def add_addresses(self, addresses: Iterable[str]) -> None:
+        """Adds addresses of hosts that may be up, and sends them a heartbeat."""
         now = asyncio.get_running_loop().time()
-        told = [
+        new = [
             address
             for address in addresses
             if address != self._settings.gossip_address
-            and address not in self._last_heard_by_address
+            and address not in self._last_seen_by_address
         ]
-        # One that can't be sent to would end each round of hellos, and go on to other hosts.
-        fresh = [address for address in told if is_ipv4_with_port(address)]
-        if len(fresh) < len(told) and self._odd_lines.takes(now):
-            odd = len(told) - len(fresh)
-            eliot.log_message("hosts.odd_addresses", count=odd, untold=self._odd_lines.thinned)
+        # An invalid address would make every round fail and would spread to other hosts.
+        fresh = [address for address in new if is_ipv4_with_port(address)]
+        if len(fresh) < len(new) and self._invalid_address_lines.takes(now):
+            invalid_count = len(new) - len(fresh)
+            eliot.log_message(
+                "hosts.odd_addresses",
+                count=invalid_count,
+                untold=self._invalid_address_lines.thinned,
+            )
         for address in fresh:
-            self._last_heard_by_address[address] = now
+            self._last_seen_by_address[address] = now
         if fresh:
-            # A host that has just started should know the others before its callers do.
+            # At once, so that a host that has just started knows the others before it serves.
             self._send_to(fresh)
 
     def fresh(self, role: HostRole) -> list[Hello]:
-        """Returns the newest hellos of hosts that greet as often as they should."""
+        """Returns the newest heartbeats of hosts that are not silent."""
         now = asyncio.get_running_loop().time()
         own_hall = self._settings.hall
-        near_since_s, far_since_s = now - self._near_fresh_s, now - self._far_fresh_s
+        near_since_s, far_since_s = (
+            now - self._near_silence_limit_s,
+            now - self._far_silence_limit_s,
+        )
         return [
-            heard.hello
-            for heard in self._heard_by_host.values()
-            if heard.hello.role == role
-            and heard.heard_s >= (near_since_s if heard.hello.hall == own_hall else far_since_s)
+            observed.heartbeat
+            for observed in self._observed_by_host.values()
+            if observed.heartbeat.role == role
+            and observed.received_s
+            >= (near_since_s if observed.heartbeat.hall == own_hall else far_since_s)
         ]
 
     def taking_callers(self) -> list[Hello]:
-        """Returns the hellos of entry hosts that take callers, as they said a moment ago.
+        """Returns the heartbeats of entry hosts that were ready for callers a moment ago.
 
-        Those of the own hall may have said it to any host of the hall.
+        Hosts of the own hall count if any host of the hall received their heartbeats.
         """
         since_s = asyncio.get_running_loop().time() - listed_s(self._period_s())
         newest = [
-            self._newest(heard)
-            for heard in self._heard_by_host.values()
-            if heard.hello.role == HostRole.ENTRY
+            self._newest(observed)
+            for observed in self._observed_by_host.values()
+            if observed.heartbeat.role == HostRole.ENTRY
         ]
         return [
-            heard.hello
-            for heard in newest
-            if heard.hello.phase == HostPhase.READY and heard.heard_s >= since_s
+            observed.heartbeat
+            for observed in newest
+            if observed.heartbeat.phase == HostPhase.READY and observed.received_s >= since_s
         ]
 
-    def _newest(self, heard: HeardHost) -> HeardHost:
-        """Returns what is known of a host by its own hello, and by later ones that others heard."""
-        seen_s = self._sightings.seen_s(start_of(heard.hello.incarnation))
-        # A host that leaves does not come back, whatever others heard before it said so.
-        if seen_s <= heard.heard_s or heard.hello.phase == HostPhase.LEAVING:
-            return heard
-        if heard.hello.phase == HostPhase.READY and not heard.hello.is_cut_off:
-            return HeardHost(heard.hello, seen_s)
-        hello = copy.copy(heard.hello)
-        hello.phase, hello.is_cut_off = HostPhase.READY, False
-        return HeardHost(hello, seen_s)
+    def _newest(self, observed: ObservedHost) -> ObservedHost:
+        """Returns a host's state, updated by later heartbeats that other hosts received."""
+        seen_s = self._sightings.seen_s(start_of(observed.heartbeat.incarnation))
+        # LEAVING is final, whatever others received before.
+        if seen_s <= observed.received_s or observed.heartbeat.phase == HostPhase.LEAVING:
+            return observed
+        if observed.heartbeat.phase == HostPhase.READY and not observed.heartbeat.is_cut_off:
+            return ObservedHost(observed.heartbeat, seen_s)
+        heartbeat = copy.copy(observed.heartbeat)
+        heartbeat.phase, heartbeat.is_cut_off = HostPhase.READY, False
+        return ObservedHost(heartbeat, seen_s)
 
     def heard_s(self, host: str) -> float:
-        """Returns when a host was last heard, on the loop's clock; 0 if it never was."""
-        heard = self._heard_by_host.get(host)
-        return 0.0 if heard is None else heard.heard_s
+        """Returns when a host was last seen, on the loop's clock; 0 if never."""
+        observed = self._observed_by_host.get(host)
+        return 0.0 if observed is None else observed.received_s
 
     def heard_within(self, role: HostRole, time_s: float) -> int:
-        """Returns how many other hosts were heard within ``time_s`` seconds, also leaving ones."""
+        """Returns how many other hosts were seen within ``time_s`` seconds, leaving ones included."""
         since_s = asyncio.get_running_loop().time() - time_s
         return sum(
-            heard.hello.role == role and heard.heard_s >= since_s
-            for heard in self._heard_by_host.values()
+            observed.heartbeat.role == role and observed.received_s >= since_s
+            for observed in self._observed_by_host.values()
         )
 
-    def _set_fresh_times(self, near: int, far: int) -> None:
-        """Works out which silence is usual, from the counts of hosts known here."""
+    def _update_silence_limits(self, near: int, far: int) -> None:
+        """Computes after how much silence hosts are left out, from the counts of known hosts."""
         period_s = self._period_s()
         near_rounds = math.ceil(near / NEAR_TARGETS)
         far_rounds = math.ceil(far / max(FAR_TARGETS, ALL_TARGETS - near))
-        self._near_fresh_s = max(LEAST_FRESH_S, FRESH_CYCLES * near_rounds * period_s)
-        self._far_fresh_s = max(LEAST_FRESH_S, FRESH_CYCLES * far_rounds * period_s)
+        self._near_silence_limit_s = max(MIN_SILENCE_S, SILENCE_CYCLES * near_rounds * period_s)
+        self._far_silence_limit_s = max(MIN_SILENCE_S, SILENCE_CYCLES * far_rounds * period_s)
 
     def _period_s(self) -> float:
-        return PERIOD_S * max(1.0, len(self._heard_addresses()) / PERIOD_HOSTS)
+        return PERIOD_S * max(1.0, len(self._observed_addresses()) / PERIOD_HOSTS)
 
-    def _heard_addresses(self) -> set[str]:
-        """Returns the addresses of hosts that were heard and are not forgotten yet."""
-        heard = {one.hello.gossip_address for one in self._heard_by_host.values()}
-        return heard & self._last_heard_by_address.keys()
+    def _observed_addresses(self) -> set[str]:
+        """Returns the addresses of hosts that were seen and not removed since."""
+        observed = {one.heartbeat.gossip_address for one in self._observed_by_host.values()}
+        return observed & self._last_seen_by_address.keys()
 
     def say_now(self) -> None:
-        """Sends a hello out of turn to the whole hall and some others: news should not wait."""
-        near, far = self._by_distance()
-        self._send_to(near + self._next_turns(far, ALL_TARGETS))
+        """Sends a heartbeat out of turn to the whole hall and some other hosts."""
+        near, far = self._split_by_hall()
+        self._send_to(near + self._least_recently_sent(far, ALL_TARGETS))
 
     def knows_others(self) -> bool:
-        """Tells whether any other host was heard."""
-        return bool(self._heard_by_host)
+        """Returns whether any other host was seen."""
+        return bool(self._observed_by_host)
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
-        first_until_s = loop.time() + FIRST_S
+        startup_until_s = loop.time() + STARTUP_S
         while not self.should_stop:
             self._send_round()
             self.on_round()
-            period_s = FIRST_PERIOD_S if loop.time() < first_until_s else self._period_s()
+            period_s = STARTUP_PERIOD_S if loop.time() < startup_until_s else self._period_s()
             pause_s = period_s * random.uniform(0.8, 1.2)
             due_s = loop.time() + pause_s
             await asyncio.sleep(pause_s)
             late_s = loop.time() - due_s
-            self._note_lateness(late_s)
+            self._check_stall(late_s)
             if late_s > STALL_S:
-                await asyncio.sleep(READ_S)
+                await asyncio.sleep(CATCH_UP_S)
 
-    def _note_lateness(self, late_s: float) -> None:
+    def _check_stall(self, late_s: float) -> None:
         if late_s > STALL_S:
             self._sightings = Sightings()
             self._stalled_until_s = asyncio.get_running_loop().time() + AFTER_STALL_S
 
     def _send_round(self) -> None:
         self._forget_silent()
-        near, far = self._by_distance()
-        self._set_fresh_times(len(near), len(far))
+        near, far = self._split_by_hall()
+        self._update_silence_limits(len(near), len(far))
         near_count = min(len(near), max(NEAR_TARGETS, ALL_TARGETS - len(far)))
         ages = self._sightings.ages(asyncio.get_running_loop().time())
-        self._send_to(self._next_turns(near, near_count), ages)
+        self._send_to(self._least_recently_sent(near, near_count), ages)
         self._send_to(
-            self._next_turns(far, ALL_TARGETS - near_count)
-            + self._next_turns(self._unheard(), UNHEARD_TARGETS)
+            self._least_recently_sent(far, ALL_TARGETS - near_count)
+            + self._least_recently_sent(self._unseen_addresses(), UNSEEN_TARGETS)
         )
 
-    def _unheard(self) -> list[str]:
-        """Returns the addresses that were told and never heard."""
-        heard = self._heard_addresses()
-        return [one for one in self._last_heard_by_address if one not in heard]
+    def _unseen_addresses(self) -> list[str]:
+        """Returns the addresses from which no heartbeat was received."""
+        observed = self._observed_addresses()
+        return [one for one in self._last_seen_by_address if one not in observed]
 
-    def _by_distance(self) -> tuple[list[str], list[str]]:
-        """Returns the addresses of heard hosts of the own hall, and of all others."""
-        heard_addresses = self._heard_addresses()
+    def _split_by_hall(self) -> tuple[list[str], list[str]]:
+        """Returns the addresses of seen hosts of the own hall, and of all others."""
+        observed_addresses = self._observed_addresses()
         near_addresses = {
-            heard.hello.gossip_address
-            for heard in self._heard_by_host.values()
-            if heard.hello.hall == self._settings.hall
+            observed.heartbeat.gossip_address
+            for observed in self._observed_by_host.values()
+            if observed.heartbeat.hall == self._settings.hall
         }
-        near = [one for one in self._last_heard_by_address if one in near_addresses]
+        near = [one for one in self._last_seen_by_address if one in near_addresses]
         return near, [
             one
-            for one in self._last_heard_by_address
-            if one in heard_addresses and one not in near_addresses
+            for one in self._last_seen_by_address
+            if one in observed_addresses and one not in near_addresses
         ]
 
-    def _next_turns(self, addresses: list[str], count: int) -> list[str]:
-        """Returns those addresses that were greeted longest ago."""
-        chosen = sorted(addresses, key=lambda one: self._greeted_by_address.get(one, 0))[:count]
+    def _least_recently_sent(self, addresses: list[str], count: int) -> list[str]:
+        """Returns the addresses to which heartbeats were sent longest ago."""
+        chosen = sorted(addresses, key=lambda one: self._sent_beat_by_address.get(one, 0))[:count]
         for address in chosen:
-            self._greeted_by_address[address] = self.me.beat
+            self._sent_beat_by_address[address] = self.me.beat
         return chosen
 
     def _send_to(
@@ -298,52 +302,58 @@
             return
         self.me.beat += 1
         self.describe(self.me)
-        known = list(self._last_heard_by_address)
-        self.me.known_addresses = random.sample(known, min(MOST_KNOWN, len(known)))
-        # What was heard in a hall is of use there alone, and bytes between halls are paid for.
+        known = list(self._last_seen_by_address)
+        self.me.known_addresses = random.sample(known, min(MAX_KNOWN_ADDRESSES, len(known)))
+        # Ages are only used within the hall, and traffic between halls is paid for.
         self.me.age_by_start = age_by_start
         data = encode_message(self.me)
         for address in addresses:
             self._transport.sendto(data, split_address(address))
 
     def _forget_silent(self) -> None:
-        oldest = asyncio.get_running_loop().time() - FORGET_S
-        for address, heard_s in list(self._last_heard_by_address.items()):
-            if heard_s < oldest:
-                del self._last_heard_by_address[address]
-                self._greeted_by_address.pop(address, None)
+        oldest = asyncio.get_running_loop().time() - FORGET_AFTER_S
+        for address, seen_s in list(self._last_seen_by_address.items()):
+            if seen_s < oldest:
+                del self._last_seen_by_address[address]
+                self._sent_beat_by_address.pop(address, None)
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         try:
-            hello = decode_message(Hello(), data)
+            heartbeat = decode_message(Hello(), data)
         except FrameError as error:
-            self.log.warning("a datagram is no hello: %s", error)
+            self.log.warning("dropped a datagram that is not a heartbeat: %s", error)
             return
-        if hello.host == self._settings.host:
+        if heartbeat.host == self._settings.host:
             return
         now = asyncio.get_running_loop().time()
-        heard = self._heard_by_host.get(hello.host)
-        is_same_start = heard is not None and heard.hello.incarnation == hello.incarnation
-        if heard is not None and is_same_start and hello.beat <= heard.hello.beat:
+        observed = self._observed_by_host.get(heartbeat.host)
+        is_same_incarnation = (
+            observed is not None and observed.heartbeat.incarnation == heartbeat.incarnation
+        )
+        if (
+            observed is not None
+            and is_same_incarnation
+            and heartbeat.beat <= observed.heartbeat.beat
+        ):
             return
-        self._heard_by_host[hello.host] = HeardHost(hello, now)
-        self._last_heard_by_address[hello.gossip_address] = now
-        self._note_sightings(hello, now)
-        self.learn(hello.known_addresses)
-        if not is_same_start:
-            self._send_to([hello.gossip_address])
-        self.on_hello(hello)
-
-    def _note_sightings(self, hello: Hello, now_s: float) -> None:
-        """Takes in who takes callers in this hall, by the sender's word."""
-        if hello.hall != self._settings.hall or now_s < self._stalled_until_s:
+        self._observed_by_host[heartbeat.host] = ObservedHost(heartbeat, now)
+        self._last_seen_by_address[heartbeat.gossip_address] = now
+        self._record_sightings(heartbeat, now)
+        self.add_addresses(heartbeat.known_addresses)
+        if not is_same_incarnation:
+            self._send_to([heartbeat.gossip_address])
+        self.on_hello(heartbeat)
+
+    def _record_sightings(self, heartbeat: Hello, now_s: float) -> None:
+        """Records which entry hosts of this hall the sender saw, and whether it is ready itself."""
+        if heartbeat.hall != self._settings.hall or now_s < self._stalled_until_s:
             return
-        if hello.age_by_start is not None:
-            self._sightings.hear(hello.age_by_start, now_s)
-        if hello.role != HostRole.ENTRY:
+        if heartbeat.age_by_start is not None:
+            self._sightings.hear(heartbeat.age_by_start, now_s)
+        if heartbeat.role != HostRole.ENTRY:
             return
-        start = start_of(hello.incarnation)
-        if hello.phase == HostPhase.READY and not hello.is_cut_off:
+        start = start_of(heartbeat.incarnation)
+        if heartbeat.phase == HostPhase.READY and not heartbeat.is_cut_off:
             self._sightings.see(start, now_s)
         else:
             self._sightings.leave(start)
--- a/src/bayhinge/_internal/services/grants.py
+++ b/src/bayhinge/_internal/services/grants.py
@@ -1,4 +1,4 @@
-"""How an owner gets an endpoint for a call: from the queue home, here or at another host."""
+"""How an owner gets an endpoint for a call from the cell's queue dispatcher."""
 
 from abc import ABC, abstractmethod
 
@@ -16,24 +16,24 @@
     endpoint: str
     address: str
     waited_s: float
-    home: str
+    dispatcher_address: str
 
 
 class GrantSource(ABC):
-    """Where owners ask for endpoints."""
+    """Grants endpoints to owners."""
 
     @abstractmethod
     async def request(self, pool: str, offer: Offer) -> GrantedEndpoint:
         """Waits for a grant.
 
         Raises:
-            RefusedError: the call is refused; it was sent nowhere.
+            RefusedError: the call is refused; it was not sent.
         """
 
     @abstractmethod
     def done(self, granted: GrantedEndpoint, done: Done) -> None:
-        """Gives a grant back."""
+        """Releases a grant."""
 
     @abstractmethod
     def program_ended(self, program: str, pools: frozenset[str]) -> None:
-        """Says that a program is gone, so that its cache can be freed."""
+        """Reports that a program has ended, so that its cache can be freed."""
--- a/src/bayhinge/_internal/services/histories.py
+++ b/src/bayhinge/_internal/services/histories.py
@@ -1,8 +1,7 @@
-"""Histories in memory: a partial copy of what the journals hold.
+"""Caches message histories in memory; the journals hold all of them.
 
-Programs that were not used lately are evicted down to a cap and rebuilt on demand,
-record by record. This is the partially stateful design of Noria (Gjengset et al.,
-OSDI 2018): what is missing is fetched by key from the full state when it is asked for.
+Least recently used programs are evicted down to a cap and rebuilt from their records on
+demand, as in the partially stateful design of Noria (Gjengset et al., OSDI 2018).
 """
 
 import asyncio
@@ -17,12 +16,12 @@
 from bayhinge.coordination.journal_reader import JournalReader
 
 REBUILD_READS = 8
-"""Records of one program that are read at once while it is rebuilt."""
+"""Concurrent reads of records while one program is rebuilt."""
 
 
 @attrs.define
 class HistoryStatistics:
-    """What the cache has done."""
+    """Counters of the cache."""
 
     hits: int = 0
     rebuilds: int = 0
@@ -37,10 +36,9 @@
 
 
 class HistoryCache:
-    """Keeps message bytes of recently used programs."""
+    """An LRU cache of programs' encoded messages."""
 
     def __init__(self, reader: JournalReader, capacity_bytes: int) -> None:
-        """Takes where to rebuild from and the cap on message bytes."""
         self._reader = reader
         self._capacity_bytes = capacity_bytes
         self._history_by_program: OrderedDict[str, _History] = OrderedDict()
@@ -49,11 +47,11 @@
         self.statistics = HistoryStatistics()
 
     async def get(self, state: ProgramState) -> tuple[bytes, ...]:
-        """Returns a program's encoded messages, rebuilt where they were evicted.
+        """Returns a program's encoded messages, and rebuilds them if they were evicted.
 
         Raises:
             StoreError: they must be rebuilt and the store did not answer.
-            CorruptObjectError: a record can't be read, or disagrees with the state.
+            CorruptObjectError: a record can't be decoded, or disagrees with the state.
         """
         program = str(state.program_id)
         found = self._history_by_program.get(program)
@@ -70,7 +68,7 @@
         return tuple(found.messages)
 
     def append(self, state: ProgramState, messages: tuple[bytes, ...], rewrite: bool) -> None:
-        """Adds what a call added; only where the rest is in memory, or there is none."""
+        """Adds a call's messages, unless earlier messages exist and were evicted."""
         program = str(state.program_id)
         history = self._history_by_program.get(program)
         if history is None and (rewrite or state.message_count == len(messages)):
@@ -90,7 +88,7 @@
         self._shrink()
 
     def drop(self, program: str) -> None:
-        """Forgets a program's messages."""
+        """Removes a program's messages from the cache."""
         history = self._history_by_program.pop(program, None)
         if history is not None:
             self.size -= history.size
@@ -121,12 +119,14 @@
         record = decode_record(await self._reader.read_record(call.position))
         finished = record.finished
         if finished is None or finished.program != str(state.program_id):
-            raise CorruptObjectError(str(call.position), "it is not this program's record")
+            raise CorruptObjectError(
+                str(call.position), f"not a finished call of program '{state.program_id}'"
+            )
         answer = assistant_message(finished.text, finished.answer.tool_calls)
         return [*finished.messages, answer]
 
     def _shrink(self) -> None:
-        # The program used last stays, however large, or it could never be served.
+        # The most recently used program stays even if it exceeds the cap, so it can be served.
         while self.size > self._capacity_bytes and len(self._history_by_program) > 1:
             _, history = self._history_by_program.popitem(last=False)
             self.size -= history.size
--- a/src/bayhinge/_internal/services/host.py
+++ b/src/bayhinge/_internal/services/host.py
@@ -1,4 +1,4 @@
-"""One host: the mode service that a daemon runs, or a test several of."""
+"""One host: the service that a daemon runs; tests run several of them."""
 
 import asyncio
 import logging
@@ -12,13 +12,13 @@
 from bayhinge._internal.models.settings import Settings
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.front import CallerFront
+from bayhinge._internal.services.cache_sweep import CacheSweep
 from bayhinge._internal.services.front_service import FrontService
-from bayhinge._internal.services.held_sweep import HeldSweep
 from bayhinge._internal.services.host_parts import (
     HostParts,
     Outside,
     build_host_parts,
-    outside_from_settings,
+    external_from_settings,
 )
 from bayhinge._internal.services.local_queries import LocalQueries
 from bayhinge._internal.services.peer_service import PeerService
@@ -31,34 +31,39 @@
 
 logger = logging.getLogger(__name__)
 
-WRITE_BACK_S = 5.0
-"""Between two rounds of settling budgets with the ledgers."""
-LOAD_POLL_S = 1.0
+WRITE_BACK_INTERVAL_S = 5.0
+"""Between two writes of spent budgets to the ledgers."""
+LOAD_POLL_INTERVAL_S = 1.0
 FAULT_RETRY_S = 0.5
-CANCEL_LOOK_S = 0.5
+CANCEL_CHECK_S = 0.5
 
 
 class Host(Service):
-    """One start of a host's daemon."""
+    """One incarnation of a host's daemon."""
 
-    def __init__(self, settings: Settings, outside: Outside | None = None) -> None:
-        """Takes the settings and, in tests, what lies outside."""
+    def __init__(self, settings: Settings, external: Outside | None = None) -> None:
+        """Builds the host.
+
+        Args:
+            settings: the host's settings.
+            external: replaces the clients built from the settings, in tests.
+        """
         super().__init__()
         self.settings = settings
         self.parts: HostParts = build_host_parts(
-            settings, outside or outside_from_settings(settings, SystemClock())
+            settings, external or external_from_settings(settings, SystemClock())
         )
         opener = ProgramOpener(self.parts)
         queries = LocalQueries(self.parts)
-        self._listener = self.parts.outside.network.listen(
+        self._listener = self.parts.external.network.listen(
             settings.host.peer_address,
             PeerService(self.parts, opener, queries),
             self.parts.hybrid_clock,
         )
-        self._sweep = HeldSweep(
-            self.parts.home,
+        self._sweep = CacheSweep(
+            self.parts.dispatcher,
             self.parts.router,
-            self.parts.outside.endpoints,
+            self.parts.external.endpoints,
             self.parts.timeline,
         )
         self.service = FrontService(self.parts, opener, queries)
@@ -68,7 +73,7 @@
         self.parts.membership.on_death = self._take_over
         self.parts.membership.on_gone = self._take_over
         self.parts.membership.on_removed = self._check_own_seal
-        self.parts.journal.on_fenced = self._give_up
+        self.parts.journal.on_fenced = self._on_fenced
         self.fenced = asyncio.Event()
 
     @property
@@ -78,17 +83,17 @@
 
     @property
     def base_url(self) -> str:
-        """Where callers reach this host."""
+        """The URL at which callers reach this host."""
         return f"http://{self.parts.membership.me.public_address}"
 
     async def on_start(self) -> None:
-        """Listens, announces the host, and starts what runs for ever."""
+        """Listens, announces the host, and starts the background tasks."""
         parts = self.parts
         peer_address = await self._listener.start()
         await self._poll_endpoints_once()
-        await self._first_config()
+        await self._load_initial_config()
         public_address = self.settings.host.public_address
-        if parts.outside.serves_http:
+        if parts.external.serves_http:
             public_address = await self._front.start()
         parts.membership.describe(
             attrs.evolve(
@@ -103,18 +108,18 @@
             parts.membership.run,
             parts.journal.run,
             parts.feed.run,
-            parts.home.run,
+            parts.dispatcher.run,
             self._poll_endpoints,
             self._poll_loads,
             self._write_back,
-            self._exchange_news,
+            self._exchange_revisions,
             self._describe,
             self._sweep.run,
         ):
             self._spawn(self._keep_running(work))
 
     async def on_stop(self) -> None:
-        """A planned stop, unless the host was crashed."""
+        """Performs a planned stop, unless :meth:`crash` was called."""
         if self._has_crashed:
             return
         parts = self.parts
@@ -128,16 +133,16 @@
             parts.locator,
             parts.peers,
         )
-        # A fenced host has nothing left to hand over.
+        # A fenced host owns no programs to hand over.
         complete = parts.journal.fenced or await stop.run(self.settings.membership.drain_seconds)
-        # Callers keep an address for a while: they are served until that time is over.
-        rest = began + self.settings.membership.address_keep_seconds - loop.time()
-        if complete and rest > 0:
-            await asyncio.sleep(rest)
+        # Callers cache addresses: serve them until the cached ones have expired.
+        remaining_s = began + self.settings.membership.address_keep_seconds - loop.time()
+        if complete and remaining_s > 0:
+            await asyncio.sleep(remaining_s)
         try:
             await parts.escrow.write_back(keep_units=0)
         except CoordinationError as error:
-            logger.warning("a budget grant was not given back: %s", error)
+            logger.warning("could not return unspent budget to the ledger: %s", error)
         parts.timeline.close()
         await self._front.stop()
         await parts.owner.drain()
@@ -147,24 +152,24 @@
         await self._close_clients()
 
     async def crash(self) -> None:
-        """Dies as a killed process does: nothing is handed over, closed or written."""
+        """Simulates a killed process: nothing is handed over or written."""
         self._has_crashed = True
         for task in list(self._tasks):
             task.cancel()
         self._front.abort()
         await self._listener.stop()
         await self.parts.peers.close()
-        # First of all: a dead process cancels nothing at its engines.
-        await self.parts.outside.endpoints.close()
+        # Before tasks are cancelled, because a killed process cancels nothing at its engines.
+        await self.parts.external.endpoints.close()
         self.parts.owner.abandon()
         await self._cancel_tasks()
         await self._close_clients()
         await self.stop()
 
-    # ---- what runs for ever ----
+    # ---- background tasks ----
 
     async def _keep_running(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Restarts work that ends with a fault; one fault must not end a duty for good."""
+        """Runs a background task, and restarts it after an unexpected error."""
         while True:
             try:
                 await work()
@@ -172,7 +177,7 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                logger.exception("%s of %s failed; it starts again", work, self.name)
+                logger.exception("%s of host %s failed; restarting it", work, self.name)
                 await asyncio.sleep(FAULT_RETRY_S)
 
     async def _poll_endpoints(self) -> None:
@@ -181,31 +186,31 @@
             await self._poll_endpoints_once()
 
     async def _poll_endpoints_once(self) -> None:
-        listed = await self.parts.outside.endpoint_list.fetch()
+        listed = await self.parts.external.endpoint_list.fetch()
         if listed is not None:
-            self.parts.home.set_endpoints(listed)
+            self.parts.dispatcher.set_endpoints(listed)
 
-    async def _first_config(self) -> None:
+    async def _load_initial_config(self) -> None:
         try:
             await self.parts.feed.step()
         except StoreError as error:
-            logger.warning("the first look at the configuration failed: %s", error)
+            logger.warning("could not load the initial configuration: %s", error)
 
     async def _poll_loads(self) -> None:
         while True:
-            await asyncio.sleep(LOAD_POLL_S)
-            await self.parts.home.poll_loads()
+            await asyncio.sleep(LOAD_POLL_INTERVAL_S)
+            await self.parts.dispatcher.poll_loads()
 
     async def _write_back(self) -> None:
         while True:
-            await asyncio.sleep(WRITE_BACK_S)
+            await asyncio.sleep(WRITE_BACK_INTERVAL_S)
             try:
                 await self.parts.escrow.write_back()
             except StoreError as error:
-                logger.info("budgets wait for the store: %s", error)
+                logger.info("could not write budgets back, retrying later: %s", error)
 
     async def _describe(self) -> None:
-        """Keeps the next heartbeats true, and the journal's pace at this host's share."""
+        """Updates what heartbeats report, and the journal's share of the write rate."""
         while True:
             membership = self.parts.membership
             membership.describe(
@@ -220,16 +225,16 @@
             self.parts.pacer.set_rate(min(store.writes_per_second, share))
             await asyncio.sleep(self.settings.membership.beat_seconds)
 
-    async def _exchange_news(self) -> None:
-        """Tells one peer after another of the newest revision, and takes what it has."""
-        turn = 0
+    async def _exchange_revisions(self) -> None:
+        """Exchanges configuration revisions with one peer after another."""
+        round_number = 0
         while True:
             await asyncio.sleep(self.settings.membership.beat_seconds)
             me = self.parts.membership.me.incarnation
             peers = [info for info in self.parts.membership.alive() if info.incarnation != me]
             if peers:
-                turn += 1
-                await self._exchange_with(peers[turn % len(peers)])
+                round_number += 1
+                await self._exchange_with(peers[round_number % len(peers)])
 
     async def _exchange_with(self, peer: HostInfo) -> None:
         feed = self.parts.feed
@@ -245,11 +250,11 @@
     def _take_over(self, dead: HostInfo) -> None:
         if self.parts.membership.me.state is not HostState.SERVING:
             return
-        self.parts.home.owner_died(dead.incarnation)
+        self.parts.dispatcher.owner_died(dead.incarnation)
         self._spawn(self.parts.adopter.take_over(dead))
 
     def _check_own_seal(self) -> None:
-        """The host's heartbeat object was removed: it may have been held dead while it slept."""
+        """Checks for a seal, since the removed heartbeat object may mean a takeover."""
         self._spawn(self._read_own_seal())
 
     async def _read_own_seal(self) -> None:
@@ -260,14 +265,14 @@
                 await asyncio.sleep(FAULT_RETRY_S)
                 continue
             if seal is not None:
-                self.parts.locator.note_seal(self.parts.journal.incarnation, seal)
+                self.parts.locator.record_seal(self.parts.journal.incarnation, seal)
             return
 
-    def _give_up(self, error: FencedError) -> None:
-        """The journal is another's now: own nothing more, pass every call on, ask for a restart.
+    def _on_fenced(self, error: FencedError) -> None:
+        """Stops owning programs after the journal was taken over, and asks for a restart.
 
-        Without this, a host that slept through its own takeover went on claiming its
-        programs and refused their calls for ever.
+        Otherwise a host that was paused during its takeover would still claim its programs
+        and refuse their calls.
         """
         parts = self.parts
         parts.timeline.record(Mechanism.MEMBERSHIP, "fenced", str(error))
@@ -283,7 +288,7 @@
             except StoreError:
                 await asyncio.sleep(FAULT_RETRY_S)
         if seal is not None:
-            parts.locator.note_seal(parts.journal.incarnation, seal)
+            parts.locator.record_seal(parts.journal.incarnation, seal)
         parts.registry.remove_all()
         self.fenced.set()
 
@@ -295,14 +300,14 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _cancel_tasks(self) -> None:
-        # More than once: a task that is cancelled in the moment its wait ends may miss it.
+        # Repeated, because a task that is cancelled just as its wait ends may miss it.
         while tasks := list(self._tasks):
             for task in tasks:
                 task.cancel()
-            await asyncio.wait(tasks, timeout=CANCEL_LOOK_S)
+            await asyncio.wait(tasks, timeout=CANCEL_CHECK_S)
 
     async def _close_clients(self) -> None:
         await self.parts.peers.close()
-        await self.parts.outside.endpoints.close()
-        await self.parts.outside.endpoint_list.close()
-        await self.parts.outside.store.close()
+        await self.parts.external.endpoints.close()
+        await self.parts.external.endpoint_list.close()
+        await self.parts.external.store.close()
--- a/src/bayhinge/_internal/services/host_parts.py
+++ b/src/bayhinge/_internal/services/host_parts.py
@@ -24,7 +24,7 @@
 from bayhinge._internal.services.owner import ProgramOwner
 from bayhinge._internal.services.owner_parts import OwnerParts
 from bayhinge._internal.services.program_registry import ProgramRegistry
-from bayhinge._internal.services.queue_home import QueueHome
+from bayhinge._internal.services.queue_dispatcher import QueueDispatcher
 from bayhinge._internal.services.remote_grants import RemoteGrants
 from bayhinge._internal.services.router import CallRouter
 from bayhinge._internal.services.timeline import Timeline
@@ -37,15 +37,15 @@
 from bayhinge.coordination.pacing import WritePacer
 from bayhinge.coordination.store import ObjectStore
 
-JOURNALS = "journal"
-HOSTS = "hosts"
-LEDGERS = "ledgers"
-CONFIG_CHANGES = "config"
+JOURNAL_PREFIX = "journal"
+HOST_PREFIX = "hosts"
+LEDGER_PREFIX = "ledgers"
+CONFIG_PREFIX = "config"
 
 
 @attrs.define
 class Outside:
-    """What a host meets outside; tests give their own."""
+    """The store, network, clients and clock of a host; tests replace them."""
 
     store: ObjectStore
     endpoint_list: EndpointList
@@ -56,8 +56,8 @@
     serves_http: bool = True
 
 
-def outside_from_settings(settings: Settings, clock: Clock) -> Outside:
-    """Returns the real clients that settings name."""
+def external_from_settings(settings: Settings, clock: Clock) -> Outside:
+    """Builds the clients that the settings name."""
     limits = settings.limits
     times = EndpointTimes(
         limits.connect_seconds, limits.first_byte_seconds, limits.between_bytes_seconds
@@ -67,7 +67,7 @@
         HttpEndpointList(settings.endpoints.list_url, settings.store.timeout_seconds),
         HttpEndpointClient(times),
         clock,
-        # Never seeded: two starts with one seed would share an incarnation's name.
+        # Never seeded: two starts with the same seed would get the same incarnation name.
         random.SystemRandom().random,
         TcpPeerNetwork(limits.connect_seconds),
     )
@@ -78,7 +78,7 @@
     """Every part of one host."""
 
     settings: Settings
-    outside: Outside
+    external: Outside
     hybrid_clock: HybridClock
     timeline: Timeline
     latencies: Latencies
@@ -89,7 +89,7 @@
     accounts: AccountDirectory
     membership: Membership
     peers: Peers
-    home: QueueHome
+    dispatcher: QueueDispatcher
     owner_parts: OwnerParts
     registry: ProgramRegistry
     owner: ProgramOwner
@@ -98,31 +98,31 @@
     router: CallRouter
 
 
-def build_host_parts(settings: Settings, outside: Outside) -> HostParts:
-    """Builds the parts of a host for one start of its daemon."""
-    store = outside.store
+def build_host_parts(settings: Settings, external: Outside) -> HostParts:
+    """Builds the parts of a host for one incarnation of its daemon."""
+    store = external.store
     prefix = settings.store.prefix
-    journals = f"{prefix}/{JOURNALS}"
-    incarnation = new_incarnation(settings.host.name, outside.random_unit)
-    hybrid_clock = HybridClock(outside.clock)
+    journals = f"{prefix}/{JOURNAL_PREFIX}"
+    incarnation = new_incarnation(settings.host.name, external.random_unit)
+    hybrid_clock = HybridClock(external.clock)
     timeline = Timeline(settings.host.name, hybrid_clock)
     pacer = WritePacer(settings.store.writes_per_second, settings.store.write_burst)
     journal = Journal(
-        store, journals, incarnation, pacer, outside.random_unit, settings.store.spool_bytes
+        store, journals, incarnation, pacer, external.random_unit, settings.store.spool_bytes
     )
     reader = JournalReader(store, journals)
-    escrow = Escrow(store, f"{prefix}/{LEDGERS}", incarnation, outside.random_unit)
+    escrow = Escrow(store, f"{prefix}/{LEDGER_PREFIX}", incarnation, external.random_unit)
     times = FeedTimes(settings.config.poll_seconds, settings.config.stale_after_seconds)
     feed = ConfigFeed(
-        store, f"{prefix}/{CONFIG_CHANGES}", outside.clock, outside.random_unit, times
+        store, f"{prefix}/{CONFIG_PREFIX}", external.clock, external.random_unit, times
     )
     accounts = AccountDirectory(feed)
-    membership = _build_membership(settings, outside, incarnation)
-    peers = outside.network.connect(hybrid_clock)
-    home = QueueHome(settings, outside.endpoints, timeline)
-    grants = RemoteGrants(membership, home, peers)
+    membership = _build_membership(settings, external, incarnation)
+    peers = external.network.connect(hybrid_clock)
+    dispatcher = QueueDispatcher(settings, external.endpoints, timeline)
+    grants = RemoteGrants(membership, dispatcher, peers)
     runner = CallRunner(
-        incarnation, settings, grants, outside.endpoints, timeline, outside.random_unit
+        incarnation, settings, grants, external.endpoints, timeline, external.random_unit
     )
     owner_parts = OwnerParts(
         settings=settings,
@@ -134,8 +134,8 @@
         grants=grants,
         histories=HistoryCache(reader, settings.limits.history_bytes),
         timeline=timeline,
-        clock=outside.clock,
-        random_unit=outside.random_unit,
+        clock=external.clock,
+        random_unit=external.random_unit,
     )
     registry = ProgramRegistry(owner_parts)
     owner = ProgramOwner(owner_parts, registry)
@@ -152,7 +152,7 @@
     )
     return HostParts(
         settings=settings,
-        outside=outside,
+        external=external,
         hybrid_clock=hybrid_clock,
         timeline=timeline,
         latencies=Latencies(),
@@ -163,7 +163,7 @@
         accounts=accounts,
         membership=membership,
         peers=peers,
-        home=home,
+        dispatcher=dispatcher,
         owner_parts=owner_parts,
         registry=registry,
         owner=owner,
@@ -173,7 +173,7 @@
     )
 
 
-def _build_membership(settings: Settings, outside: Outside, incarnation: str) -> Membership:
+def _build_membership(settings: Settings, external: Outside, incarnation: str) -> Membership:
     me = HostInfo(
         incarnation=incarnation,
         host=settings.host.name,
@@ -187,4 +187,4 @@
     times = MembershipTimes(
         settings.membership.beat_seconds, settings.membership.dead_after_seconds
     )
-    return Membership(outside.store, f"{settings.store.prefix}/{HOSTS}", me, times)
+    return Membership(external.store, f"{settings.store.prefix}/{HOST_PREFIX}", me, times)
--- a/src/bayhinge/_internal/services/keep_running.py
+++ b/src/bayhinge/_internal/services/keep_running.py
@@ -1,4 +1,4 @@
-"""Duties that run for the life of a process: one fault must not end them for good."""
+"""Restarts background tasks that run for the life of a process."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -6,14 +6,14 @@
 import eliot
 
 FAULT_PAUSE_S = 0.5
-"""Pause after an unexpected error, so that one that stays does not fill the log."""
+"""Pause after an unexpected error, so that a persistent one does not flood the log."""
 
 
-async def keep_running(name: str, duty: Callable[[], Awaitable[None]]) -> None:
-    """Runs a duty until it ends by itself, and begins anew after an unexpected error."""
+async def keep_running(name: str, task: Callable[[], Awaitable[None]]) -> None:
+    """Runs a task until it returns, and restarts it after an unexpected error."""
     while True:
         try:
-            await duty()
+            await task()
             return
         except Exception as error:
             eliot.log_message("duty.failed", duty=name, why=repr(error))
--- a/src/bayhinge/_internal/services/key_follower.py
+++ b/src/bayhinge/_internal/services/key_follower.py
@@ -36,26 +36,26 @@
 half. After the first failure it is asked at once: a watch that hung says nothing of the store now.
 With the bound of a call that does not wait, 1 s, a host has news within 1.75 s of the return."""
 
-UNASKED_S = 5.0
+MAX_RETURN_WAIT_S = 5.0
 """Longest wait of a follower while another one of its process asks a store that fails; it ends with
 the store's return."""
 
-FIRST_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 0.8
+MIN_PAUSE_S = 0.2
+MAX_PAUSE_S = 0.8
 """Pauses after a watch call that brought changes, doubled while changes go on: a fleet that
 starts or is replaced brings one change after the other, and each call is paid for."""
 
-PEER_PATIENCE_S = 0.3
+PEER_FETCH_DELAY_S = 0.3
 """Time that the own watch has to bring what a peer has seen already."""
 
-LISTENER_PATIENCE_S = 0.03
+UNWATCHED_FETCH_DELAY_S = 0.03
 """The same for a host that has no watch, or knows nothing yet: several changes that come
 together make one fetch."""
 
-LISTEN_PERIOD_S = 0.6
+DUTY_CHECK_S = 0.6
 """How often a host without a watch looks whether it should have one."""
 
-RENEW_BEHIND_S = 2.0
+RENEW_AFTER_S = 2.0
 """A watch that has waited for so long is sent anew when news of another one show that the store has
 gone on: it may hang. Sooner only at ends, which are rare: each call is paid for, and entries that
 change all the time would have every other watch sent anew as often."""
@@ -67,7 +67,7 @@
 """When a host of a system that starts for the first time lists by itself, unless peers have told it
 of the objects before: on a site of 36 entry hosts first lists and watches were 183 of 397 calls."""
 
-PEER_CALL_S = 0.5
+PEER_CALL_TIMEOUT_S = 0.5
 """Time for a peer's answer."""
 
 
@@ -101,7 +101,7 @@
         self,
         store: PollingStore,
         prefix: str,
-        wait: Callable[[], float],
+        watch_timeout_s: Callable[[], float],
         listener: FollowListener,
         peers: Peers,
     ) -> None:
@@ -111,29 +111,29 @@
         """
         self._store = store
         self.prefix = prefix
-        self._wait = wait
+        self._watch_timeout_s = watch_timeout_s
         self._listener = listener
         self._peers = peers
         self._cursor = 0
-        self._pause_s = 0.0
+        self._poll_pause_s = 0.0
         self._poll: asyncio.Task[None] | None = None
         self._is_fetching = False
         self._is_stopped = False
-        self._asked_s: float | None = None
-        self._asked_knowing = 0
+        self._call_started_s: float | None = None
+        self._call_known_revision = 0
         self._is_watching: bool | None = None
-        self._returned_s = -math.inf
+        self._reported_return_s = -math.inf
         self.revision = 0
         self.complete_to = 0
         self.value_by_key: dict[str, bytes] = {}
         self.health = StoreHealth()
         self.first_list_s = 0.0
-        self._is_told = asyncio.Event()
+        self._has_state = asyncio.Event()
         self.heard_s = 0.0
         self.should_poll: Callable[[], bool] = lambda: True
         self.on_change: Callable[[], None] = lambda: None
         store.contact.on_return.append(self._renew)
-        store.contact.on_watched.append(self._renew_if_behind)
+        store.contact.on_watched.append(self._renew_if_outdated)
 
     async def run(self) -> None:
         """Follows until it is stopped or cancelled."""
@@ -142,8 +142,8 @@
             try:
                 if self._cursor == 0:
                     await self._list()
-                if not self._has_duty():
-                    await asyncio.sleep(LISTEN_PERIOD_S)
+                if not self._check_duty():
+                    await asyncio.sleep(DUTY_CHECK_S)
                     continue
                 self._poll = asyncio.ensure_future(self._poll_once())
                 await asyncio.wait([self._poll])
@@ -153,11 +153,11 @@
                 self._cursor = 0
             except StoreError as error:
                 is_first = not self.is_failing
-                self._note_failure(error)
+                self._record_failure(error)
                 if not is_first:
                     await self._pause_before_next_try()
             finally:
-                self._asked_s = None
+                self._call_started_s = None
                 if self._poll is not None:
                     self._poll.cancel()
 
@@ -165,14 +165,14 @@
         """Lets ``first_list_s`` pass, or the time until a peer has told of the objects."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.first_list_s):
-                await self._is_told.wait()
+                await self._has_state.wait()
 
     async def _pause_before_next_try(self) -> None:
         contact = self._store.contact
         if contact.may_ask(self):
             await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.5))
         else:
-            await contact.wait_for_return(UNASKED_S)
+            await contact.wait_for_return(MAX_RETURN_WAIT_S)
 
     def stop(self) -> None:
         """Ends the waiting call; what the store says from now on is no news."""
@@ -198,7 +198,7 @@
 
     def hear(self, revision: int, peer_address: str) -> None:
         """Learns that a peer has seen a revision; fetches from it if the watch is behind."""
-        if self._lacks(revision) and not self._is_fetching:
+        if self._is_behind(revision) and not self._is_fetching:
             self._is_fetching = True
             self._fetching = asyncio.ensure_future(self._fetch(revision, peer_address))
 
@@ -207,39 +207,44 @@
 
         Objects beside it may have changed before; the watch brings those.
         """
-        if self._lacks(stored.version):
+        if self._is_behind(stored.version):
             self._apply(Change(stored.key, stored.value, stored.version, stored.version))
 
     def waiting_s(self) -> float:
         """Returns for how long the call under way has been waiting, in seconds; 0 without one."""
-        if self._asked_s is None:
+        if self._call_started_s is None:
             return 0.0
-        return asyncio.get_running_loop().time() - self._asked_s
+        return asyncio.get_running_loop().time() - self._call_started_s
 
     def _renew(self) -> None:
         """Sends a waiting call anew: the store was silent since, and is back."""
         poll = self._poll
-        if poll is None or poll.done() or poll is asyncio.current_task() or self._asked_s is None:
+        if (
+            poll is None
+            or poll.done()
+            or poll is asyncio.current_task()
+            or self._call_started_s is None
+        ):
             return
         eliot.log_message(
             "store.watch_renewed", prefix=self.prefix, waited_s=round(self.waiting_s(), 3)
         )
         # The pause behind the last news is over; another one would be time without a watch.
-        self._pause_s = 0.0
+        self._poll_pause_s = 0.0
         poll.cancel()
 
-    def _renew_if_behind(self, has_news: bool) -> None:
+    def _renew_if_outdated(self, has_news: bool) -> None:
         """Sends a waiting call anew that was sent before the store was known to be so far."""
-        least_s = RENEW_BEHIND_S if has_news else 0.0
-        is_behind = self._asked_knowing < self._store.contact.revision
+        least_s = RENEW_AFTER_S if has_news else 0.0
+        is_behind = self._call_known_revision < self._store.contact.revision
         if is_behind and self.waiting_s() >= least_s:
             self._renew()
 
     def _is_after_outage(self) -> bool:
-        returned_s = max(self._returned_s, self._store.contact.returned_s)
+        returned_s = max(self._reported_return_s, self._store.contact.returned_s)
         return asyncio.get_running_loop().time() - returned_s <= AFTER_OUTAGE_S
 
-    def _has_duty(self) -> bool:
+    def _check_duty(self) -> bool:
         """Whether this host is to watch; says so where that changes."""
         has_duty = self.should_poll()
         if has_duty is not self._is_watching:
@@ -247,14 +252,14 @@
             eliot.log_message("store.watcher", prefix=self.prefix, is_watching=has_duty)
         return has_duty
 
-    def _lacks(self, revision: int) -> bool:
+    def _is_behind(self, revision: int) -> bool:
         return revision > self.known_to
 
     async def _list(self) -> None:
-        self._asked_s = asyncio.get_running_loop().time()
+        self._call_started_s = asyncio.get_running_loop().time()
         complete_before = self.complete_to
         listing = await list_all(self._store, self.prefix)
-        self._note_success()
+        self._record_success()
         if complete_before < self.complete_to and listing.revision < self.complete_to:
             # A peer told of more while the store's answer was on its way.
             self._cursor = self.complete_to
@@ -262,21 +267,23 @@
         self._cursor = listing.revision
         newest = max((stored.version for stored in listing.objects), default=0)
         value_by_key = {stored.key: stored.value for stored in listing.objects}
-        self._adopt(KnownObjects(newest, value_by_key, listing.revision, self._is_after_outage()))
+        self._replace_state(
+            KnownObjects(newest, value_by_key, listing.revision, self._is_after_outage())
+        )
 
     async def _poll_once(self) -> None:
         is_probe = self.is_failing
         if not is_probe:
-            await asyncio.sleep(self._pause_s)
-        self._asked_s = asyncio.get_running_loop().time()
-        self._asked_knowing = self._store.contact.revision
-        wait_s = 0.0 if is_probe else self._wait()
+            await asyncio.sleep(self._poll_pause_s)
+        self._call_started_s = asyncio.get_running_loop().time()
+        self._call_known_revision = self._store.contact.revision
+        wait_s = 0.0 if is_probe else self._watch_timeout_s()
         page = await self._store.poll(self.prefix, self._cursor, wait_s)
-        self._note_success()
+        self._record_success()
         self._store.contact.note_watched(page.revision, has_news=bool(page.changes))
         self.heard_s = asyncio.get_running_loop().time()
-        longer_s = min(LONGEST_PAUSE_S, max(FIRST_PAUSE_S, 2 * self._pause_s))
-        self._pause_s = longer_s if page.changes else 0.0
+        doubled_s = min(MAX_PAUSE_S, max(MIN_PAUSE_S, 2 * self._poll_pause_s))
+        self._poll_pause_s = doubled_s if page.changes else 0.0
         self._cursor = max(self._cursor, page.revision)
         for change in page.changes:
             self._apply(change)
@@ -293,25 +300,27 @@
         self._listener.apply(change, self._is_after_outage())
         self.on_change()
 
-    def _adopt(self, known: KnownObjects) -> None:
+    def _replace_state(self, known: KnownObjects) -> None:
         self.revision = max(self.revision, known.revision)
         self.complete_to = max(self.complete_to, known.complete_to)
         self.value_by_key = dict(known.value_by_key)
         self.heard_s = asyncio.get_running_loop().time()
-        self._is_told.set()
+        self._has_state.set()
         if known.is_after_outage:
             # Also for those that learn of it from here; for half the time, so that it dies out.
-            self._returned_s = max(self._returned_s, self.heard_s - AFTER_OUTAGE_S / 2)
+            self._reported_return_s = max(
+                self._reported_return_s, self.heard_s - AFTER_OUTAGE_S / 2
+            )
         self._listener.replace_all(self.value_by_key, bool(known.is_after_outage))
 
     async def _fetch(self, revision: int, peer_address: str) -> None:
         try:
             is_waiting = bool(self.complete_to) and self.should_poll()
-            await asyncio.sleep(PEER_PATIENCE_S if is_waiting else LISTENER_PATIENCE_S)
-            if not self._lacks(revision):
+            await asyncio.sleep(PEER_FETCH_DELAY_S if is_waiting else UNWATCHED_FETCH_DELAY_S)
+            if not self._is_behind(revision):
                 return
             query = encode_message(ObjectsQuery(self.prefix))
-            async with running_timeout(PEER_CALL_S):
+            async with running_timeout(PEER_CALL_TIMEOUT_S):
                 answer = await self._peers.call(peer_address, methods.OBJECTS, query)
             known = decode_message(KnownObjects(), answer)
         except (TimeoutError, PeerUnreachableError, PeerFailureError, FrameError) as error:
@@ -324,17 +333,17 @@
         eliot.log_message(
             "store.news_from_peer", prefix=self.prefix, before=self.revision, now=known.revision
         )
-        self._adopt(known)
+        self._replace_state(known)
         # The waiting call missed this change, so it may miss the next one too.
         self._cursor = max(self._cursor, known.complete_to)
         if self._poll is not None:
             self._poll.cancel()
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         if self._is_stopped:
             return
         waited_s = round(self.waiting_s(), 3)
-        self._asked_s = None
+        self._call_started_s = None
         what = "store.fails_again"
         if self.health.failing_since_s is None:
             self.health.failing_since_s = asyncio.get_running_loop().time()
@@ -342,9 +351,9 @@
         # One line a call, and the pause before the next call bounds their number.
         eliot.log_message(what, prefix=self.prefix, waited_s=waited_s, why=str(error))
 
-    def _note_success(self) -> None:
+    def _record_success(self) -> None:
         waited_s = round(self.waiting_s(), 3)
-        self._asked_s = None
+        self._call_started_s = None
         if self.health.failing_since_s is None:
             return
         now = asyncio.get_running_loop().time()
--- a/src/bayhinge/_internal/services/latencies.py
+++ b/src/bayhinge/_internal/services/latencies.py
@@ -7,7 +7,7 @@
 
 LOWEST_US = 1
 HIGHEST_US = 3_600_000_000
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 95.0, 99.0)
 
 
@@ -33,7 +33,7 @@
         """Takes a latency in."""
         histogram = self._histograms_by_name.get(name)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
+            histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
             self._histograms_by_name[name] = histogram
         microseconds = min(HIGHEST_US, max(LOWEST_US, int(seconds * 1e6)))
         histogram.record_value(microseconds)
--- a/src/bayhinge/_internal/services/local_queries.py
+++ b/src/bayhinge/_internal/services/local_queries.py
@@ -75,7 +75,7 @@
                 view.resident_tokens,
                 view.failures,
             )
-            for cell, scheduler in self._parts.home.schedulers().items()
+            for cell, scheduler in self._parts.dispatcher.schedulers().items()
             for view in scheduler.endpoints_by_name.values()
         ]
 
@@ -100,8 +100,8 @@
             journal_waiting_bytes=parts.journal.waiting_bytes,
             history_bytes=histories.size,
             history_rebuilds=histories.statistics.rebuilds,
-            grants=parts.home.granted,
-            rejections=parts.home.rejected,
+            grants=parts.dispatcher.granted,
+            rejections=parts.dispatcher.rejected,
             events=parts.timeline.count,
             store_ok=parts.journal.store_ok,
             latency_ms=parts.latencies.percentiles_ms(),
--- a/src/bayhinge/_internal/services/metrics_page.py
+++ b/src/bayhinge/_internal/services/metrics_page.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.services.latencies import Latencies
 
 
-class _Page(Collector):
+class _HostCollector(Collector):
     """Collects one host's figures for a metrics page."""
 
     def __init__(self, latencies: Latencies, gauges: Mapping[str, float]) -> None:
@@ -42,5 +42,5 @@
     """Returns the metrics in the text format that the usual collectors read."""
     # A registry of its own: several hosts of one process must not mix.
     registry = CollectorRegistry()
-    registry.register(_Page(latencies, gauges))
+    registry.register(_HostCollector(latencies, gauges))
     return generate_latest(registry)
--- a/src/bayhinge/_internal/services/owner.py
+++ b/src/bayhinge/_internal/services/owner.py
@@ -144,7 +144,7 @@
         """
         program = self._registry.find(program_id)
         if program is None or program.state.account != account:
-            raise RefusedError(_unknown(program_id))
+            raise RefusedError(_unknown_program(program_id))
         running = program.running
         if running is not None and running.view.index == index:
             async for item in running.live.follow(offset):
@@ -164,7 +164,7 @@
         program = self._registry.find(str(call.program))
         if program is None or program.state.account != call.account:
             # The same words for both: nobody learns of another account's programs.
-            raise RefusedError(_unknown(str(call.program)))
+            raise RefusedError(_unknown_program(str(call.program)))
         return program
 
     async def _await_turn(self, program: OwnedProgram, index: int, deadline: float) -> None:
@@ -320,7 +320,7 @@
         try:
             return await self._parts.runner.run_service(prepared, record_start)
         except RefusedError as error:
-            await self._after_single_run_refused(program, prepared, error.refusal)
+            await self._record_refused_outcome(program, prepared, error.refusal)
             raise
 
     async def _record_start(
@@ -341,7 +341,7 @@
         except (FencedError, JournalFullError) as error:
             raise RefusedError(refuse_for_store(attempt, error)) from error
 
-    async def _after_single_run_refused(
+    async def _record_refused_outcome(
         self, program: OwnedProgram, prepared: PreparedCall, refusal: Refusal
     ) -> None:
         """Records what is known, so that a successor does not have to guess."""
@@ -438,6 +438,6 @@
     )
 
 
-def _unknown(program: str) -> Refusal:
+def _unknown_program(program: str) -> Refusal:
     why = f"no program '{program}' of this client account is known here"
     return refuse_unaccepted(RefusalCode.UNKNOWN_PROGRAM, why)
--- a/src/bayhinge/_internal/services/owner_parts.py
+++ b/src/bayhinge/_internal/services/owner_parts.py
@@ -96,7 +96,7 @@
     return refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
 
 
-def refuse_unvouched() -> Refusal:
+def refuse_stale_config() -> Refusal:
     """Makes the refusal of a host that can't vouch for its configuration."""
     return refuse_unaccepted(
         RefusalCode.CONFIG_UNKNOWN,
--- a/src/bayhinge/_internal/services/peer_service.py
+++ b/src/bayhinge/_internal/services/peer_service.py
@@ -23,7 +23,7 @@
 from bayhinge._internal.services.remote_grants import done_from_wire, offer_from_wire
 from bayhinge._internal.wire import ttypes as wire
 
-NEWS_CHANGES = 200
+MAX_CHANGES_PER_REPLY = 200
 """Changes of configuration that one exchange of news carries at most."""
 
 
@@ -38,11 +38,11 @@
         self._answer_by_method: dict[str, Callable[[bytes], Awaitable[bytes]]] = {
             "grant": self._grant,
             "done": self._done,
-            "gone": self._gone,
+            "gone": self._program_ended,
             "program": self._program,
             "open": self._open,
             "adopt": self._adopt,
-            "news": self._news,
+            "news": self._exchange_revisions,
             "query": self._query,
         }
 
@@ -52,9 +52,9 @@
             async for item in self._parts.router.call(decode_call(payload)):
                 yield encode_item(item)
         elif method == "collect":
-            asked = decode_message(wire.CollectRequest(), payload)
+            message = decode_message(wire.CollectRequest(), payload)
             async for item in self._parts.router.collect(
-                asked.account, asked.program, asked.index, asked.offset, asked.hops
+                message.account, message.program, message.index, message.offset, message.hops
             ):
                 yield encode_item(item)
         else:
@@ -69,66 +69,68 @@
 
     async def _done(self, payload: bytes) -> bytes:
         message = decode_message(wire.GrantDone(), payload)
-        self._parts.home.done(message.cell, done_from_wire(message))
+        self._parts.dispatcher.done(message.cell, done_from_wire(message))
         return b""
 
-    async def _gone(self, payload: bytes) -> bytes:
-        gone = decode_message(wire.ProgramGone(), payload)
-        self._parts.home.program_ended(gone.cell, gone.program)
+    async def _program_ended(self, payload: bytes) -> bytes:
+        ended = decode_message(wire.ProgramGone(), payload)
+        self._parts.dispatcher.program_ended(ended.cell, ended.program)
         return b""
 
     async def _program(self, payload: bytes) -> bytes:
-        asked = decode_message(wire.ProgramRequest(), payload)
-        return _whole(
-            await self._parts.router.command(asked.verb, asked.account, asked.program, asked.hops)
+        message = decode_message(wire.ProgramRequest(), payload)
+        return _unwrap(
+            await self._parts.router.command(
+                message.verb, message.account, message.program, message.hops
+            )
         )
 
     async def _adopt(self, payload: bytes) -> bytes:
         record = decode_message(wire.Record(), payload)
         if record.adopted is None:
             raise FrameError("no adopted program")
-        await self._parts.adopter.take_handed_over(state_from_adopted(record.adopted))
+        await self._parts.adopter.adopt_handed_over(state_from_adopted(record.adopted))
         return b""
 
     async def _query(self, payload: bytes) -> bytes:
         query = decode_message(wire.OperatorQuery(), payload)
-        return _whole(self._queries.answer(query.name, query.parameters))
+        return _unwrap(self._queries.answer(query.name, query.parameters))
 
     async def _grant(self, payload: bytes) -> bytes:
         request = decode_message(wire.GrantRequest(), payload)
-        granted = await self._parts.home.request(request.cell, offer_from_wire(request))
+        granted = await self._parts.dispatcher.request(request.cell, offer_from_wire(request))
         reply = wire.GrantReply(
             granted.grant, granted.endpoint, granted.address, granted.waited_s, granted.reason
         )
         return encode_message(reply)
 
     async def _open(self, payload: bytes) -> bytes:
-        asked = decode_message(wire.ProgramRequest(), payload)
-        account = self._parts.accounts.find(asked.account)
+        message = decode_message(wire.ProgramRequest(), payload)
+        account = self._parts.accounts.find(message.account)
         if account.is_error():
             raise RefusedError(refuse_unaccepted(RefusalCode.FORBIDDEN, account.error))
-        parent = None if parse_program_id(asked.program) is None else asked.program
-        key = asked.verb or None
-        return orjson.dumps(_whole_text(await self._opener.open_here(account.ok, parent, key)))
+        parent = None if parse_program_id(message.program) is None else message.program
+        key = message.verb or None
+        return orjson.dumps(_unwrap_text(await self._opener.open_here(account.ok, parent, key)))
 
-    async def _news(self, payload: bytes) -> bytes:
+    async def _exchange_revisions(self, payload: bytes) -> bytes:
         news = decode_message(wire.News(), payload)
         feed = self._parts.feed
         feed.hear(news.revision)
-        changes = feed.changes_after(news.revision, NEWS_CHANGES)
+        changes = feed.changes_after(news.revision, MAX_CHANGES_PER_REPLY)
         reply = wire.NewsReply(
             self._parts.journal.incarnation, feed.revision, news.revision + 1, changes
         )
         return encode_message(reply)
 
 
-def _whole(result: Result[bytes, Refusal]) -> bytes:
+def _unwrap(result: Result[bytes, Refusal]) -> bytes:
     if result.is_error():
         raise RefusedError(result.error)
     return result.ok
 
 
-def _whole_text(result: Result[str, Refusal]) -> str:
+def _unwrap_text(result: Result[str, Refusal]) -> str:
     if result.is_error():
         raise RefusedError(result.error)
     return result.ok
--- a/src/bayhinge/_internal/services/planned_stop.py
+++ b/src/bayhinge/_internal/services/planned_stop.py
@@ -28,9 +28,9 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_S = 0.05
-MOVES_AT_ONCE = 16
-ANSWER_S = 1.0
+POLL_S = 0.05
+MAX_CONCURRENT_HANDOVERS = 16
+PROBE_TIMEOUT_S = 1.0
 
 
 class PlannedStop:
@@ -53,7 +53,7 @@
         self._locator = locator
         self._peers = peers
 
-    async def run(self, longest_s: float) -> bool:
+    async def run(self, timeout_s: float) -> bool:
         """Hands everything over; returns False where time ran out or nobody is left.
 
         What could not be handed over is found by the successors as after a death.
@@ -67,10 +67,10 @@
             if info.incarnation != me.incarnation
         ]
         ranked = rank(me.incarnation, others)[:MAX_SUCCESSORS]
-        successors = await self._answering(ranked)
+        successors = await self._reachable_hosts(ranked)
         self._record("leaving", "a planned stop began", Figure("successors", len(successors)))
         try:
-            async with asyncio.timeout(longest_s):
+            async with asyncio.timeout(timeout_s):
                 if not successors:
                     await self._owner.drain()
                     await self._parts.journal.flush()
@@ -83,18 +83,20 @@
         self._record("handed over", "every program has a new owner")
         return True
 
-    async def _answering(self, candidates: list[str]) -> list[str]:
+    async def _reachable_hosts(self, candidates: list[str]) -> list[str]:
         """Returns the hosts that answer now: one may have died a moment ago, unnoticed."""
-        answers = await asyncio.gather(*(self._answers(name) for name in candidates))
-        return [name for name, answered in zip(candidates, answers, strict=True) if answered]
+        reachable = await asyncio.gather(*(self._is_reachable(name) for name in candidates))
+        return [
+            name for name, is_reachable in zip(candidates, reachable, strict=True) if is_reachable
+        ]
 
-    async def _answers(self, incarnation: str) -> bool:
+    async def _is_reachable(self, incarnation: str) -> bool:
         info = self._membership.find(incarnation)
         if info is None:
             return False
         query = encode_message(wire.OperatorQuery("hosts", {}))
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 await self._peers.call(info.peer_address, "query", query)
         except (PeerUnreachableError, PeerFailureError, TimeoutError):
             return False
@@ -103,19 +105,23 @@
     async def _hand_over(self, successors: list[str]) -> None:
         await self._parts.journal.announce(successors)
         seal = SealInfo(tuple(successors), self._membership.me.incarnation, "a planned stop")
-        self._locator.note_seal(self._membership.me.incarnation, seal)
+        self._locator.record_seal(self._membership.me.incarnation, seal)
         while True:
             live = [program for program in self._registry.all() if not program.state.ended]
             if not live:
                 return
-            idle = [program for program in live if program.running is None][:MOVES_AT_ONCE]
+            idle = [program for program in live if program.running is None][
+                :MAX_CONCURRENT_HANDOVERS
+            ]
             for program in idle:
                 program.is_moving = True
-            await asyncio.gather(*(self._move(program, successors) for program in idle))
+            await asyncio.gather(
+                *(self._hand_over_program(program, successors) for program in idle)
+            )
             if not idle:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_S)
 
-    async def _move(self, program: OwnedProgram, successors: list[str]) -> None:
+    async def _hand_over_program(self, program: OwnedProgram, successors: list[str]) -> None:
         # Records of the program that still wait must be in the journal before another
         # host reads it.
         await self._parts.journal.flush()
--- a/src/bayhinge/_internal/services/program_registry.py
+++ b/src/bayhinge/_internal/services/program_registry.py
@@ -16,20 +16,20 @@
     OwnedProgram,
     OwnerParts,
     refuse_for_store,
+    refuse_stale_config,
     refuse_too_many,
     refuse_unrecorded,
-    refuse_unvouched,
 )
 from bayhinge._internal.services.record_codec import encode_ended, encode_opened
 from bayhinge.coordination.errors import FencedError, JournalFullError
 from bayhinge.coordination.journal_objects import RecordPosition
 
-ENDED_KEPT = 2000
+MAX_ENDED_KEPT = 2000
 """Ended programs whose answers can still be collected, per host."""
 
 
 @attrs.frozen
-class BegunProgram:
+class OpenedProgram:
     """A program that is open in memory, and when it is durable."""
 
     program: OwnedProgram
@@ -47,7 +47,7 @@
         self._id_by_opening_key: dict[str, str] = {}
         self._live_by_account: Counter[str] = Counter()
         self._next_number = 0
-        self._endings: set[asyncio.Task[Result[ProgramId, Refusal]]] = set()
+        self._end_tasks: set[asyncio.Task[Result[ProgramId, Refusal]]] = set()
 
     def find(self, program: str) -> OwnedProgram | None:
         """Returns a program that this host owns."""
@@ -93,31 +93,31 @@
         self, account: ClientAccount, parent: str | None, idempotency_key: str | None
     ) -> Result[OwnedProgram, Refusal]:
         """Opens a program; it is durable when this returns."""
-        begun = self.begin(account, parent, idempotency_key)
-        if begun.is_error():
-            return Error(begun.error)
+        opened = self.begin(account, parent, idempotency_key)
+        if opened.is_error():
+            return Error(opened.error)
         try:
             async with asyncio.timeout(account.patience_seconds):
-                await asyncio.shield(begun.ok.durable)
+                await asyncio.shield(opened.ok.durable)
         except FencedError as error:
             return Error(refuse_for_store(CallAttempt(), error))
         except TimeoutError:
             # Its record may still become durable; so does its end, right behind it.
-            self._abandon(begun.ok.program)
+            self._abandon(opened.ok.program)
             return Error(refuse_unrecorded())
-        return Ok(begun.ok.program)
+        return Ok(opened.ok.program)
 
     def begin(
         self, account: ClientAccount, parent: str | None, idempotency_key: str | None
-    ) -> Result[BegunProgram, Refusal]:
+    ) -> Result[OpenedProgram, Refusal]:
         """Opens a program without waiting until it is durable.
 
         Its first call is recorded behind it in the same journal, so a program of one
         call needs no write of its own.
         """
-        again = self._find_opened(account, idempotency_key)
-        if again is not None:
-            return Ok(again)
+        existing = self._find_opened(account, idempotency_key)
+        if existing is not None:
+            return Ok(existing)
         refusal = next(self._check_open(account), None)
         if refusal is not None:
             return Error(refusal)
@@ -136,7 +136,7 @@
         program = OwnedProgram(state)
         self.add(program)
         self._record(state, "opened", "a caller began a program")
-        return Ok(BegunProgram(program, durable))
+        return Ok(OpenedProgram(program, durable))
 
     async def end(self, program: OwnedProgram, reason: str) -> Result[ProgramId, Refusal]:
         """Ends a program and waits until that is durable; twice is the same as once."""
@@ -161,15 +161,15 @@
             await self._parts.journal.append(encode_ended(state.program_id, reason))
         except (FencedError, JournalFullError) as error:
             return Error(refuse_for_store(CallAttempt(), error))
-        self._forget_oldest(str(state.program_id))
+        self._evict_oldest_ended(str(state.program_id))
         return Ok(state.program_id)
 
     def _abandon(self, program: OwnedProgram) -> None:
-        ending = asyncio.create_task(self.end(program, "its beginning could not be recorded"))
-        self._endings.add(ending)
-        ending.add_done_callback(self._endings.discard)
+        end_task = asyncio.create_task(self.end(program, "its beginning could not be recorded"))
+        self._end_tasks.add(end_task)
+        end_task.add_done_callback(self._end_tasks.discard)
 
-    def _find_opened(self, account: ClientAccount, key: str | None) -> BegunProgram | None:
+    def _find_opened(self, account: ClientAccount, key: str | None) -> OpenedProgram | None:
         if key is None:
             return None
         program = self.find(self._id_by_opening_key.get(f"{account.name}/{key}", ""))
@@ -177,20 +177,20 @@
             return None
         durable: asyncio.Future[RecordPosition] = asyncio.get_running_loop().create_future()
         durable.set_result(RecordPosition("", 0, 0))
-        return BegunProgram(program, durable)
+        return OpenedProgram(program, durable)
 
     def _check_open(self, account: ClientAccount) -> Iterator[Refusal]:
         if not self._parts.accounts.is_current():
-            yield refuse_unvouched()
+            yield refuse_stale_config()
         if not self._parts.journal.store_ok:
             yield refuse_unrecorded()
         live = self._live_by_account[account.name]
         if live >= account.max_programs:
             yield refuse_too_many(live, account.max_programs)
 
-    def _forget_oldest(self, program: str) -> None:
+    def _evict_oldest_ended(self, program: str) -> None:
         self._ended_ids[program] = None
-        while len(self._ended_ids) > ENDED_KEPT:
+        while len(self._ended_ids) > MAX_ENDED_KEPT:
             oldest = next(iter(self._ended_ids))
             del self._ended_ids[oldest]
             state = self._programs_by_id.pop(oldest).state
--- a/src/bayhinge/_internal/services/queue_home.py
+++ b/src/bayhinge/_internal/services/queue_dispatcher.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class HomeGrant:
+class DispatcherGrant:
     """What a home answers."""
 
     grant: str
@@ -44,7 +44,7 @@
     reason: str
 
 
-class QueueHome:
+class QueueDispatcher:
     """The schedulers of the cells that this host is home of."""
 
     def __init__(self, settings: Settings, endpoints: EndpointClient, timeline: Timeline) -> None:
@@ -53,7 +53,7 @@
         self._endpoints = endpoints
         self._timeline = timeline
         self._schedulers_by_cell: dict[str, CellScheduler] = {}
-        self._futures_by_grant: dict[str, asyncio.Future[HomeGrant]] = {}
+        self._futures_by_grant: dict[str, asyncio.Future[DispatcherGrant]] = {}
         self._listed_by_pool: dict[str, list[Endpoint]] = {}
         self._background: set[asyncio.Task[None]] = set()
         self.granted = 0
@@ -81,14 +81,14 @@
     def _listed(self, cell: str) -> list[Endpoint]:
         return endpoints_of(cell, self._listed_by_pool.get(pool_of(cell), []))
 
-    async def request(self, cell: str, offer: Offer) -> HomeGrant:
+    async def request(self, cell: str, offer: Offer) -> DispatcherGrant:
         """Waits until the call may start.
 
         Raises:
             RefusedError: the call is refused.
         """
         scheduler = self._scheduler(cell)
-        future: asyncio.Future[HomeGrant] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[DispatcherGrant] = asyncio.get_running_loop().create_future()
         self._futures_by_grant[offer.grant] = future
         self._carry_out(scheduler.offer(offer, _now()))
         try:
@@ -206,7 +206,9 @@
         if future is not None and not future.done():
             address = self._address(grant.endpoint)
             future.set_result(
-                HomeGrant(offer.grant, grant.endpoint, address, grant.waited_s, grant.reason.text)
+                DispatcherGrant(
+                    offer.grant, grant.endpoint, address, grant.waited_s, grant.reason.text
+                )
             )
 
     def _reject(self, reject: Reject) -> None:
--- a/src/bayhinge/_internal/services/record_codec.py
+++ b/src/bayhinge/_internal/services/record_codec.py
@@ -73,7 +73,7 @@
     try:
         return decode_message(wire.Record(), record.data)
     except Exception as error:
-        raise CorruptObjectError(_name(record.position), str(error)) from error
+        raise CorruptObjectError(_describe(record.position), str(error)) from error
 
 
 def program_of(record: wire.Record) -> str:
@@ -194,5 +194,5 @@
     )
 
 
-def _name(position: RecordPosition) -> str:
+def _describe(position: RecordPosition) -> str:
     return f"journal of {position.incarnation}, object {position.sequence}, entry {position.entry}"
--- a/src/bayhinge/_internal/services/remote_grants.py
+++ b/src/bayhinge/_internal/services/remote_grants.py
@@ -22,17 +22,17 @@
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.services.grants import GrantedEndpoint, GrantSource
-from bayhinge._internal.services.queue_home import HomeGrant, QueueHome
+from bayhinge._internal.services.queue_dispatcher import DispatcherGrant, QueueDispatcher
 from bayhinge._internal.wire import ttypes as wire
 from bayhinge.coordination.membership import HostInfo, Membership
 from bayhinge.coordination.rendezvous import rank
 
 logger = logging.getLogger(__name__)
 
-MAX_HOMES_TRIED = 3
+MAX_DISPATCHERS_TRIED = 3
 
-TELL_TRIES = 5
-TELL_LONGEST_PAUSE_S = 4.0
+NOTIFY_ATTEMPTS = 5
+NOTIFY_MAX_BACKOFF_S = 4.0
 """A home that does not hear of a call's end counts it as running until this whole process is gone.
 The tries go on over some ten seconds: longer than a connection takes to be made anew, and than a
 home takes to be found dead, after which nobody needs to know."""
@@ -41,23 +41,23 @@
 class RemoteGrants(GrantSource):
     """Asks the home of a cell, found by rendezvous hashing over the serving hosts."""
 
-    def __init__(self, membership: Membership, home: QueueHome, peers: Peers) -> None:
+    def __init__(self, membership: Membership, dispatcher: QueueDispatcher, peers: Peers) -> None:
         """Takes the view of hosts, this host's own homes, and the way to the others."""
         self._membership = membership
-        self._home = home
+        self._dispatcher = dispatcher
         self._peers = peers
         self._background: set[asyncio.Task[None]] = set()
 
     async def request(self, pool: str, offer: Offer) -> GrantedEndpoint:
         """See :class:`GrantSource`."""
-        cell = self._home.cell_of(pool, offer.program)
-        for home in self._homes(cell)[:MAX_HOMES_TRIED]:
+        cell = self._dispatcher.cell_of(pool, offer.program)
+        for dispatcher in self._dispatchers(cell)[:MAX_DISPATCHERS_TRIED]:
             try:
-                granted = await self._request_at(home, cell, offer)
+                granted = await self._request_at(dispatcher, cell, offer)
             except PeerUnreachableError as error:
                 # The next in rank is home as soon as membership notices; order and
                 # cache quality alone suffer if it is asked too early.
-                logger.info("queue home %s: %s", home.host, error)
+                logger.info("queue home %s: %s", dispatcher.host, error)
                 continue
             return GrantedEndpoint(
                 granted.grant,
@@ -65,15 +65,15 @@
                 granted.endpoint,
                 granted.address,
                 granted.waited_s,
-                home.peer_address,
+                dispatcher.peer_address,
             )
         why = "no host that could queue the call answered"
         raise RefusedError(refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=1.0))
 
     def done(self, granted: GrantedEndpoint, done: Done) -> None:
         """See :class:`GrantSource`."""
-        if granted.home == self._membership.me.peer_address:
-            self._home.done(granted.cell, done)
+        if granted.dispatcher_address == self._membership.me.peer_address:
+            self._dispatcher.done(granted.cell, done)
             return
         message = wire.GrantDone(
             done.grant,
@@ -85,52 +85,54 @@
             done.first_token_s,
             done.decode_s,
         )
-        self._send(granted.home, "done", encode_message(message))
+        self._send(granted.dispatcher_address, "done", encode_message(message))
 
     def program_ended(self, program: str, pools: frozenset[str]) -> None:
         """See :class:`GrantSource`."""
         for pool in sorted(pools):
-            cell = self._home.cell_of(pool, program)
-            homes = self._homes(cell)
-            if not homes:
+            cell = self._dispatcher.cell_of(pool, program)
+            dispatchers = self._dispatchers(cell)
+            if not dispatchers:
                 continue
-            if homes[0].incarnation == self._membership.me.incarnation:
-                self._home.program_ended(cell, program)
+            if dispatchers[0].incarnation == self._membership.me.incarnation:
+                self._dispatcher.program_ended(cell, program)
             else:
                 message = encode_message(wire.ProgramGone(program, cell))
-                self._send(homes[0].peer_address, "gone", message)
+                self._send(dispatchers[0].peer_address, "gone", message)
 
-    def _homes(self, cell: str) -> list[HostInfo]:
+    def _dispatchers(self, cell: str) -> list[HostInfo]:
         by_incarnation = {info.incarnation: info for info in self._membership.serving()}
         return [by_incarnation[name] for name in rank(f"cell/{cell}", by_incarnation)]
 
-    async def _request_at(self, home: HostInfo, cell: str, offer: Offer) -> HomeGrant:
-        if home.incarnation == self._membership.me.incarnation:
-            return await self._home.request(cell, offer)
+    async def _request_at(self, dispatcher: HostInfo, cell: str, offer: Offer) -> DispatcherGrant:
+        if dispatcher.incarnation == self._membership.me.incarnation:
+            return await self._dispatcher.request(cell, offer)
         payload = encode_message(offer_to_wire(cell, offer))
         try:
-            answer = await self._peers.call(home.peer_address, "grant", payload)
+            answer = await self._peers.call(dispatcher.peer_address, "grant", payload)
         except PeerFailureError as error:
             raise RefusedError(refusal_from_json(error.problem)) from error
         reply = decode_message(wire.GrantReply(), answer)
-        return HomeGrant(reply.grant, reply.endpoint, reply.address, reply.waited_s, reply.reason)
+        return DispatcherGrant(
+            reply.grant, reply.endpoint, reply.address, reply.waited_s, reply.reason
+        )
 
     def _send(self, address: str, method: str, payload: bytes) -> None:
-        task = asyncio.create_task(self._send_quietly(address, method, payload))
+        task = asyncio.create_task(self._send_with_retries(address, method, payload))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def _send_quietly(self, address: str, method: str, payload: bytes) -> None:
-        tries = AsyncRetrying(
+    async def _send_with_retries(self, address: str, method: str, payload: bytes) -> None:
+        retrying = AsyncRetrying(
             retry=retry_if_exception_type(PeerUnreachableError),
-            stop=stop_after_attempt(TELL_TRIES),
-            wait=wait_random_exponential(max=TELL_LONGEST_PAUSE_S),
+            stop=stop_after_attempt(NOTIFY_ATTEMPTS),
+            wait=wait_random_exponential(max=NOTIFY_MAX_BACKOFF_S),
         )
         try:
-            await tries(self._peers.call, address, method, payload)
+            await retrying(self._peers.call, address, method, payload)
         except RetryError as error:
             why = error.last_attempt.exception()
-            logger.warning("%s was not told after %d tries: %s", method, TELL_TRIES, why)
+            logger.warning("%s was not told after %d tries: %s", method, NOTIFY_ATTEMPTS, why)
         except PeerFailureError as error:
             logger.info("%s was not told: %s", method, error)
 
--- a/src/bayhinge/_internal/services/router.py
+++ b/src/bayhinge/_internal/services/router.py
@@ -22,7 +22,7 @@
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.queries.program_views import view_program
-from bayhinge._internal.services.adoption import Adopter, Location, OwnerLocator
+from bayhinge._internal.services.adoption import Adopter, OwnerLocation, OwnerLocator
 from bayhinge._internal.services.call_codec import decode_item, encode_call
 from bayhinge._internal.services.owner import ProgramOwner
 from bayhinge._internal.services.owner_parts import OwnedProgram
@@ -39,7 +39,7 @@
 
 
 @attrs.define
-class _Trip:
+class _ForwardingState:
     """What has become of a call that is passed on, over several tries.
 
     ``sent`` says that a host which then failed may have begun the work.
@@ -47,7 +47,7 @@
 
     offset: int
     sent: bool = False
-    distrust: str = ""
+    suspect: str = ""
 
 
 class CallRouter:
@@ -81,22 +81,24 @@
         Raises:
             RefusedError: the call gets no answer.
         """
-        trip = _Trip(incoming.resume_offset)
+        progress = _ForwardingState(incoming.resume_offset)
 
-        def here() -> AsyncGenerator[AnswerItem, None]:
-            return self._call_here(attrs.evolve(incoming, resume_offset=trip.offset), trip)
+        def run_local() -> AsyncGenerator[AnswerItem, None]:
+            return self._call_local(attrs.evolve(incoming, resume_offset=progress.offset), progress)
 
-        def there(location: Location) -> AsyncGenerator[AnswerItem, None]:
-            passed_on = attrs.evolve(incoming, resume_offset=trip.offset, hops=incoming.hops + 1)
-            return self._stream(location, "call", encode_call(passed_on), trip)
+        def forward(location: OwnerLocation) -> AsyncGenerator[AnswerItem, None]:
+            forwarded = attrs.evolve(
+                incoming, resume_offset=progress.offset, hops=incoming.hops + 1
+            )
+            return self._stream(location, "call", encode_call(forwarded), progress)
 
         try:
             async for item in self._follow_owner(
-                incoming.program, incoming.patience_s, trip, here, there, incoming.hops
+                incoming.program, incoming.patience_s, progress, run_local, forward, incoming.hops
             ):
                 yield item
         except RefusedError as error:
-            raise RefusedError(_true_after(error.refusal, incoming, trip)) from error
+            raise RefusedError(_correct_run_state(error.refusal, incoming, progress)) from error
 
     async def collect(
         self, account: str, program: str, index: int, offset: int, hops: int = 0
@@ -106,18 +108,18 @@
         Raises:
             RefusedError: there is none.
         """
-        trip = _Trip(offset)
+        progress = _ForwardingState(offset)
 
-        def there(location: Location) -> AsyncGenerator[AnswerItem, None]:
-            message = wire.CollectRequest(account, program, index, trip.offset, hops + 1)
-            return self._stream(location, "collect", encode_message(message), trip)
+        def forward(location: OwnerLocation) -> AsyncGenerator[AnswerItem, None]:
+            message = wire.CollectRequest(account, program, index, progress.offset, hops + 1)
+            return self._stream(location, "collect", encode_message(message), progress)
 
         async for item in self._follow_owner(
             program,
             OWNER_PATIENCE_S,
-            trip,
-            lambda: self._owner.collect(account, program, index, trip.offset),
-            there,
+            progress,
+            lambda: self._owner.collect(account, program, index, progress.offset),
+            forward,
             hops,
         ):
             yield item
@@ -128,19 +130,19 @@
         """Shows, ends or cancels a program, and returns its view as JSON."""
         program_id = parse_program_id(program)
         if program_id is None:
-            return Error(_bad_program(program))
+            return Error(_invalid_program(program))
         deadline = asyncio.get_running_loop().time() + OWNER_PATIENCE_S
-        distrust = ""
+        suspect = ""
         while True:
-            location: Location | None = None
+            location: OwnerLocation | None = None
             try:
-                location = await self._locate(program_id, distrust)
-                if location is not None and self._is_here(location):
-                    return await self._command_here(verb, account, program_id, location)
+                location = await self._locate(program_id, suspect)
+                if location is not None and self._is_local(location):
+                    return await self._command_local(verb, account, program_id, location)
                 if location is not None and hops < MAX_HOPS:
-                    return await self._command_there(verb, account, program, hops, location)
+                    return await self._forward_command(verb, account, program, hops, location)
             except PeerUnreachableError:
-                distrust = "" if location is None else location.incarnation
+                suspect = "" if location is None else location.incarnation
             except RefusedError as error:
                 return Error(error.refusal)
             except CoordinationError as error:
@@ -149,7 +151,9 @@
                 return Error(_owner_unreachable(program, "its owner does not answer"))
             await asyncio.sleep(OWNER_RETRY_S)
 
-    async def find_here(self, program_id: ProgramId, location: Location) -> OwnedProgram | None:
+    async def find_local(
+        self, program_id: ProgramId, location: OwnerLocation
+    ) -> OwnedProgram | None:
         """Returns a program that is this host's, adopted first where it must be.
 
         Raises:
@@ -158,7 +162,7 @@
         """
         found = self._registry.find(str(program_id))
         if found is None and location.path:
-            found = await self._adopter.adopt_one(program_id, location.path)
+            found = await self._adopter.adopt_program(program_id, location.path)
         return found
 
     # ---- finding the owner ----
@@ -167,51 +171,51 @@
         self,
         program: str,
         patience_s: float,
-        trip: _Trip,
-        here: "Callable[[], AsyncGenerator[AnswerItem, None]]",
-        there: "Callable[[Location], AsyncGenerator[AnswerItem, None]]",
+        progress: _ForwardingState,
+        run_local: "Callable[[], AsyncGenerator[AnswerItem, None]]",
+        forward: "Callable[[OwnerLocation], AsyncGenerator[AnswerItem, None]]",
         hops: int,
     ) -> AsyncGenerator[AnswerItem, None]:
         program_id = parse_program_id(program)
         if program_id is None:
-            raise RefusedError(_bad_program(program))
+            raise RefusedError(_invalid_program(program))
         loop = asyncio.get_running_loop()
         deadline = loop.time() + max(patience_s, OWNER_PATIENCE_S)
         while True:
             why = "the host that owned it is gone, and its journal is not sealed yet"
-            location: Location | None = None
+            location: OwnerLocation | None = None
             try:
-                location = await self._locate(program_id, trip.distrust)
-                if location is not None and self._is_here(location):
-                    await self.find_here(program_id, location)
-                    async for item in here():
+                location = await self._locate(program_id, progress.suspect)
+                if location is not None and self._is_local(location):
+                    await self.find_local(program_id, location)
+                    async for item in run_local():
                         yield item
                     return
                 if location is not None and hops < MAX_HOPS:
-                    async for item in there(location):
+                    async for item in forward(location):
                         yield item
                     return
             except PeerUnreachableError as error:
                 why = str(error)
-                trip.sent = trip.sent or error.sent
-                trip.distrust = "" if location is None else location.incarnation
+                progress.sent = progress.sent or error.sent
+                progress.suspect = "" if location is None else location.incarnation
             except CoordinationError as error:
                 why = str(error)
             if loop.time() >= deadline:
-                run_state = RunState.MAY_HAVE_RUN if trip.sent else RunState.NOT_RUN
+                run_state = RunState.MAY_HAVE_RUN if progress.sent else RunState.NOT_RUN
                 refusal = attrs.evolve(_owner_unreachable(program, why), run_state=run_state)
                 raise RefusedError(refusal)
             await asyncio.sleep(OWNER_RETRY_S)
 
-    async def _locate(self, program_id: ProgramId, distrust: str) -> Location | None:
+    async def _locate(self, program_id: ProgramId, suspect: str) -> OwnerLocation | None:
         if self._registry.find(str(program_id)) is not None:
-            return Location(self._membership.me.incarnation, ())
-        return await self._locator.locate(program_id, distrust)
+            return OwnerLocation(self._membership.me.incarnation, ())
+        return await self._locator.locate(program_id, suspect)
 
-    def _is_here(self, location: Location) -> bool:
+    def _is_local(self, location: OwnerLocation) -> bool:
         return location.incarnation == self._membership.me.incarnation
 
-    def _address(self, location: Location) -> str:
+    def _address(self, location: OwnerLocation) -> str:
         info = self._membership.find(location.incarnation)
         if info is None:
             raise PeerUnreachableError(location.incarnation, "it is not listed", sent=False)
@@ -219,8 +223,8 @@
 
     # ---- calls ----
 
-    async def _call_here(
-        self, incoming: IncomingCall, trip: _Trip
+    async def _call_local(
+        self, incoming: IncomingCall, progress: _ForwardingState
     ) -> AsyncGenerator[AnswerItem, None]:
         parsed = parse_call(incoming, self._default_max_tokens)
         if parsed.is_error():
@@ -228,7 +232,7 @@
         try:
             async for item in self._owner.call(parsed.ok):
                 if isinstance(item, AnswerPart):
-                    trip.offset = item.offset + len(item.text)
+                    progress.offset = item.offset + len(item.text)
                 yield item
         except RefusedError as error:
             if error.refusal.code is not RefusalCode.OWNER_UNREACHABLE:
@@ -238,7 +242,7 @@
             raise PeerUnreachableError("this host", error.refusal.why, sent) from error
 
     async def _stream(
-        self, location: Location, method: str, payload: bytes, trip: _Trip
+        self, location: OwnerLocation, method: str, payload: bytes, progress: _ForwardingState
     ) -> AsyncGenerator[AnswerItem, None]:
         address = self._address(location)
         stream = self._peers.stream(address, method, payload)
@@ -246,7 +250,7 @@
             async for message in stream:
                 item = decode_item(message)
                 if isinstance(item, AnswerPart):
-                    trip.offset = item.offset + len(item.text)
+                    progress.offset = item.offset + len(item.text)
                 yield item
                 if isinstance(item, AnswerEnd):
                     return
@@ -255,7 +259,7 @@
             if refusal.code is RefusalCode.OWNER_UNREACHABLE:
                 # It has lost the program: look for the owner again.
                 sent = refusal.run_state is not RunState.NOT_RUN
-                trip.sent = trip.sent or sent
+                progress.sent = progress.sent or sent
                 raise PeerUnreachableError(address, refusal.why, sent) from error
             raise RefusedError(refusal) from error
         finally:
@@ -263,10 +267,10 @@
 
     # ---- commands ----
 
-    async def _command_here(
-        self, verb: str, account: str, program_id: ProgramId, location: Location
+    async def _command_local(
+        self, verb: str, account: str, program_id: ProgramId, location: OwnerLocation
     ) -> Result[bytes, Refusal]:
-        program = await self.find_here(program_id, location)
+        program = await self.find_local(program_id, location)
         if program is None or (account and program.state.account != account):
             why = f"no program '{program_id}' is known here"
             return Error(refuse_unaccepted(RefusalCode.UNKNOWN_PROGRAM, why))
@@ -280,8 +284,8 @@
             return Error(ended.error)
         return Ok(to_json(self.view(program)))
 
-    async def _command_there(
-        self, verb: str, account: str, program: str, hops: int, location: Location
+    async def _forward_command(
+        self, verb: str, account: str, program: str, hops: int, location: OwnerLocation
     ) -> Result[bytes, Refusal]:
         message = wire.ProgramRequest(verb, account, program, hops + 1)
         try:
@@ -298,17 +302,19 @@
         return view_program(program.state, self._membership.me.host, running)
 
 
-def _true_after(refusal: Refusal, incoming: IncomingCall, trip: _Trip) -> Refusal:
+def _correct_run_state(
+    refusal: Refusal, incoming: IncomingCall, progress: _ForwardingState
+) -> Refusal:
     """Corrects a successor's "not run" where an owner that died may have run the work.
 
     A call that may not be repeated needs no correction: its start would be recorded.
     """
-    if not trip.sent or not incoming.repeatable or refusal.run_state is not RunState.NOT_RUN:
+    if not progress.sent or not incoming.repeatable or refusal.run_state is not RunState.NOT_RUN:
         return refusal
     return attrs.evolve(refusal, run_state=RunState.MAY_HAVE_RUN)
 
 
-def _bad_program(program: str) -> Refusal:
+def _invalid_program(program: str) -> Refusal:
     why = f"'{program[:80]}' is no program's identifier"
     return refuse_unaccepted(RefusalCode.BAD_REQUEST, why)
 
--- a/src/bayhinge/_internal/services/timeline.py
+++ b/src/bayhinge/_internal/services/timeline.py
@@ -11,7 +11,7 @@
 from bayhinge._internal.models.refusals import Figure
 from bayhinge.coordination.clock import HybridClock
 
-KEPT_EVENTS = 20_000
+MAX_EVENTS_KEPT = 20_000
 EVENT_MESSAGE = "bayhinge:event"
 
 
@@ -45,7 +45,7 @@
         """Takes the host's name and the clock that stamps events."""
         self._host = host
         self._clock = clock
-        self._events: deque[Event] = deque(maxlen=KEPT_EVENTS)
+        self._events: deque[Event] = deque(maxlen=MAX_EVENTS_KEPT)
         self._changed = asyncio.Event()
         self._is_closed = False
         self.count = 0
--- a/tests/functional/test_homes.py
+++ b/tests/functional/test_homes.py
@@ -93,7 +93,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # On a large site it takes long until silence of a far host is unusual.
-    monkeypatch.setattr(gossip, "FRESH_CYCLES", 1000)
+    monkeypatch.setattr(gossip, "SILENCE_CYCLES", 1000)
 
     async def scenario(site: PlatformSite) -> None:
         address = site.address("entry-2").removeprefix("http://")
--- a/tests/functional/test_many_addresses.py
+++ b/tests/functional/test_many_addresses.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bayhinge._internal.decisions.sightings import LEAST_LISTED_S
-from bayhinge._internal.services.gossip import MOST_KNOWN, PERIOD_S
+from bayhinge._internal.services.gossip import MAX_KNOWN_ADDRESSES, PERIOD_S
 from tests.lib.platform_site import PlatformSite, run_site
 
 pytestmark = pytest.mark.functional
@@ -26,14 +26,14 @@
             site.store.put("hosts", f"gone-{number}", shown)
         entry = await site.start_entry("entry-2")
         # As where no seed has told of any host: it reads them all.
-        entry._gateway.gossip.learn(GONE)
+        entry._gateway.gossip.add_addresses(GONE)
         await asyncio.sleep(LEAST_LISTED_S + 3.0)
         public = site.address("entry-2").removeprefix("http://")
         others = [site.entry_by_name[name]._gateway for name in ("entry-0", "entry-1")]
         assert all(public in gateway.addresses("north", "land") for gateway in others)
         # One that is told of a few of them with each hello is no better off.
         periods_s = [one._gateway.gossip._period_s() for one in site.entry_by_name.values()]
-        assert max(periods_s) == PERIOD_S, f"hellos name {MOST_KNOWN} addresses each"
+        assert max(periods_s) == PERIOD_S, f"hellos name {MAX_KNOWN_ADDRESSES} addresses each"
         assert (await site.ask("/act/x", at="entry-2")).status == 200
 
     run_site(tmp_path, scenario)
--- a/tests/functional/test_odd_objects.py
+++ b/tests/functional/test_odd_objects.py
@@ -165,7 +165,7 @@
         entry = await site.start_entry("entry-2")
         gossip = entry._gateway.gossip
         registry_reads = [str(one) for one in ("10.0.0.9", "", "x:y", "10.0.0.9:0", "é:1")]
-        gossip.learn(registry_reads)
+        gossip.add_addresses(registry_reads)
         await asyncio.sleep(2.0)
         assert gossip.knows_others()
         public = site.address("entry-2").removeprefix("http://")
--- a/tests/unit/test_hellos.py
+++ b/tests/unit/test_hellos.py
@@ -62,7 +62,7 @@
             0,
             age_by_start=ages,
         )
-        self.gossip._take(encode_message(hello))
+        self.gossip._receive(encode_message(hello))
 
     def listed(self) -> set[str]:
         return {hello.host for hello in self.gossip.taking_callers()}
@@ -124,10 +124,10 @@
 ) -> None:
     async def main() -> None:
         listener.hear("b", HostPhase.READY)
-        listener.gossip._note_lateness(gossip.STALL_S / 2)
+        listener.gossip._check_stall(gossip.STALL_S / 2)
         now_s = asyncio.get_running_loop().time()
         assert START in listener.gossip._sightings.ages(now_s)
-        listener.gossip._note_lateness(gossip.STALL_S * 2)
+        listener.gossip._check_stall(gossip.STALL_S * 2)
         listener.hear("cc", HostPhase.READY, {START: 0})
         assert listener.gossip._sightings.ages(now_s) == {}
         listener.gossip._stalled_until_s = now_s
--- a/tests/unit/test_host_registry.py
+++ b/tests/unit/test_host_registry.py
@@ -25,7 +25,7 @@
     def knows_others(self) -> bool:
         return bool(self.addresses)
 
-    def learn(self, addresses: Iterable[str]) -> None:
+    def add_addresses(self, addresses: Iterable[str]) -> None:
         self.addresses += [one for one in addresses if one != "10.1.0.38:7380"]
 
 
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -26,7 +26,7 @@
 from bayhinge._internal.services.gateway.hall_homes import HallHomes
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
 from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as HOME_SUSPECT_S
-from bayhinge._internal.services.gossip import LEAST_FRESH_S, Gossip
+from bayhinge._internal.services.gossip import MIN_SILENCE_S, Gossip
 from bayhinge._internal.services.key_follower import KeyFollower
 from bayhinge._internal.wire.hosts.ttypes import DiskMember, Hello, HostLoads, HostPhase, HostRole
 from bayhinge.coordination.clock import SystemClock
@@ -79,7 +79,7 @@
         [],
         False,
     )
-    gossip._take(encode_message(hello))
+    gossip._receive(encode_message(hello))
 
 
 def test_a_lease_is_held_for_its_time() -> None:
@@ -130,7 +130,7 @@
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
         heard(gossip, "edge-2")
-        await asyncio.sleep(LEAST_FRESH_S * 0.9)
+        await asyncio.sleep(MIN_SILENCE_S * 0.9)
         always(True, lambda: bool(gossip.fresh(HostRole.ENTRY)))
         always(True, lambda: bool(gossip.taking_callers()))
         gossip._forget_silent()
--- a/tests/unit/test_left_behind_elsewhere.py
+++ b/tests/unit/test_left_behind_elsewhere.py
@@ -19,7 +19,7 @@
 from bayhinge._internal.services.call_runner import _Progress
 from bayhinge._internal.services.grants import GrantedEndpoint
 from bayhinge._internal.services.key_follower import FollowListener, KeyFollower
-from bayhinge._internal.services.queue_home import QueueHome
+from bayhinge._internal.services.queue_dispatcher import QueueDispatcher
 from bayhinge._internal.services.remote_grants import RemoteGrants
 from bayhinge._internal.utils.log_output import LogOutput
 from bayhinge._internal.wire.hosts.ttypes import KnownObjects
@@ -267,7 +267,7 @@
     async def scenario() -> None:
         peers = ForgetfulPeers()
         membership = SimpleNamespace(me=SimpleNamespace(peer_address="here"))
-        grants = RemoteGrants(cast(Membership, membership), cast(QueueHome, None), peers)
+        grants = RemoteGrants(cast(Membership, membership), cast(QueueDispatcher, None), peers)
         granted = GrantedEndpoint("g", "cell", "e-1", "e-1:1", 0.0, "there")
         grants.done(granted, Done("g", Outcome.FINISHED))
         await asyncio.sleep(60)
--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -9,9 +9,9 @@
 from bayhinge._internal.bench.world.virtual_time import run_virtual
 from bayhinge._internal.decisions.watchers import LEAST_WAIT_S, WATCH_PERIOD_S, WATCHERS_PER_HALL
 from bayhinge._internal.services.key_follower import (
-    FIRST_PAUSE_S,
-    LONGEST_PAUSE_S,
-    PEER_PATIENCE_S,
+    MAX_PAUSE_S,
+    MIN_PAUSE_S,
+    PEER_FETCH_DELAY_S,
 )
 from bayhinge.coordination.store_contact import StoreContact
 from tests.lib.silent_store import ANSWER_S, CALL_S, WAIT_MARGIN_S
@@ -87,7 +87,7 @@
     watches = halls * min(hosts_per_hall, WATCHERS_PER_HALL) * len(PREFIXES)
     unnoticed_s = WATCH_PERIOD_S / watches + LEAST_WAIT_S + WAIT_MARGIN_S
     noticed_s = CALL_S + LONGEST_RETRY_S
-    told_s = PEER_PATIENCE_S + 0.1
+    told_s = PEER_FETCH_DELAY_S + 0.1
     assert run_virtual(scenario()) <= max(unnoticed_s, noticed_s) + told_s
 
 
@@ -104,7 +104,7 @@
         return took_s
 
     ends = 3 * len(PREFIXES)
-    bound_s = WATCH_PERIOD_S / ends + WAIT_MARGIN_S + PEER_PATIENCE_S + 0.1
+    bound_s = WATCH_PERIOD_S / ends + WAIT_MARGIN_S + PEER_FETCH_DELAY_S + 0.1
     moments = [number * WATCH_PERIOD_S / 40 for number in range(40)]
     worst_s = max(run_virtual(scenario(moment)) for moment in moments)
     assert worst_s <= bound_s
@@ -144,7 +144,7 @@
 ) -> None:
     took_s = longest_until_known(halls, WATCHERS_PER_HALL, away_s, entry_before_s=0.02)
     ends = halls * WATCHERS_PER_HALL
-    assert took_s <= WATCH_PERIOD_S / ends + LEAST_WAIT_S + WAIT_MARGIN_S + PEER_PATIENCE_S + 0.1
+    assert took_s <= WATCH_PERIOD_S / ends + LEAST_WAIT_S + WAIT_MARGIN_S + PEER_FETCH_DELAY_S + 0.1
 
 
 @pytest.mark.parametrize(("halls", "down"), [(1, 0), (2, 0), (3, 0), (2, 1), (3, 1)])
@@ -153,8 +153,8 @@
     # A host that is down has two ends, which stand apart.
     gap_s = WATCH_PERIOD_S / (halls * WATCHERS_PER_HALL * len(PREFIXES)) * (1 + down)
     # Turns within the pause after the entry's change, and right behind it, are passed over.
-    passed_over_s = FIRST_PAUSE_S + LEAST_WAIT_S
-    assert took_s <= gap_s + passed_over_s + WAIT_MARGIN_S + PEER_PATIENCE_S + 0.1
+    passed_over_s = MIN_PAUSE_S + LEAST_WAIT_S
+    assert took_s <= gap_s + passed_over_s + WAIT_MARGIN_S + PEER_FETCH_DELAY_S + 0.1
 
 
 def test_a_watch_that_is_sent_anew_is_sent_at_once() -> None:
@@ -168,10 +168,10 @@
         await asyncio.sleep(7.0 + begins_after_s)
         for _ in range(4):
             site.truth.put()
-            await asyncio.sleep(LONGEST_PAUSE_S)
+            await asyncio.sleep(MAX_PAUSE_S)
         # Other objects change all the time: each watch's end shows that the store has gone on.
         changing = asyncio.create_task(change_always(site, "hosts/one"))
-        await asyncio.sleep(LONGEST_PAUSE_S + 1.5)
+        await asyncio.sleep(MAX_PAUSE_S + 1.5)
         site.truth.put()
         took_s = await site.seconds_until_known()
         changing.cancel()
--- a/tests/unit/test_stalls_hellos.py
+++ b/tests/unit/test_stalls_hellos.py
@@ -9,7 +9,7 @@
 import attrs
 
 from bayhinge._internal.models.site_settings import SiteSettings
-from bayhinge._internal.services.gossip import FIRST_S, LEAST_FRESH_S, Gossip
+from bayhinge._internal.services.gossip import MIN_SILENCE_S, STARTUP_S, Gossip
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 OTHERS = 7
@@ -61,10 +61,10 @@
         async with asyncio.timeout(10):
             while len(gossip.fresh(wire.HostRole.ENTRY)) < OTHERS:  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
-        await asyncio.sleep(FIRST_S)
+        await asyncio.sleep(STARTUP_S)
         heard: list[int] = []
         gossip.on_round = lambda: heard.append(len(gossip.fresh(wire.HostRole.ENTRY)))
-        time.sleep(LEAST_FRESH_S + 0.5)  # noqa: ASYNC251 - it plays a process that gets no time
+        time.sleep(MIN_SILENCE_S + 0.5)  # noqa: ASYNC251 - it plays a process that gets no time
         await asyncio.sleep(0.5)
         await gossip.stop()
         return heard
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -25,8 +25,8 @@
 from bayhinge._internal.services.gateway.turn_refusals import OPEN_S
 from bayhinge._internal.services.gossip import Gossip
 from bayhinge._internal.services.key_follower import (
-    LISTENER_PATIENCE_S,
-    PEER_CALL_S,
+    PEER_CALL_TIMEOUT_S,
+    UNWATCHED_FETCH_DELAY_S,
     FollowListener,
     KeyFollower,
 )
@@ -274,9 +274,9 @@
         store = cast(PollingStore, Contacted())
         follower = KeyFollower(store, "config/", float, Ignoring(), host.client)
         # Behind the pause in which several changes come together.
-        after_pause_s = LISTENER_PATIENCE_S + after_s
+        after_pause_s = UNWATCHED_FETCH_DELAY_S + after_s
         fetch = follower._fetch(5, address)
-        await stalled(fetch, after_pause_s, PEER_CALL_S + 0.1)
+        await stalled(fetch, after_pause_s, PEER_CALL_TIMEOUT_S + 0.1)
         return follower.complete_to
 
     complete_to, _, _ = at_host(scenario)
