--- a/src/bayhinge/_internal/services/adoption.py
+++ b/src/bayhinge/_internal/services/adoption.py
@@ -99,8 +99,8 @@
             successors = self._seal_by_incarnation[incarnation].successors
             # Two hosts that leave at the same time may name each other as successors;
             # a journal already on the path is sealed, so its host owns nothing.
-            fresh = [name for name in successors if name not in path]
-            chosen = choose(str(program), fresh)
+            unvisited = [name for name in successors if name not in path]
+            chosen = choose(str(program), unvisited)
             if chosen is None:
                 return None
             incarnation = chosen
--- a/src/bayhinge/_internal/services/gossip.py
+++ b/src/bayhinge/_internal/services/gossip.py
@@ -43,11 +43,12 @@
 ALL_TARGETS = NEAR_TARGETS + FAR_TARGETS
 
 UNSEEN_TARGETS = 1
-"""Addresses without a received heartbeat that one round goes to. They don't count as hosts: the
-store's list may hold thousands of removed hosts, which would stretch the period."""
+"""Addresses that never sent a heartbeat, to which one round goes. They don't count as hosts: the
+store's list may hold thousands of removed hosts, which would delay heartbeats to live ones."""
 
 SILENCE_CYCLES = 3
-"""A host that is silent for so many full cycles through its targets is left out."""
+"""A host is left out after a silence of so many full cycles through all targets, but at least
+``MIN_SILENCE_S``."""
 
 MIN_SILENCE_S = 1.5
 
@@ -69,7 +70,7 @@
 """Rate limit of log lines about invalid addresses."""
 
 MAX_KNOWN_ADDRESSES = 4
-"""Addresses that a hello names, drawn anew each time."""
+"""Known addresses in one heartbeat, a random sample each time."""
 
 
 @attrs.define
@@ -139,19 +140,19 @@
             and address not in self._last_seen_by_address
         ]
         # An invalid address would make every round fail and would spread to other hosts.
-        fresh = [address for address in new if is_ipv4_with_port(address)]
-        if len(fresh) < len(new) and self._invalid_address_lines.takes(now):
-            invalid_count = len(new) - len(fresh)
+        valid = [address for address in new if is_ipv4_with_port(address)]
+        if len(valid) < len(new) and self._invalid_address_lines.takes(now):
+            invalid_count = len(new) - len(valid)
             eliot.log_message(
                 "hosts.odd_addresses",
                 count=invalid_count,
                 untold=self._invalid_address_lines.thinned,
             )
-        for address in fresh:
+        for address in valid:
             self._last_seen_by_address[address] = now
-        if fresh:
+        if valid:
             # At once, so that a host that has just started knows the others before it serves.
-            self._send_to(fresh)
+            self._send_to(valid)
 
     def fresh(self, role: HostRole) -> list[Hello]:
         """Returns the newest heartbeats of hosts that are not silent."""
@@ -204,7 +205,7 @@
         return 0.0 if observed is None else observed.received_s
 
     def heard_within(self, role: HostRole, time_s: float) -> int:
-        """Returns how many other hosts were seen within ``time_s`` seconds, leaving ones included."""
+        """Returns how many hosts, leaving ones included, were seen within ``time_s`` seconds."""
         since_s = asyncio.get_running_loop().time() - time_s
         return sum(
             observed.heartbeat.role == role and observed.received_s >= since_s
@@ -312,8 +313,8 @@
 
     def _forget_silent(self) -> None:
         oldest = asyncio.get_running_loop().time() - FORGET_AFTER_S
-        for address, seen_s in list(self._last_seen_by_address.items()):
-            if seen_s < oldest:
+        for address, seen_at_s in list(self._last_seen_by_address.items()):
+            if seen_at_s < oldest:
                 del self._last_seen_by_address[address]
                 self._sent_beat_by_address.pop(address, None)
 
--- a/src/bayhinge/_internal/services/histories.py
+++ b/src/bayhinge/_internal/services/histories.py
@@ -119,9 +119,7 @@
         record = decode_record(await self._reader.read_record(call.position))
         finished = record.finished
         if finished is None or finished.program != str(state.program_id):
-            raise CorruptObjectError(
-                str(call.position), f"not a finished call of program '{state.program_id}'"
-            )
+            raise CorruptObjectError(str(call.position), "not a finished call of this program")
         answer = assistant_message(finished.text, finished.answer.tool_calls)
         return [*finished.messages, answer]
 
--- a/src/bayhinge/_internal/services/key_follower.py
+++ b/src/bayhinge/_internal/services/key_follower.py
@@ -1,15 +1,13 @@
-"""Follows the objects under one prefix of the store, and goes on when the store does not.
-
-News comes from a waiting watch. A watch may hang without a word, and a host may be turned
-away while others are served, so a host also listens to what revision its peers have seen,
-and fetches the objects from one of them where its own watch brought nothing.
-
-A call that was under way when the store fell silent is never answered, also after its return, and
-so is one that is sent meanwhile. So a store that fails is asked by calls that do not wait, and a
-watch is sent anew once any call of the process shows that the store is back. Before, hosts asked a
-silent store with watches, which outlived its return by up to 6.7 s. Where the process's other watch
-is younger than the silence, no call fails; its answer tells how far the store is, and a watch that
-was sent before that was known is sent anew.
+"""Follows the objects under one prefix of the store, also through outages of the store.
+
+Updates come from a watch, a long poll. A watch may hang, and a host may be rejected while others
+are served, so a host also observes the revisions that its peers have seen, and fetches the
+objects from a peer if its own watch falls behind.
+
+The store never answers calls that were sent before or during an outage, even after it returns. So
+a failing store is polled with calls that do not wait, and a watch is renewed as soon as any call of
+the process succeeds. If no call failed during an outage, the revision in another watch's answer
+shows that this one is outdated; then it is renewed too.
 """
 
 import asyncio
@@ -32,64 +30,61 @@
 from bayhinge.coordination.store import Change, PollingStore, StoredObject, list_all
 
 RETRY_S = 0.5
-"""Pause after the store failed again, before it is asked anew; drawn between half and one and a
-half. After the first failure it is asked at once: a watch that hung says nothing of the store now.
-With the bound of a call that does not wait, 1 s, a host has news within 1.75 s of the return."""
+"""Mean pause, with 50 % jitter, after a repeated failure of the store. After the first failure
+there is none: a watch that timed out shows nothing about the store's present state."""
 
 MAX_RETURN_WAIT_S = 5.0
-"""Longest wait of a follower while another one of its process asks a store that fails; it ends with
-the store's return."""
+"""Longest wait of a follower for the store's return while another one of the process polls it."""
 
 MIN_PAUSE_S = 0.2
 MAX_PAUSE_S = 0.8
-"""Pauses after a watch call that brought changes, doubled while changes go on: a fleet that
-starts or is replaced brings one change after the other, and each call is paid for."""
+"""Pause after a watch call that returned changes, doubled while changes continue, because each
+call is paid for."""
 
 PEER_FETCH_DELAY_S = 0.3
-"""Time that the own watch has to bring what a peer has seen already."""
+"""Time for the own watch to return a revision that a peer has seen, before it is fetched."""
 
 UNWATCHED_FETCH_DELAY_S = 0.03
-"""The same for a host that has no watch, or knows nothing yet: several changes that come
-together make one fetch."""
+"""The same for a host without a watch or without any state; changes that come together are
+fetched at once."""
 
 DUTY_CHECK_S = 0.6
-"""How often a host without a watch looks whether it should have one."""
+"""How often a host without a watch checks whether it should watch."""
 
 RENEW_AFTER_S = 2.0
-"""A watch that has waited for so long is sent anew when news of another one show that the store has
-gone on: it may hang. Sooner only at ends, which are rare: each call is paid for, and entries that
-change all the time would have every other watch sent anew as often."""
+"""A watch older than this is renewed when the changes of another one show that the store has
+advanced. Younger ones are not: with frequent changes, each would renew every other watch."""
 
 AFTER_OUTAGE_S = 2.0
-"""For so long after the store's return, what vanishes may have lapsed in the outage."""
+"""For so long after the store's return, removed entries may have expired during the outage."""
 
 FIRST_LIST_S = (0.5, 2.5)
-"""When a host of a system that starts for the first time lists by itself, unless peers have told it
-of the objects before: on a site of 36 entry hosts first lists and watches were 183 of 397 calls."""
+"""Range of the random delay before a host lists the objects at the first start of a site, unless a
+peer has sent them before; saves list calls."""
 
 PEER_CALL_TIMEOUT_S = 0.5
-"""Time for a peer's answer."""
+"""Timeout of a fetch from a peer."""
 
 
 class FollowListener(ABC):
-    """What happens with the objects.
+    """Receives the objects and their changes.
 
-    ``is_after_outage`` says that the store came back only just before: entries that others must
-    renew may have lapsed meanwhile, and come back soon.
+    ``is_after_outage`` is true shortly after the store's return: entries that others must renew
+    may have expired during the outage, and will soon be written again.
     """
 
     @abstractmethod
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
-        """Takes a complete new state."""
+        """Replaces the whole state."""
 
     @abstractmethod
     def apply(self, change: Change, is_after_outage: bool) -> None:
-        """Takes one change."""
+        """Applies one change."""
 
 
 @attrs.define
 class StoreHealth:
-    """Since when the store fails, on the loop's clock in seconds; None while it answers."""
+    """Since when the store has failed, on the loop's clock in seconds; None while it answers."""
 
     failing_since_s: float | None = None
 
@@ -105,9 +100,14 @@
         listener: FollowListener,
         peers: Peers,
     ) -> None:
-        """Takes the store, the prefix, who listens, and the way to other hosts.
-
-        ``wait`` returns how long a watch that begins now should wait for news, in seconds.
+        """Creates a follower; :meth:`run` starts it.
+
+        Args:
+            store: the store to follow.
+            prefix: the objects' prefix.
+            watch_timeout_s: returns how long a watch that starts now should wait for changes.
+            listener: receives the objects and their changes.
+            peers: the connections to other hosts.
         """
         self._store = store
         self.prefix = prefix
@@ -136,7 +136,7 @@
         store.contact.on_watched.append(self._renew_if_outdated)
 
     async def run(self) -> None:
-        """Follows until it is stopped or cancelled."""
+        """Follows the prefix until it is stopped or cancelled."""
         await self._wait_for_peers()
         while not self._is_stopped:
             try:
@@ -162,7 +162,7 @@
                     self._poll.cancel()
 
     async def _wait_for_peers(self) -> None:
-        """Lets ``first_list_s`` pass, or the time until a peer has told of the objects."""
+        """Waits for ``first_list_s`` seconds, or until a peer has sent the objects."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self.first_list_s):
                 await self._has_state.wait()
@@ -175,14 +175,14 @@
             await contact.wait_for_return(MAX_RETURN_WAIT_S)
 
     def stop(self) -> None:
-        """Ends the waiting call; what the store says from now on is no news."""
+        """Cancels the pending call; failures after this are not recorded."""
         self._is_stopped = True
         if self._poll is not None:
             self._poll.cancel()
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last call that ended brought no answer."""
+        """Whether the last completed call failed."""
         return self.health.failing_since_s is not None
 
     @property
@@ -191,33 +191,33 @@
         return max(self.revision, self.complete_to)
 
     def known(self) -> KnownObjects:
-        """Returns what this host knows, for a peer."""
+        """Returns the objects and their revision, for a peer."""
         return KnownObjects(
             self.revision, self.value_by_key, self.complete_to, self._is_after_outage()
         )
 
     def hear(self, revision: int, peer_address: str) -> None:
-        """Learns that a peer has seen a revision; fetches from it if the watch is behind."""
+        """Observes a revision that a peer has seen; fetches from it if the watch is behind."""
         if self._is_behind(revision) and not self._is_fetching:
             self._is_fetching = True
             self._fetching = asyncio.ensure_future(self._fetch(revision, peer_address))
 
     def take(self, stored: StoredObject) -> None:
-        """Takes in an object that was read by itself, if it is news.
+        """Applies an object that was read by itself, if it is newer than the known state.
 
-        Objects beside it may have changed before; the watch brings those.
+        Earlier changes of other objects still come from the watch.
         """
         if self._is_behind(stored.version):
             self._apply(Change(stored.key, stored.value, stored.version, stored.version))
 
     def waiting_s(self) -> float:
-        """Returns for how long the call under way has been waiting, in seconds; 0 without one."""
+        """Returns how long the pending call has been waiting, in seconds; 0 if there is none."""
         if self._call_started_s is None:
             return 0.0
         return asyncio.get_running_loop().time() - self._call_started_s
 
     def _renew(self) -> None:
-        """Sends a waiting call anew: the store was silent since, and is back."""
+        """Renews the pending call: the store was unavailable since it was sent, and is back."""
         poll = self._poll
         if (
             poll is None
@@ -229,12 +229,12 @@
         eliot.log_message(
             "store.watch_renewed", prefix=self.prefix, waited_s=round(self.waiting_s(), 3)
         )
-        # The pause behind the last news is over; another one would be time without a watch.
+        # No pause before the new call: it would be time without a watch.
         self._poll_pause_s = 0.0
         poll.cancel()
 
     def _renew_if_outdated(self, has_news: bool) -> None:
-        """Sends a waiting call anew that was sent before the store was known to be so far."""
+        """Renews the pending call if the store has advanced since it was sent."""
         least_s = RENEW_AFTER_S if has_news else 0.0
         is_behind = self._call_known_revision < self._store.contact.revision
         if is_behind and self.waiting_s() >= least_s:
@@ -245,7 +245,7 @@
         return asyncio.get_running_loop().time() - returned_s <= AFTER_OUTAGE_S
 
     def _check_duty(self) -> bool:
-        """Whether this host is to watch; says so where that changes."""
+        """Returns whether this host should watch, and logs when that changes."""
         has_duty = self.should_poll()
         if has_duty is not self._is_watching:
             self._is_watching = has_duty
@@ -261,7 +261,7 @@
         listing = await list_all(self._store, self.prefix)
         self._record_success()
         if complete_before < self.complete_to and listing.revision < self.complete_to:
-            # A peer told of more while the store's answer was on its way.
+            # A peer has sent a newer state while the list call was pending.
             self._cursor = self.complete_to
             return
         self._cursor = listing.revision
@@ -288,7 +288,7 @@
         for change in page.changes:
             self._apply(change)
         if page.changes:
-            # Not for empty pages: a watch that hangs ends without the changes it missed.
+            # Not for empty pages: a watch that hung returns without the changes it missed.
             self.complete_to = max(self.complete_to, page.revision)
 
     def _apply(self, change: Change) -> None:
@@ -300,18 +300,18 @@
         self._listener.apply(change, self._is_after_outage())
         self.on_change()
 
-    def _replace_state(self, known: KnownObjects) -> None:
-        self.revision = max(self.revision, known.revision)
-        self.complete_to = max(self.complete_to, known.complete_to)
-        self.value_by_key = dict(known.value_by_key)
+    def _replace_state(self, state: KnownObjects) -> None:
+        self.revision = max(self.revision, state.revision)
+        self.complete_to = max(self.complete_to, state.complete_to)
+        self.value_by_key = dict(state.value_by_key)
         self.heard_s = asyncio.get_running_loop().time()
         self._has_state.set()
-        if known.is_after_outage:
-            # Also for those that learn of it from here; for half the time, so that it dies out.
+        if state.is_after_outage:
+            # Peers that get the state from here are told too; half the time, so that it fades out.
             self._reported_return_s = max(
                 self._reported_return_s, self.heard_s - AFTER_OUTAGE_S / 2
             )
-        self._listener.replace_all(self.value_by_key, bool(known.is_after_outage))
+        self._listener.replace_all(self.value_by_key, bool(state.is_after_outage))
 
     async def _fetch(self, revision: int, peer_address: str) -> None:
         try:
@@ -322,20 +322,20 @@
             query = encode_message(ObjectsQuery(self.prefix))
             async with running_timeout(PEER_CALL_TIMEOUT_S):
                 answer = await self._peers.call(peer_address, methods.OBJECTS, query)
-            known = decode_message(KnownObjects(), answer)
+            state = decode_message(KnownObjects(), answer)
         except (TimeoutError, PeerUnreachableError, PeerFailureError, FrameError) as error:
             eliot.log_message("peer.objects_missed", prefix=self.prefix, why=str(error))
             return
         finally:
             self._is_fetching = False
-        if known.complete_to <= self.complete_to:
+        if state.complete_to <= self.complete_to:
             return
         eliot.log_message(
-            "store.news_from_peer", prefix=self.prefix, before=self.revision, now=known.revision
+            "store.news_from_peer", prefix=self.prefix, before=self.revision, now=state.revision
         )
-        self._replace_state(known)
-        # The waiting call missed this change, so it may miss the next one too.
-        self._cursor = max(self._cursor, known.complete_to)
+        self._replace_state(state)
+        # The pending call missed this change, so it may miss the next one too.
+        self._cursor = max(self._cursor, state.complete_to)
         if self._poll is not None:
             self._poll.cancel()
 
@@ -348,7 +348,7 @@
         if self.health.failing_since_s is None:
             self.health.failing_since_s = asyncio.get_running_loop().time()
             what = "store.lost"
-        # One line a call, and the pause before the next call bounds their number.
+        # The pause before the next call bounds the rate of these lines.
         eliot.log_message(what, prefix=self.prefix, waited_s=waited_s, why=str(error))
 
     def _record_success(self) -> None:
--- a/src/bayhinge/_internal/services/latencies.py
+++ b/src/bayhinge/_internal/services/latencies.py
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class LatencySummary:
-    """One histogram: how many, their sum in seconds, and seconds by percentile."""
+    """Summary of one histogram: count, sum in seconds, and seconds by percentile."""
 
     name: str
     count: int
@@ -22,15 +22,14 @@
 
 
 class Latencies:
-    """One histogram for each thing that is timed, in microseconds."""
+    """Latency histograms by name, in microseconds."""
 
     def __init__(self) -> None:
-        """Starts empty."""
         self._histograms_by_name: dict[str, HdrHistogram] = {}
         self._sums_by_name: dict[str, float] = {}
 
     def add(self, name: str, seconds: float) -> None:
-        """Takes a latency in."""
+        """Records a latency."""
         histogram = self._histograms_by_name.get(name)
         if histogram is None:
             histogram = HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
--- a/src/bayhinge/_internal/services/local_queries.py
+++ b/src/bayhinge/_internal/services/local_queries.py
@@ -1,4 +1,4 @@
-"""Operators' queries as one host answers them from what it knows itself."""
+"""Answers operators' queries from one host's own state."""
 
 from collections.abc import Callable, Mapping
 
@@ -21,14 +21,13 @@
 
 Parameters = Mapping[str, str]
 MERGED_QUERIES = frozenset({"programs", "endpoints", "events", "stats", "config-status"})
-"""Queries whose answers from all hosts are put together."""
+"""Queries whose answers from all hosts are merged."""
 
 
 class LocalQueries:
     """Answers each query by name, as a JSON list."""
 
     def __init__(self, parts: HostParts) -> None:
-        """Takes the parts of this host."""
         self._parts = parts
         self._answer_by_name: dict[str, Callable[[Parameters], object]] = {
             "programs": self._programs,
@@ -47,7 +46,7 @@
         answer = self._answer_by_name.get(name)
         if answer is None:
             known = ", ".join(sorted(self._answer_by_name))
-            why = f"no query is called '{name[:40]}'; known queries: {known}"
+            why = f"query '{name[:40]}' does not exist; known queries: {known}"
             return Error(refuse_unaccepted(RefusalCode.BAD_REQUEST, why))
         return Ok(to_json(answer(parameters)))
 
--- a/src/bayhinge/_internal/services/methods.py
+++ b/src/bayhinge/_internal/services/methods.py
@@ -1,4 +1,4 @@
-"""The names of what hosts ask of each other over the peer link."""
+"""Names of the methods that hosts call on each other over the peer link."""
 
 RESERVE = "reserve-turn"
 APPEND = "append-entries"
--- a/src/bayhinge/_internal/services/metrics_page.py
+++ b/src/bayhinge/_internal/services/metrics_page.py
@@ -1,4 +1,4 @@
-"""The metrics page in the usual text format; imported when the page is first asked for."""
+"""Renders the metrics page in the Prometheus text format."""
 
 from collections.abc import Iterator, Mapping
 
@@ -10,7 +10,7 @@
 
 
 class _HostCollector(Collector):
-    """Collects one host's figures for a metrics page."""
+    """Collects one host's metrics."""
 
     def __init__(self, latencies: Latencies, gauges: Mapping[str, float]) -> None:
         self._latencies = latencies
@@ -39,8 +39,8 @@
 
 
 def metrics_page(latencies: Latencies, gauges: Mapping[str, float]) -> bytes:
-    """Returns the metrics in the text format that the usual collectors read."""
-    # A registry of its own: several hosts of one process must not mix.
+    """Returns the metrics in the Prometheus text format."""
+    # Not the global registry: several hosts may run in one process.
     registry = CollectorRegistry()
     registry.register(_HostCollector(latencies, gauges))
     return generate_latest(registry)
--- a/src/bayhinge/_internal/services/owner.py
+++ b/src/bayhinge/_internal/services/owner.py
@@ -1,4 +1,4 @@
-"""The owner of programs: their order, history, budget, and what must run at most once."""
+"""Serves the calls of owned programs: call order, history, budget, and at-most-once calls."""
 
 import asyncio
 import logging
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class _Admitted:
-    """A call that has passed every check, with its part of the budget set aside."""
+    """A call that has passed every check, with its budget reserved."""
 
     prepared: PreparedCall
     new: NewMessages | None
@@ -77,7 +77,6 @@
     """Serves the calls of the programs in a registry."""
 
     def __init__(self, parts: OwnerParts, registry: ProgramRegistry) -> None:
-        """Takes what it works with and the programs."""
         self._parts = parts
         self._registry = registry
         self._tasks: set[asyncio.Task[None]] = set()
@@ -93,15 +92,15 @@
             await asyncio.wait(list(self._tasks))
 
     def abandon(self) -> None:
-        """Drops every running call, as a death of the process does."""
+        """Cancels every running call, as the death of the process would."""
         for task in list(self._tasks):
             task.cancel()
 
     async def call(self, call: Call) -> AsyncGenerator[AnswerItem, None]:
         """Yields the answer to a call.
 
-        A caller that stops following does not stop the call: its answer is recorded
-        and can be collected.
+        The call goes on if the caller disconnects: its answer is recorded and can be
+        collected.
 
         Raises:
             RefusedError: the call gets no answer.
@@ -163,7 +162,7 @@
     def _find(self, call: Call) -> OwnedProgram:
         program = self._registry.find(str(call.program))
         if program is None or program.state.account != call.account:
-            # The same words for both: nobody learns of another account's programs.
+            # The same error for both, so that other accounts' programs are not disclosed.
             raise RefusedError(_unknown_program(str(call.program)))
         return program
 
@@ -176,7 +175,7 @@
         except TimeoutError:
             refusal = refuse_unaccepted(
                 RefusalCode.INDEX_GAP,
-                f"call {index} has waited for the calls before it as long as its patience allows",
+                f"the patience of call {index} ran out while it waited for the calls before it",
                 Figure("next_index", program.state.next_index),
                 retry_after_s=1.0,
             )
@@ -206,7 +205,7 @@
             running.live.refuse(moved if program.has_moved else ended)
             raise
         except Exception:
-            # A fault of ours must not leave the caller waiting for ever.
+            # An internal error must not leave the caller waiting forever.
             logger.exception("call %s of %s failed", running.view.index, call.program)
             running.live.refuse(
                 Refusal(
@@ -238,7 +237,7 @@
             raise
         finally:
             if admitted.reservation is not None:
-                # What became of a call that was cut off is unknown: its worst case counts.
+                # The use of a cancelled call is unknown, so its worst case is charged.
                 units = admitted.reservation.units
                 self._parts.escrow.settle(admitted.reservation, units if used is None else used)
         await self._finish(program, running, admitted, result)
@@ -279,7 +278,7 @@
         if new.rewrite or not state.message_count:
             return new.messages
         if len(work.messages) > len(new.messages):
-            # The caller sent the whole list, and it was found equal to the record.
+            # The caller sent the whole list, and its start matches the recorded history.
             return work.messages
         try:
             return (*await self._parts.histories.get(state), *new.messages)
@@ -298,7 +297,7 @@
     async def _extend(
         self, account: ClientAccount, reservation: Reservation, units: int, attempt: CallAttempt
     ) -> None:
-        """Sets the cost of a failed attempt aside, before the call is sent again."""
+        """Reserves the tokens of a failed attempt before the call is sent again."""
         try:
             await self._parts.escrow.extend(reservation, units, account.budget_tokens)
         except CoordinationError as error:
@@ -344,7 +343,7 @@
     async def _record_refused_outcome(
         self, program: OwnedProgram, prepared: PreparedCall, refusal: Refusal
     ) -> None:
-        """Records what is known, so that a successor does not have to guess."""
+        """Records whether the call ran, so that a successor knows its outcome."""
         state = program.state
         started, state.unfinished = state.unfinished, None
         if started is None:
--- a/src/bayhinge/_internal/services/owner_parts.py
+++ b/src/bayhinge/_internal/services/owner_parts.py
@@ -1,4 +1,4 @@
-"""What an owner works with, and the small state that it keeps for each program."""
+"""The components of an owner, the state of owned programs, and common refusals."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,12 +28,12 @@
 from bayhinge.coordination.journal_reader import JournalReader
 
 STORE_RETRY_S = 2.0
-"""When to come back after the store was away."""
+"""``retry_after_s`` of refusals while the store is unavailable."""
 
 
 @attrs.define
 class RunningCall:
-    """The one call of a program that runs now."""
+    """The running call of a program; there is at most one."""
 
     view: RunningView
     live: LiveAnswer
@@ -42,10 +42,10 @@
 
 @attrs.define
 class OwnedProgram:
-    """A program at its owner: its state, its running call, and who waits for a turn.
+    """A program at its owner.
 
-    ``is_moving`` holds new calls back while a planned stop hands the program over;
-    ``has_moved`` sends them on to its new owner.
+    ``is_moving`` makes new calls wait while a planned stop hands the program over;
+    ``has_moved`` forwards them to its new owner. ``changed`` wakes waiting calls.
     """
 
     state: ProgramState
@@ -56,14 +56,14 @@
     used_pools: set[str] = attrs.field(factory=set)
 
     def wake(self) -> None:
-        """Wakes the calls that wait for their turn."""
+        """Wakes the waiting calls."""
         self.changed.set()
         self.changed = asyncio.Event()
 
 
 @attrs.define
 class OwnerParts:
-    """What an owner works with."""
+    """The components of an owner."""
 
     settings: Settings
     journal: Journal
@@ -79,9 +79,9 @@
 
 
 def refuse_for_store(attempt: CallAttempt, error: CoordinationError) -> Refusal:
-    """Makes the refusal for a store that failed, or a journal that is another's now."""
+    """Returns the refusal for a failed store or a fenced journal."""
     if isinstance(error, FencedError):
-        why = "this host has lost the program to another one; ask for its address again"
+        why = "another host has taken the program over; look up its address again"
         return attempt.refuse(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
     return attempt.refuse(
         RefusalCode.STORE_UNAVAILABLE,
@@ -91,34 +91,34 @@
 
 
 def refuse_moved() -> Refusal:
-    """Makes the refusal that sends a call on to the program's new owner."""
-    why = "this host has handed the program over; ask for its address again"
+    """Returns the refusal that makes routers look up the program's new owner."""
+    why = "this host has handed the program over; look up its address again"
     return refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
 
 
 def refuse_stale_config() -> Refusal:
-    """Makes the refusal of a host that can't vouch for its configuration."""
+    """Returns the refusal of a host whose configuration may be stale."""
     return refuse_unaccepted(
         RefusalCode.CONFIG_UNKNOWN,
-        "this host has not heard the newest configuration for a while, so it begins no programs",
+        "this host's configuration may be stale, so it opens no programs",
         retry_after_s=STORE_RETRY_S,
     )
 
 
 def refuse_unrecorded() -> Refusal:
-    """Makes the refusal of a program whose beginning can't be recorded now."""
+    """Returns the refusal of a program whose opening can't be recorded."""
     return refuse_unaccepted(
         RefusalCode.STORE_UNAVAILABLE,
-        "the platform's object store does not answer, so the program's beginning can't be recorded",
+        "the platform's object store does not answer, so the program's opening can't be recorded",
         retry_after_s=STORE_RETRY_S,
     )
 
 
 def refuse_too_many(count: int, limit: int) -> Refusal:
-    """Makes the refusal of one program more than the account may have under way."""
+    """Returns the refusal of a program beyond the account's limit."""
     return refuse_unaccepted(
         RefusalCode.OVERLOADED,
-        "the client account has as many programs under way on this host as it may",
+        "the client account has reached its limit of running programs on this host",
         Figure("programs", count),
         Figure("max_programs", limit),
         retry_after_s=STORE_RETRY_S,
--- a/src/bayhinge/_internal/services/peer_service.py
+++ b/src/bayhinge/_internal/services/peer_service.py
@@ -1,4 +1,4 @@
-"""What a host does for its peers."""
+"""Handles the calls of peers."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 
@@ -24,14 +24,13 @@
 from bayhinge._internal.wire import ttypes as wire
 
 MAX_CHANGES_PER_REPLY = 200
-"""Changes of configuration that one exchange of news carries at most."""
+"""Configuration changes in one reply to a revision exchange."""
 
 
 class PeerService(PeerHandler):
     """Handles the streams that peers open."""
 
     def __init__(self, parts: HostParts, opener: ProgramOpener, queries: LocalQueries) -> None:
-        """Takes the parts of this host."""
         self._parts = parts
         self._opener = opener
         self._queries = queries
@@ -88,7 +87,7 @@
     async def _adopt(self, payload: bytes) -> bytes:
         record = decode_message(wire.Record(), payload)
         if record.adopted is None:
-            raise FrameError("no adopted program")
+            raise FrameError("the record holds no adopted program")
         await self._parts.adopter.adopt_handed_over(state_from_adopted(record.adopted))
         return b""
 
--- a/src/bayhinge/_internal/services/planned_stop.py
+++ b/src/bayhinge/_internal/services/planned_stop.py
@@ -1,8 +1,8 @@
-"""A planned stop: hand every program over, cut no request.
+"""A planned stop: hands every program over without interrupting requests.
 
-The successors are announced in the journal first. Then each program is handed over
-as soon as no call of it runs; calls that come meanwhile wait, and follow it to its
-new owner. At last the journal is sealed with the same successors.
+First the successors are announced in the journal. Then each program is handed over as soon as it
+has no running call; calls that arrive meanwhile wait, and are forwarded to its new owner. Finally
+the journal is sealed with the same successors.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 
 class PlannedStop:
-    """Carries one planned stop out."""
+    """Performs one planned stop."""
 
     def __init__(
         self,
@@ -45,7 +45,6 @@
         locator: OwnerLocator,
         peers: Peers,
     ) -> None:
-        """Takes the owner that stops and the way to its successors."""
         self._parts = parts
         self._owner = owner
         self._registry = registry
@@ -54,9 +53,9 @@
         self._peers = peers
 
     async def run(self, timeout_s: float) -> bool:
-        """Hands everything over; returns False where time ran out or nobody is left.
+        """Hands everything over; returns False on a timeout, an error, or without successors.
 
-        What could not be handed over is found by the successors as after a death.
+        Successors adopt the remaining programs as after the death of a host.
         """
         me = self._membership.me
         self._membership.describe(attrs.evolve(me, state=HostState.LEAVING))
@@ -78,13 +77,13 @@
                 await self._hand_over(successors)
                 await self._parts.journal.seal(successors, "a planned stop")
         except (TimeoutError, FencedError, StoreError) as error:
-            logger.warning("the planned stop is not complete: %s", error or "time ran out")
+            logger.warning("the planned stop is incomplete: %s", error or "timeout")
             return False
         self._record("handed over", "every program has a new owner")
         return True
 
     async def _reachable_hosts(self, candidates: list[str]) -> list[str]:
-        """Returns the hosts that answer now: one may have died a moment ago, unnoticed."""
+        """Returns the hosts that answer; membership may not have noticed a death yet."""
         reachable = await asyncio.gather(*(self._is_reachable(name) for name in candidates))
         return [
             name for name, is_reachable in zip(candidates, reachable, strict=True) if is_reachable
@@ -122,8 +121,7 @@
                 await asyncio.sleep(POLL_S)
 
     async def _hand_over_program(self, program: OwnedProgram, successors: list[str]) -> None:
-        # Records of the program that still wait must be in the journal before another
-        # host reads it.
+        # The program's pending records must be durable before another host reads the journal.
         await self._parts.journal.flush()
         target = choose(str(program.state.program_id), successors)
         info = self._membership.find(target or "")
@@ -132,10 +130,11 @@
             try:
                 await self._peers.call(info.peer_address, "adopt", payload)
             except (PeerUnreachableError, PeerFailureError) as error:
-                # It may have taken the program all the same. Only its journal can tell,
-                # so this host must not serve the program again; look-ups go through the
-                # announced successors.
-                logger.warning("%s was handed over unheard: %s", program.state.program_id, error)
+                # The successor may still have adopted the program, so this host must not
+                # serve it again; look-ups go through the announced successors.
+                logger.warning(
+                    "the handover of %s was not acknowledged: %s", program.state.program_id, error
+                )
         self._registry.remove(program)
         program.has_moved = True
         program.wake()
--- a/src/bayhinge/_internal/services/program_opener.py
+++ b/src/bayhinge/_internal/services/program_opener.py
@@ -1,4 +1,4 @@
-"""Opens programs: here, or at a peer where this host is leaving."""
+"""Opens programs at this host, or at a peer if this host is leaving."""
 
 import orjson
 from expression import Error, Ok, Result
@@ -19,10 +19,9 @@
 
 
 class ProgramOpener:
-    """Opens programs for the front and for leaving peers."""
+    """Opens programs for callers and for leaving peers."""
 
     def __init__(self, parts: HostParts) -> None:
-        """Takes the parts of this host."""
         self._parts = parts
 
     async def open(
@@ -41,7 +40,7 @@
         return opened.map(lambda program: str(program.state.program_id))
 
     async def begin_single(self, account: ClientAccount) -> Result[str, Refusal]:
-        """Begins a program of one call, which is durable with that call."""
+        """Opens a program of one call, which becomes durable with that call."""
         if self._is_leaving:
             return await self._open_at_peer(account, None, None)
         begun = self._parts.registry.begin(account, None, None)
@@ -69,5 +68,5 @@
                 continue
             except PeerFailureError as error:
                 return Error(refusal_from_json(error.problem))
-        why = "this host is leaving and no other one can be reached"
+        why = "this host is leaving, and no other host can be reached"
         return Error(refuse_unaccepted(RefusalCode.HOST_LEAVING, why, retry_after_s=1.0))
--- a/src/bayhinge/_internal/services/program_registry.py
+++ b/src/bayhinge/_internal/services/program_registry.py
@@ -1,4 +1,4 @@
-"""The programs that a host owns: opened, found, ended."""
+"""Opens, finds and ends the programs that a host owns."""
 
 import asyncio
 from collections import Counter
@@ -25,22 +25,21 @@
 from bayhinge.coordination.journal_objects import RecordPosition
 
 MAX_ENDED_KEPT = 2000
-"""Ended programs whose answers can still be collected, per host."""
+"""Ended programs per host whose answers can still be collected."""
 
 
 @attrs.frozen
 class OpenedProgram:
-    """A program that is open in memory, and when it is durable."""
+    """A program that is open in memory; ``durable`` is done once its record is durable."""
 
     program: OwnedProgram
     durable: "asyncio.Future[RecordPosition]"
 
 
 class ProgramRegistry:
-    """Every program of one owner, by its identifier."""
+    """The programs of one owner, by their identifiers."""
 
     def __init__(self, parts: OwnerParts) -> None:
-        """Starts with no programs."""
         self._parts = parts
         self._programs_by_id: dict[str, OwnedProgram] = {}
         self._ended_ids: dict[str, None] = {}
@@ -54,7 +53,7 @@
         return self._programs_by_id.get(program)
 
     def all(self) -> list[OwnedProgram]:
-        """Returns the programs that this host owns, ended ones it still keeps included."""
+        """Returns the programs that this host owns, retained ended ones included."""
         return list(self._programs_by_id.values())
 
     @property
@@ -63,7 +62,7 @@
         return self._live_by_account.total()
 
     def add(self, program: OwnedProgram) -> None:
-        """Adds a program that was adopted."""
+        """Adds a program that was opened or adopted."""
         state = program.state
         self._programs_by_id[str(state.program_id)] = program
         if state.ended is None:
@@ -73,7 +72,7 @@
             self._id_by_opening_key[key] = str(state.program_id)
 
     def remove(self, program: OwnedProgram) -> None:
-        """Drops a program that was handed over."""
+        """Removes a program that this host no longer owns."""
         state = program.state
         del self._programs_by_id[str(state.program_id)]
         if state.ended is None:
@@ -81,7 +80,7 @@
         self._parts.histories.drop(str(state.program_id))
 
     def remove_all(self) -> None:
-        """Drops every program, as a host must that was fenced off its journal."""
+        """Removes every program, after the host's journal was fenced."""
         for program in list(self._programs_by_id.values()):
             self.remove(program)
             program.has_moved = True
@@ -102,7 +101,7 @@
         except FencedError as error:
             return Error(refuse_for_store(CallAttempt(), error))
         except TimeoutError:
-            # Its record may still become durable; so does its end, right behind it.
+            # The record may still become durable, so the program's end is recorded after it.
             self._abandon(opened.ok.program)
             return Error(refuse_unrecorded())
         return Ok(opened.ok.program)
@@ -112,8 +111,8 @@
     ) -> Result[OpenedProgram, Refusal]:
         """Opens a program without waiting until it is durable.
 
-        Its first call is recorded behind it in the same journal, so a program of one
-        call needs no write of its own.
+        Its first call is recorded after it in the same journal, so a program of one call needs
+        no write of its own.
         """
         existing = self._find_opened(account, idempotency_key)
         if existing is not None:
@@ -139,7 +138,7 @@
         return Ok(OpenedProgram(program, durable))
 
     async def end(self, program: OwnedProgram, reason: str) -> Result[ProgramId, Refusal]:
-        """Ends a program and waits until that is durable; twice is the same as once."""
+        """Ends a program and waits until that is durable; idempotent."""
         state = program.state
         if state.ended is not None:
             return Ok(state.program_id)
--- a/src/bayhinge/_internal/services/queue_dispatcher.py
+++ b/src/bayhinge/_internal/services/queue_dispatcher.py
@@ -1,8 +1,8 @@
-"""The queue homes on this host: cells whose calls it admits, orders and places.
+"""The queue dispatcher: admits, orders and places the calls of the cells hashed to this host.
 
-A pool is cut into cells of a few endpoints each; a cell's home is chosen among the
-serving hosts by rendezvous hashing. Where two hosts both believe that they are home
-for a moment, only order and cache quality suffer.
+A pool is split into cells of a few endpoints each; the host that dispatches a cell is chosen
+among the serving hosts by rendezvous hashing. While two hosts dispatch the same cell, only
+the order of calls and the cache hit rate suffer.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class DispatcherGrant:
-    """What a home answers."""
+    """A dispatcher's reply to an offer that was granted."""
 
     grant: str
     endpoint: str
@@ -45,10 +45,10 @@
 
 
 class QueueDispatcher:
-    """The schedulers of the cells that this host is home of."""
+    """The schedulers of the cells that this host dispatches."""
 
     def __init__(self, settings: Settings, endpoints: EndpointClient, timeline: Timeline) -> None:
-        """Starts with no cells; they are made when first asked for."""
+        """Starts without cells; they are created on first use."""
         self._settings = settings
         self._endpoints = endpoints
         self._timeline = timeline
@@ -64,7 +64,7 @@
         return self._schedulers_by_cell
 
     def set_endpoints(self, listed: Iterable[Endpoint]) -> None:
-        """Takes the platform's list in."""
+        """Replaces the list of endpoints."""
         by_pool: dict[str, list[Endpoint]] = {}
         for endpoint in listed:
             by_pool.setdefault(endpoint.pool, []).append(endpoint)
@@ -94,26 +94,26 @@
         try:
             return await future
         except asyncio.CancelledError:
-            # The owner has gone or no longer wants it; a granted slot goes back too.
+            # The owner disconnected or cancelled the request: release a slot already granted.
             self._carry_out(scheduler.done(Done(offer.grant, Outcome.CANCELLED), _now()))
             raise
         finally:
             self._futures_by_grant.pop(offer.grant, None)
 
     def done(self, cell: str, done: Done) -> None:
-        """Takes a grant back."""
+        """Releases a grant."""
         scheduler = self._schedulers_by_cell.get(cell)
         if scheduler is not None:
             self._carry_out(scheduler.done(done, _now()))
 
     def program_ended(self, cell: str, program: str) -> None:
-        """Frees what endpoints hold for a program."""
+        """Releases the cache that endpoints hold for a program."""
         scheduler = self._schedulers_by_cell.get(cell)
         if scheduler is not None:
             self._carry_out(scheduler.program_ended(program, _now()))
 
     def owner_died(self, incarnation: str) -> None:
-        """Frees the slots of a dead owner."""
+        """Releases the grants of a dead owner."""
         for scheduler in self._schedulers_by_cell.values():
             self._carry_out(scheduler.owner_died(incarnation, _now()))
 
@@ -125,7 +125,7 @@
                 self._carry_out(scheduler.tick(_now()))
 
     def engines(self) -> list[EndpointView]:
-        """Returns the engines of the cells that this host is home of."""
+        """Returns the engines of the cells that this host dispatches."""
         return [
             view
             for cell, scheduler in self._schedulers_by_cell.items()
--- a/src/bayhinge/_internal/services/record_codec.py
+++ b/src/bayhinge/_internal/services/record_codec.py
@@ -1,4 +1,4 @@
-"""The journal's records of programs, as thrift structs and back."""
+"""Encodes and decodes the journal's records of programs as thrift structs."""
 
 from bayhinge._internal.models.calls import AnswerEnd, CallKind, Usage
 from bayhinge._internal.models.ids import ProgramId, parse_program_id
@@ -12,22 +12,22 @@
 
 
 def encode_opened(state: ProgramState) -> bytes:
-    """Encodes that a program was opened."""
+    """Encodes the opening of a program."""
     return encode_message(wire.Record(opened=_opened(state)))
 
 
 def encode_started(state: ProgramState, call: UnfinishedCall) -> bytes:
-    """Encodes that a call which may not be repeated is about to be sent."""
+    """Encodes the start of a call that may not be repeated, before it is sent."""
     return encode_message(wire.Record(started=_started(state, call)))
 
 
 def encode_withdrawn(program: ProgramId, index: int) -> bytes:
-    """Encodes that a started call was never sent."""
+    """Encodes the withdrawal of a started call that was not sent."""
     return encode_message(wire.Record(withdrawn=wire.CallWithdrawn(str(program), index)))
 
 
 def encode_ended(program: ProgramId, reason: str) -> bytes:
-    """Encodes that a program has ended."""
+    """Encodes the end of a program."""
     return encode_message(wire.Record(ended=wire.ProgramEnded(str(program), reason)))
 
 
@@ -37,7 +37,7 @@
 
 
 def encode_adopted(state: ProgramState) -> bytes:
-    """Encodes a program's whole state but its messages, which stay where they are."""
+    """Encodes a program's state; its messages stay in the journals that hold them."""
     unfinished = None if state.unfinished is None else _started(state, state.unfinished)
     calls = [
         wire.AdoptedCall(
@@ -68,7 +68,7 @@
     """Decodes a record.
 
     Raises:
-        CorruptObjectError: it can't be read.
+        CorruptObjectError: it can't be decoded.
     """
     try:
         return decode_message(wire.Record(), record.data)
@@ -88,14 +88,14 @@
     """Returns the state of a program that was just opened."""
     program_id = parse_program_id(opened.program)
     if program_id is None:
-        raise CorruptObjectError(opened.program, "it is no program's identifier")
+        raise CorruptObjectError(opened.program, "invalid program identifier")
     return ProgramState(
         program_id, opened.account, opened.parent, opened.opened_at_ms, opened.idempotency_key
     )
 
 
 def state_from_adopted(adopted: wire.ProgramAdopted) -> ProgramState:
-    """Returns the state that an earlier successor wrote down."""
+    """Returns the state that an earlier successor recorded."""
     state = state_from_opened(adopted.opened)
     state.spend = adopted.spend
     state.attained_s = adopted.attained_s
--- a/src/bayhinge/_internal/services/remote_grants.py
+++ b/src/bayhinge/_internal/services/remote_grants.py
@@ -1,4 +1,4 @@
-"""Grants from whichever host is home of a cell: this one, or a peer."""
+"""Requests grants from a cell's queue dispatcher, at this host or a peer."""
 
 import asyncio
 import logging
@@ -33,16 +33,14 @@
 
 NOTIFY_ATTEMPTS = 5
 NOTIFY_MAX_BACKOFF_S = 4.0
-"""A home that does not hear of a call's end counts it as running until this whole process is gone.
-The tries go on over some ten seconds: longer than a connection takes to be made anew, and than a
-home takes to be found dead, after which nobody needs to know."""
+"""Retries last some ten seconds: longer than a reconnection or the detection of a dead dispatcher.
+A dispatcher that misses a call's end counts it as running until this process ends."""
 
 
 class RemoteGrants(GrantSource):
-    """Asks the home of a cell, found by rendezvous hashing over the serving hosts."""
+    """Asks a cell's dispatcher, chosen by rendezvous hashing over the serving hosts."""
 
     def __init__(self, membership: Membership, dispatcher: QueueDispatcher, peers: Peers) -> None:
-        """Takes the view of hosts, this host's own homes, and the way to the others."""
         self._membership = membership
         self._dispatcher = dispatcher
         self._peers = peers
@@ -55,9 +53,9 @@
             try:
                 granted = await self._request_at(dispatcher, cell, offer)
             except PeerUnreachableError as error:
-                # The next in rank is home as soon as membership notices; order and
-                # cache quality alone suffer if it is asked too early.
-                logger.info("queue home %s: %s", dispatcher.host, error)
+                # The next in rank becomes dispatcher once membership notices; if it is asked
+                # earlier, only the order of calls and the cache hit rate suffer.
+                logger.info("queue dispatcher %s is unreachable: %s", dispatcher.host, error)
                 continue
             return GrantedEndpoint(
                 granted.grant,
@@ -67,7 +65,7 @@
                 granted.waited_s,
                 dispatcher.peer_address,
             )
-        why = "no host that could queue the call answered"
+        why = "no queue dispatcher of the call's cell answered"
         raise RefusedError(refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=1.0))
 
     def done(self, granted: GrantedEndpoint, done: Done) -> None:
@@ -132,9 +130,9 @@
             await retrying(self._peers.call, address, method, payload)
         except RetryError as error:
             why = error.last_attempt.exception()
-            logger.warning("%s was not told after %d tries: %s", method, NOTIFY_ATTEMPTS, why)
+            logger.warning("%s was not delivered in %d attempts: %s", method, NOTIFY_ATTEMPTS, why)
         except PeerFailureError as error:
-            logger.info("%s was not told: %s", method, error)
+            logger.info("%s was rejected: %s", method, error)
 
 
 def offer_to_wire(cell: str, offer: Offer) -> wire.GrantRequest:
--- a/src/bayhinge/_internal/services/router.py
+++ b/src/bayhinge/_internal/services/router.py
@@ -1,4 +1,4 @@
-"""Takes any program's call at any host, and passes it on to the program's owner."""
+"""Routes calls and commands, received at any host, to the program's owner."""
 
 import asyncio
 from collections.abc import AsyncGenerator, Callable
@@ -33,16 +33,17 @@
 
 MAX_HOPS = 3
 OWNER_PATIENCE_S = 15.0
-"""How long a look for an owner goes on: longer than a death takes to be settled."""
+"""How long the owner is looked for: longer than the takeover of a dead host takes."""
 OWNER_RETRY_S = 0.3
-"""Between two looks for the owner of a program whose host has just died."""
+"""Pause between two look-ups of an owner."""
 
 
 @attrs.define
 class _ForwardingState:
-    """What has become of a call that is passed on, over several tries.
+    """The progress of a call over several attempts to forward it.
 
-    ``sent`` says that a host which then failed may have begun the work.
+    ``offset`` is where the answer's stream goes on, in characters. ``sent`` is true if a host
+    that failed may have started the work. ``suspect`` is an incarnation that did not answer.
     """
 
     offset: int
@@ -51,7 +52,7 @@
 
 
 class CallRouter:
-    """Finds owners, and passes calls and program commands on to them."""
+    """Finds owners, and forwards calls and program commands to them."""
 
     def __init__(
         self,
@@ -63,7 +64,6 @@
         peers: Peers,
         default_max_tokens: int,
     ) -> None:
-        """Takes this host's owner, and the way to the others."""
         self._registry = registry
         self._owner = owner
         self._adopter = adopter
@@ -75,8 +75,8 @@
     async def call(self, incoming: IncomingCall) -> AsyncGenerator[AnswerItem, None]:
         """Yields the answer to a call, wherever its owner is.
 
-        A call whose owner dies is sent to the successor where it may be repeated, and
-        its stream goes on at the offset that was reached.
+        If the owner dies, a repeatable call is sent to the successor, and its stream goes on
+        at the offset that was reached.
 
         Raises:
             RefusedError: the call gets no answer.
@@ -154,7 +154,7 @@
     async def find_local(
         self, program_id: ProgramId, location: OwnerLocation
     ) -> OwnedProgram | None:
-        """Returns a program that is this host's, adopted first where it must be.
+        """Returns a program that this host owns, and adopts it first if necessary.
 
         Raises:
             StoreError: it must be adopted, and the store did not answer.
@@ -182,7 +182,7 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + max(patience_s, OWNER_PATIENCE_S)
         while True:
-            why = "the host that owned it is gone, and its journal is not sealed yet"
+            why = "its owner has died, and the owner's journal is not sealed yet"
             location: OwnerLocation | None = None
             try:
                 location = await self._locate(program_id, progress.suspect)
@@ -237,7 +237,7 @@
         except RefusedError as error:
             if error.refusal.code is not RefusalCode.OWNER_UNREACHABLE:
                 raise
-            # The program was handed over while the call waited: follow it.
+            # The program was handed over while the call waited: look up the owner again.
             sent = error.refusal.run_state is not RunState.NOT_RUN
             raise PeerUnreachableError("this host", error.refusal.why, sent) from error
 
@@ -257,7 +257,7 @@
         except PeerFailureError as error:
             refusal = refusal_from_json(error.problem)
             if refusal.code is RefusalCode.OWNER_UNREACHABLE:
-                # It has lost the program: look for the owner again.
+                # It no longer owns the program: look up the owner again.
                 sent = refusal.run_state is not RunState.NOT_RUN
                 progress.sent = progress.sent or sent
                 raise PeerUnreachableError(address, refusal.why, sent) from error
@@ -305,7 +305,7 @@
 def _correct_run_state(
     refusal: Refusal, incoming: IncomingCall, progress: _ForwardingState
 ) -> Refusal:
-    """Corrects a successor's "not run" where an owner that died may have run the work.
+    """Corrects a successor's "not run" if a dead owner may have run the work.
 
     A call that may not be repeated needs no correction: its start would be recorded.
     """
@@ -315,7 +315,7 @@
 
 
 def _invalid_program(program: str) -> Refusal:
-    why = f"'{program[:80]}' is no program's identifier"
+    why = f"'{program[:80]}' is not a valid program identifier"
     return refuse_unaccepted(RefusalCode.BAD_REQUEST, why)
 
 
--- a/src/bayhinge/_internal/services/timeline.py
+++ b/src/bayhinge/_internal/services/timeline.py
@@ -1,4 +1,4 @@
-"""The time line: a host's events, in memory for queries and through eliot for the log."""
+"""The timeline: a host's events, kept in memory for queries and logged through eliot."""
 
 import asyncio
 from collections import deque
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class EventFilter:
-    """Which events a reader wants; an empty field admits all."""
+    """Selects events; an empty field matches all."""
 
     program: str = ""
     account: str = ""
@@ -26,7 +26,7 @@
     after_stamp: int = 0
 
     def admits(self, event: Event) -> bool:
-        """Tells whether an event passes."""
+        """Returns whether an event matches."""
         wanted = (
             (self.program, event.program),
             (self.account, event.account),
@@ -42,7 +42,6 @@
     """One host's events."""
 
     def __init__(self, host: str, clock: HybridClock) -> None:
-        """Takes the host's name and the clock that stamps events."""
         self._host = host
         self._clock = clock
         self._events: deque[Event] = deque(maxlen=MAX_EVENTS_KEPT)
@@ -62,7 +61,7 @@
         endpoint: str = "",
         index: int = -1,
     ) -> None:
-        """Records a decision with its reason and the figures it rests on."""
+        """Records a decision with its reason and the figures that led to it."""
         event = Event(
             self._clock.tick(),
             self._host,
@@ -84,7 +83,7 @@
         self._changed = asyncio.Event()
 
     def select(self, wanted: EventFilter) -> list[Event]:
-        """Returns the kept events that pass, oldest first."""
+        """Returns the kept events that match, oldest first."""
         return [event for event in self._events if wanted.admits(event)]
 
     def all(self) -> list[Event]:
@@ -92,12 +91,12 @@
         return list(self._events)
 
     def close(self) -> None:
-        """Ends all who follow, as a stop of the host does."""
+        """Ends all iterations of :meth:`follow`."""
         self._is_closed = True
         self._changed.set()
 
     async def follow(self, wanted: EventFilter) -> AsyncIterator[Event]:
-        """Yields the kept events that pass, and then new ones as they come."""
+        """Yields the kept events that match, and then new ones as they are recorded."""
         stamp = wanted.after_stamp
         while not self._is_closed:
             changed = self._changed
