--- a/src/bayhinge/_internal/services/adoption.py
+++ b/src/bayhinge/_internal/services/adoption.py
@@ -47,7 +47,7 @@
 MAX_SUCCESSORS = 8
 """Successors of one journal; each of them reads the whole journal for its share."""
 SEAL_STAGGER_S = 0.5
-"""Each survivor waits this much longer than the one ranked before it before it seals."""
+"""Survivors seal one after another in rank order, so that usually only the first has to."""
 RETRY_S = 1.0
 MAX_SEALS_FOLLOWED = 64
 """Seals followed in one look-up."""
@@ -88,8 +88,8 @@
         for _ in range(MAX_SEALS_FOLLOWED):
             if incarnation not in self._seal_by_incarnation:
                 info = self._membership.find(incarnation)
-                # A fenced host still sends heartbeats but owns nothing. Returned as the owner,
-                # it would forward calls in a loop between hosts that know different seals.
+                # A fenced host still sends heartbeats but owns nothing. Returning it would make
+                # calls loop between hosts that know different seals.
                 alive = info is not None and info.state is not HostState.FENCED
                 if alive and incarnation != suspect:
                     return OwnerLocation(incarnation, tuple(path))
@@ -326,6 +326,6 @@
         state.ended = body.ended.reason
     elif body.finished is not None:
         if body.finished.index != state.next_index:
-            why = f"call {body.finished.index} follows {state.next_index - 1}"
+            why = f"call {body.finished.index} is out of order after call {state.next_index - 1}"
             raise CorruptObjectError(str(position), why)
         apply_finished(state, body.finished, position)
--- a/src/bayhinge/_internal/services/call_runner.py
+++ b/src/bayhinge/_internal/services/call_runner.py
@@ -27,6 +27,7 @@
 """Sends of one repeatable call, including the first."""
 FIRST_BACKOFF_S = 0.05
 RETRY_AFTER_S = 2.0
+"""``retry_after_s`` of refusals."""
 
 
 @attrs.frozen
--- a/src/bayhinge/_internal/services/gossip.py
+++ b/src/bayhinge/_internal/services/gossip.py
@@ -190,7 +190,7 @@
     def _newest(self, observed: ObservedHost) -> ObservedHost:
         """Returns a host's state, updated by later heartbeats that other hosts received."""
         seen_s = self._sightings.seen_s(start_of(observed.heartbeat.incarnation))
-        # LEAVING is final, whatever others received before.
+        # LEAVING is final for an incarnation, whatever others received before.
         if seen_s <= observed.received_s or observed.heartbeat.phase == HostPhase.LEAVING:
             return observed
         if observed.heartbeat.phase == HostPhase.READY and not observed.heartbeat.is_cut_off:
@@ -225,7 +225,7 @@
 
     def _observed_addresses(self) -> set[str]:
         """Returns the addresses of hosts that were seen and not removed since."""
-        observed = {one.heartbeat.gossip_address for one in self._observed_by_host.values()}
+        observed = {host.heartbeat.gossip_address for host in self._observed_by_host.values()}
         return observed & self._last_seen_by_address.keys()
 
     def say_now(self) -> None:
@@ -272,7 +272,7 @@
     def _unseen_addresses(self) -> list[str]:
         """Returns the addresses from which no heartbeat was received."""
         observed = self._observed_addresses()
-        return [one for one in self._last_seen_by_address if one not in observed]
+        return [address for address in self._last_seen_by_address if address not in observed]
 
     def _split_by_hall(self) -> tuple[list[str], list[str]]:
         """Returns the addresses of seen hosts of the own hall, and of all others."""
@@ -282,16 +282,18 @@
             for observed in self._observed_by_host.values()
             if observed.heartbeat.hall == self._settings.hall
         }
-        near = [one for one in self._last_seen_by_address if one in near_addresses]
+        near = [address for address in self._last_seen_by_address if address in near_addresses]
         return near, [
-            one
-            for one in self._last_seen_by_address
-            if one in observed_addresses and one not in near_addresses
+            address
+            for address in self._last_seen_by_address
+            if address in observed_addresses and address not in near_addresses
         ]
 
     def _least_recently_sent(self, addresses: list[str], count: int) -> list[str]:
         """Returns the addresses to which heartbeats were sent longest ago."""
-        chosen = sorted(addresses, key=lambda one: self._sent_beat_by_address.get(one, 0))[:count]
+        chosen = sorted(addresses, key=lambda address: self._sent_beat_by_address.get(address, 0))[
+            :count
+        ]
         for address in chosen:
             self._sent_beat_by_address[address] = self.me.beat
         return chosen
--- a/src/bayhinge/_internal/services/key_follower.py
+++ b/src/bayhinge/_internal/services/key_follower.py
@@ -45,8 +45,8 @@
 """Time for the own watch to return a revision that a peer has seen, before it is fetched."""
 
 UNWATCHED_FETCH_DELAY_S = 0.03
-"""The same for a host without a watch or without any state; changes that come together are
-fetched at once."""
+"""The same for a host without a watch or without any state; changes that come together need only
+one fetch."""
 
 DUTY_CHECK_S = 0.6
 """How often a host without a watch checks whether it should watch."""
@@ -90,7 +90,7 @@
 
 
 class KeyFollower:
-    """Follows one prefix."""
+    """Keeps a copy of the objects under one prefix up to date."""
 
     def __init__(
         self,
@@ -217,7 +217,7 @@
         return asyncio.get_running_loop().time() - self._call_started_s
 
     def _renew(self) -> None:
-        """Renews the pending call: the store was unavailable since it was sent, and is back."""
+        """Cancels the pending call, so that :meth:`run` sends a new one."""
         poll = self._poll
         if (
             poll is None
@@ -307,7 +307,7 @@
         self.heard_s = asyncio.get_running_loop().time()
         self._has_state.set()
         if state.is_after_outage:
-            # Peers that get the state from here are told too; half the time, so that it fades out.
+            # Passed on to peers that fetch from here, but for half the time, so that it dies out.
             self._reported_return_s = max(
                 self._reported_return_s, self.heard_s - AFTER_OUTAGE_S / 2
             )
--- a/src/bayhinge/_internal/services/owner.py
+++ b/src/bayhinge/_internal/services/owner.py
@@ -61,7 +61,7 @@
 
 logger = logging.getLogger(__name__)
 
-BUDGET_RETRY_S = 5.0
+BUDGET_RETRY_AFTER_S = 5.0
 
 
 @attrs.frozen
@@ -237,7 +237,7 @@
             raise
         finally:
             if admitted.reservation is not None:
-                # The use of a cancelled call is unknown, so its worst case is charged.
+                # What an interrupted call used is unknown, so its worst case is charged.
                 units = admitted.reservation.units
                 self._parts.escrow.settle(admitted.reservation, units if used is None else used)
         await self._finish(program, running, admitted, result)
@@ -433,7 +433,7 @@
         Figure("needed_tokens", error.wanted),
         Figure("free_on_this_host", error.available),
         Figure("budget_tokens", account.budget_tokens),
-        retry_after_s=BUDGET_RETRY_S,
+        retry_after_s=BUDGET_RETRY_AFTER_S,
     )
 
 
--- a/src/bayhinge/_internal/services/owner_parts.py
+++ b/src/bayhinge/_internal/services/owner_parts.py
@@ -27,7 +27,7 @@
 from bayhinge.coordination.journal import Journal
 from bayhinge.coordination.journal_reader import JournalReader
 
-STORE_RETRY_S = 2.0
+STORE_RETRY_AFTER_S = 2.0
 """``retry_after_s`` of refusals while the store is unavailable."""
 
 
@@ -86,7 +86,7 @@
     return attempt.refuse(
         RefusalCode.STORE_UNAVAILABLE,
         f"the platform's object store is needed for this call: {error}",
-        retry_after_s=STORE_RETRY_S,
+        retry_after_s=STORE_RETRY_AFTER_S,
     )
 
 
@@ -101,7 +101,7 @@
     return refuse_unaccepted(
         RefusalCode.CONFIG_UNKNOWN,
         "this host's configuration may be stale, so it opens no programs",
-        retry_after_s=STORE_RETRY_S,
+        retry_after_s=STORE_RETRY_AFTER_S,
     )
 
 
@@ -110,7 +110,7 @@
     return refuse_unaccepted(
         RefusalCode.STORE_UNAVAILABLE,
         "the platform's object store does not answer, so the program's opening can't be recorded",
-        retry_after_s=STORE_RETRY_S,
+        retry_after_s=STORE_RETRY_AFTER_S,
     )
 
 
@@ -121,5 +121,5 @@
         "the client account has reached its limit of running programs on this host",
         Figure("programs", count),
         Figure("max_programs", limit),
-        retry_after_s=STORE_RETRY_S,
+        retry_after_s=STORE_RETRY_AFTER_S,
     )
--- a/src/bayhinge/_internal/services/remote_grants.py
+++ b/src/bayhinge/_internal/services/remote_grants.py
@@ -34,7 +34,7 @@
 NOTIFY_ATTEMPTS = 5
 NOTIFY_MAX_BACKOFF_S = 4.0
 """Retries last some ten seconds: longer than a reconnection or the detection of a dead dispatcher.
-A dispatcher that misses a call's end counts it as running until this process ends."""
+A dispatcher that misses a call's end counts the call as running until the owner's process ends."""
 
 
 class RemoteGrants(GrantSource):
