--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -134,7 +134,7 @@
         always(True, lambda: bool(gossip.fresh(HostRole.ENTRY)))
         always(True, lambda: bool(gossip.taking_callers()))
         gossip._forget_silent()
-        assert gossip._heard_addresses()
+        assert gossip._observed_addresses()
         await asyncio.sleep(2.5)
         always(False, lambda: bool(gossip.fresh(HostRole.ENTRY)))
         always(False, lambda: bool(gossip.taking_callers()))
