--- a/src/bayhinge/_internal/services/adoption.py
+++ b/src/bayhinge/_internal/services/adoption.py
@@ -199,12 +199,12 @@
                 return
             contents = await self._parts.reader.read_sealed(incarnation)
             states = replay_journal(contents)
-            mine = [
+            own_share = [
                 state
                 for state in states.values()
                 if choose(str(state.program_id), seal.successors) == me
             ]
-            await self._adopt(incarnation, mine)
+            await self._adopt(incarnation, own_share)
             self._adopted.add(incarnation)
         await self._settle_grants(incarnation, seal, states.values())
 
--- a/src/bayhinge/_internal/services/call_records.py
+++ b/src/bayhinge/_internal/services/call_records.py
@@ -13,20 +13,20 @@
 def finished_record(
     state: ProgramState,
     prepared: PreparedCall,
-    new: NewMessages | None,
+    new_messages: NewMessages | None,
     result: CallResult,
     text: str,
 ) -> wire.CallFinished:
     """Builds the record of a call with a complete answer."""
     call = prepared.call
-    kind = CallKind.MODEL if new is not None else CallKind.SERVICE
+    kind = CallKind.MODEL if new_messages is not None else CallKind.SERVICE
     messages: tuple[bytes, ...] = ()
     count, digest = state.message_count, state.history_digest
-    if new is not None:
+    if new_messages is not None:
         answer = assistant_message(text, result.end.tool_calls)
-        messages = new.messages
-        count = (0 if new.rewrite else count) + len(messages) + 1
-        digest = extend_digest(new.digest, [answer])
+        messages = new_messages.messages
+        count = (0 if new_messages.rewrite else count) + len(messages) + 1
+        digest = extend_digest(new_messages.digest, [answer])
     return wire.CallFinished(
         str(state.program_id),
         prepared.index,
@@ -34,7 +34,7 @@
         call.idempotency_key,
         WIRE_KIND[kind],
         list(messages),
-        new is not None and new.rewrite,
+        new_messages is not None and new_messages.rewrite,
         count,
         digest,
         end_to_wire(result.end),
--- a/src/bayhinge/_internal/services/call_runner.py
+++ b/src/bayhinge/_internal/services/call_runner.py
@@ -71,13 +71,13 @@
     tool_calls: list[dict[str, object]] = attrs.field(factory=list)
     usage: Usage = attrs.field(factory=Usage)
     finish_reason: str = DEFAULT_FINISH_REASON
-    tries: int = 0
+    attempts: int = 0
     failed_tokens: int = 0
 
     def begin_attempt(self) -> None:
         """Clears everything but text that a failed attempt has collected."""
         self.attempt.note_send()
-        self.tries += 1
+        self.attempts += 1
         self.tool_calls.clear()
         self.usage = Usage()
         self.finish_reason = DEFAULT_FINISH_REASON
@@ -161,7 +161,7 @@
         patience_s = prepared.deadline - now
         if patience_s <= 0:
             why = "the caller's patience ran out before an endpoint answered"
-            figures = (Figure("tries", progress.tries),)
+            figures = (Figure("tries", progress.attempts),)
             raise RefusedError(
                 progress.attempt.refuse(
                     RefusalCode.PATIENCE_EXCEEDED, why, *figures, retry_after_s=RETRY_AFTER_S
@@ -304,7 +304,7 @@
                 await before_send(granted.endpoint, progress.attempt)
             timeout_s = min(settings.timeout_seconds, max(0.05, prepared.deadline - loop.time()))
             progress.attempt.note_send()
-            progress.tries += 1
+            progress.attempts += 1
             answer = await self._endpoints.call_service(
                 granted.endpoint, granted.address, work, timeout_s
             )
@@ -342,7 +342,7 @@
             prepared,
             "attempt failed",
             error.why,
-            Figure("tries", progress.tries),
+            Figure("tries", progress.attempts),
             Figure("may_have_run", float(error.may_have_run)),
             endpoint=error.endpoint,
         )
@@ -352,16 +352,16 @@
                 "the call may not be repeated, and it may have run"
             )
             raise RefusedError(attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, why)) from error
-        if progress.tries >= MAX_ATTEMPTS or len(progress.avoid) > MAX_ATTEMPTS:
-            why = f"endpoints failed {progress.tries} times, the last one: {error.why}"
-            figures = (Figure("tries", progress.tries),)
+        if progress.attempts >= MAX_ATTEMPTS or len(progress.avoid) > MAX_ATTEMPTS:
+            why = f"endpoints failed {progress.attempts} times, the last one: {error.why}"
+            figures = (Figure("tries", progress.attempts),)
             raise RefusedError(
                 attempt.refuse(
                     RefusalCode.ENDPOINT_FAILED, why, *figures, retry_after_s=RETRY_AFTER_S
                 )
             ) from error
         if not error.draining:
-            max_s = FIRST_BACKOFF_S * 2**progress.tries
+            max_s = FIRST_BACKOFF_S * 2**progress.attempts
             await asyncio.sleep(max_s * (0.5 + self._random_unit() / 2))
 
     def _record(
--- a/src/bayhinge/_internal/services/owner.py
+++ b/src/bayhinge/_internal/services/owner.py
@@ -69,7 +69,7 @@
     """A call that has passed every check, with its budget reserved."""
 
     prepared: PreparedCall
-    new: NewMessages | None
+    new_messages: NewMessages | None
     reservation: Reservation | None
 
 
@@ -260,28 +260,28 @@
             raise RefusedError(refusal)
         if not isinstance(call.work, ModelCall):
             return _Admitted(PreparedCall(state, account, call, index, (), deadline), None, None)
-        new = find_new_messages(state, call.work)
-        if new.is_error():
-            raise RefusedError(new.error)
-        prompt = await self._prompt(state, call.work, new.ok)
+        new_messages = find_new_messages(state, call.work)
+        if new_messages.is_error():
+            raise RefusedError(new_messages.error)
+        prompt = await self._build_prompt(state, call.work, new_messages.ok)
         reservation = await self._reserve(account, call.work, prompt)
 
         async def extend_budget(units: int, attempt: CallAttempt) -> None:
-            await self._extend(account, reservation, units, attempt)
+            await self._extend_reservation(account, reservation, units, attempt)
 
         prepared = PreparedCall(state, account, call, index, prompt, deadline, extend_budget)
-        return _Admitted(prepared, new.ok, reservation)
+        return _Admitted(prepared, new_messages.ok, reservation)
 
-    async def _prompt(
-        self, state: ProgramState, work: ModelCall, new: NewMessages
+    async def _build_prompt(
+        self, state: ProgramState, work: ModelCall, new_messages: NewMessages
     ) -> tuple[bytes, ...]:
-        if new.rewrite or not state.message_count:
-            return new.messages
-        if len(work.messages) > len(new.messages):
+        if new_messages.rewrite or not state.message_count:
+            return new_messages.messages
+        if len(work.messages) > len(new_messages.messages):
             # The caller sent the whole list, and its start matches the recorded history.
             return work.messages
         try:
-            return (*await self._parts.histories.get(state), *new.messages)
+            return (*await self._parts.histories.get(state), *new_messages.messages)
         except CoordinationError as error:
             raise RefusedError(refuse_for_store(CallAttempt(), error)) from error
 
@@ -294,7 +294,7 @@
         except CoordinationError as error:
             raise RefusedError(_refuse_for_budget(account, CallAttempt(), error)) from error
 
-    async def _extend(
+    async def _extend_reservation(
         self, account: ClientAccount, reservation: Reservation, units: int, attempt: CallAttempt
     ) -> None:
         """Reserves the tokens of a failed attempt before the call is sent again."""
@@ -369,7 +369,7 @@
     ) -> None:
         state = program.state
         finished = finished_record(
-            state, admitted.prepared, admitted.new, result, running.live.text
+            state, admitted.prepared, admitted.new_messages, result, running.live.text
         )
         try:
             position = await self._parts.journal.append(encode_finished(finished))
@@ -377,10 +377,10 @@
             attempt = CallAttempt(sends=1, answered=True)
             raise RefusedError(refuse_for_store(attempt, error)) from error
         entry = apply_finished(state, finished, position)
-        if admitted.new is not None:
+        if admitted.new_messages is not None:
             answer = assistant_message(running.live.text, result.end.tool_calls)
-            messages = (*admitted.new.messages, answer)
-            self._parts.histories.append(state, messages, admitted.new.rewrite)
+            messages = (*admitted.new_messages.messages, answer)
+            self._parts.histories.append(state, messages, admitted.new_messages.rewrite)
         self._parts.timeline.record(
             Mechanism.OWNER,
             "finished",
--- a/src/bayhinge/_internal/services/program_opener.py
+++ b/src/bayhinge/_internal/services/program_opener.py
@@ -43,8 +43,8 @@
         """Opens a program of one call, which becomes durable with that call."""
         if self._is_leaving:
             return await self._open_at_peer(account, None, None)
-        begun = self._parts.registry.begin(account, None, None)
-        return begun.map(lambda item: str(item.program.state.program_id))
+        opened = self._parts.registry.open_nowait(account, None, None)
+        return opened.map(lambda item: str(item.program.state.program_id))
 
     @property
     def _is_leaving(self) -> bool:
--- a/src/bayhinge/_internal/services/program_registry.py
+++ b/src/bayhinge/_internal/services/program_registry.py
@@ -92,7 +92,7 @@
         self, account: ClientAccount, parent: str | None, idempotency_key: str | None
     ) -> Result[OwnedProgram, Refusal]:
         """Opens a program; it is durable when this returns."""
-        opened = self.begin(account, parent, idempotency_key)
+        opened = self.open_nowait(account, parent, idempotency_key)
         if opened.is_error():
             return Error(opened.error)
         try:
@@ -106,7 +106,7 @@
             return Error(refuse_unrecorded())
         return Ok(opened.ok.program)
 
-    def begin(
+    def open_nowait(
         self, account: ClientAccount, parent: str | None, idempotency_key: str | None
     ) -> Result[OpenedProgram, Refusal]:
         """Opens a program without waiting until it is durable.
--- a/src/bayhinge/_internal/services/queue_dispatcher.py
+++ b/src/bayhinge/_internal/services/queue_dispatcher.py
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class DispatcherGrant:
-    """A dispatcher's reply to an offer that was granted."""
+    """The grant of an endpoint, as a dispatcher replies it."""
 
     grant: str
     endpoint: str
@@ -48,7 +48,7 @@
     """The schedulers of the cells that this host dispatches."""
 
     def __init__(self, settings: Settings, endpoints: EndpointClient, timeline: Timeline) -> None:
-        """Starts without cells; they are created on first use."""
+        """Starts without cells; schedulers are created on first use."""
         self._settings = settings
         self._endpoints = endpoints
         self._timeline = timeline
@@ -71,7 +71,7 @@
         self._listed_by_pool = by_pool
         now = _now()
         for cell, scheduler in self._schedulers_by_cell.items():
-            self._carry_out(scheduler.set_endpoints(self._listed(cell), now))
+            self._execute(scheduler.set_endpoints(self._listed(cell), now))
 
     def cell_of(self, pool: str, program: str) -> str:
         """Returns the cell that a program's calls to a pool go to."""
@@ -90,12 +90,12 @@
         scheduler = self._scheduler(cell)
         future: asyncio.Future[DispatcherGrant] = asyncio.get_running_loop().create_future()
         self._futures_by_grant[offer.grant] = future
-        self._carry_out(scheduler.offer(offer, _now()))
+        self._execute(scheduler.offer(offer, _now()))
         try:
             return await future
         except asyncio.CancelledError:
             # The owner disconnected or cancelled the request: release a slot already granted.
-            self._carry_out(scheduler.done(Done(offer.grant, Outcome.CANCELLED), _now()))
+            self._execute(scheduler.done(Done(offer.grant, Outcome.CANCELLED), _now()))
             raise
         finally:
             self._futures_by_grant.pop(offer.grant, None)
@@ -104,25 +104,25 @@
         """Releases a grant."""
         scheduler = self._schedulers_by_cell.get(cell)
         if scheduler is not None:
-            self._carry_out(scheduler.done(done, _now()))
+            self._execute(scheduler.done(done, _now()))
 
     def program_ended(self, cell: str, program: str) -> None:
         """Releases the cache that endpoints hold for a program."""
         scheduler = self._schedulers_by_cell.get(cell)
         if scheduler is not None:
-            self._carry_out(scheduler.program_ended(program, _now()))
+            self._execute(scheduler.program_ended(program, _now()))
 
     def owner_died(self, incarnation: str) -> None:
         """Releases the grants of a dead owner."""
         for scheduler in self._schedulers_by_cell.values():
-            self._carry_out(scheduler.owner_died(incarnation, _now()))
+            self._execute(scheduler.owner_died(incarnation, _now()))
 
     async def run(self) -> None:
         """Ticks the schedulers until it is cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             for scheduler in self._schedulers_by_cell.values():
-                self._carry_out(scheduler.tick(_now()))
+                self._execute(scheduler.tick(_now()))
 
     def engines(self) -> list[EndpointView]:
         """Returns the engines of the cells that this host dispatches."""
@@ -141,14 +141,14 @@
             for view in list(scheduler.endpoints_by_name.values()):
                 load = await self._endpoints.load(view.address)
                 if load is not None:
-                    self._carry_out(scheduler.take_load(view.name, load, _now()))
+                    self._execute(scheduler.take_load(view.name, load, _now()))
 
     def _scheduler(self, cell: str) -> CellScheduler:
         scheduler = self._schedulers_by_cell.get(cell)
         if scheduler is None:
             scheduler = CellScheduler(self._cell_settings(cell))
             self._schedulers_by_cell[cell] = scheduler
-            self._carry_out(scheduler.set_endpoints(self._listed(cell), _now()))
+            self._execute(scheduler.set_endpoints(self._listed(cell), _now()))
             self._timeline.record(
                 Mechanism.QUEUE, "became queue home", f"cell {cell} hashes to this host"
             )
@@ -171,7 +171,7 @@
         limit = 32 if service is None else service.max_running
         return CellSettings(limit, order="first-come", placement="least-loaded")
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in actions:
             if isinstance(action, Grant):
                 self._grant(action)
