--- a/src/bayhinge/_internal/commands/accept_call.py
+++ b/src/bayhinge/_internal/commands/accept_call.py
@@ -73,7 +73,7 @@
 
 def decide_call(state: ProgramState, call: Call, running: RunningView | None) -> Decision:
     """Decides on a call of a living program."""
-    known = _find_known(state, call, running)
+    known = _find_earlier_call(state, call, running)
     if known is not None:
         return known
     if state.ended is not None:
@@ -83,41 +83,43 @@
     if running is not None:
         if call.index is None or index <= running.index + MAX_AHEAD:
             return AwaitTurn(index)
-        return RefuseCall(_gap(state, index))
+        return RefuseCall(_index_gap_refusal(state, index))
     if index > state.next_index:
         return (
             AwaitTurn(index)
             if index <= state.next_index + MAX_AHEAD
-            else RefuseCall(_gap(state, index))
+            else RefuseCall(_index_gap_refusal(state, index))
         )
     return RunCall(state.next_index)
 
 
-def _find_known(state: ProgramState, call: Call, running: RunningView | None) -> Decision | None:
+def _find_earlier_call(
+    state: ProgramState, call: Call, running: RunningView | None
+) -> Decision | None:
     """Finds a call that was made before, by its idempotency key or its index."""
     if call.idempotency_key is not None:
         if running is not None and running.idempotency_key == call.idempotency_key:
-            return _same(running.digest, call, JoinCall(running.index))
-        entry = state.find_key(call.idempotency_key)
+            return _check_same_request(running.digest, call, JoinCall(running.index))
+        entry = state.find_by_idempotency_key(call.idempotency_key)
         if entry is not None:
-            return _same(entry.digest, call, ReplayCall(entry))
+            return _check_same_request(entry.digest, call, ReplayCall(entry))
     if call.index is not None:
         if running is not None and running.index == call.index:
-            return _same(running.digest, call, JoinCall(running.index))
+            return _check_same_request(running.digest, call, JoinCall(running.index))
         if call.index < state.next_index:
             entry = state.calls[call.index]
-            return _same(entry.digest, call, ReplayCall(entry))
+            return _check_same_request(entry.digest, call, ReplayCall(entry))
     return None
 
 
-def _same(digest: str, call: Call, decision: Decision) -> Decision:
+def _check_same_request(digest: str, call: Call, decision: Decision) -> Decision:
     if digest == call.digest:
         return decision
     why = "another request was made with this index or idempotency key"
     return RefuseCall(refuse_unaccepted(RefusalCode.INDEX_REUSED, why))
 
 
-def _gap(state: ProgramState, index: int) -> Refusal:
+def _index_gap_refusal(state: ProgramState, index: int) -> Refusal:
     why = f"call {index} was made, and the next one is {state.next_index}"
     return refuse_unaccepted(RefusalCode.INDEX_GAP, why, Figure("next_index", state.next_index))
 
@@ -138,7 +140,7 @@
             Figure("spent_tokens", state.spend),
             Figure("max_program_tokens", account.max_program_tokens),
         )
-    repeated = state.repeated(call.digest)
+    repeated = state.count_repeats(call.digest)
     if repeated >= account.max_repeated_calls:
         yield refuse_unaccepted(
             RefusalCode.LOOP_DETECTED,
--- a/src/bayhinge/_internal/models/accounts.py
+++ b/src/bayhinge/_internal/models/accounts.py
@@ -13,11 +13,11 @@
 from bayhinge._internal.models.schema import (
     Digests,
     Field,
+    Integer,
     Name,
     Names,
     Number,
     SectionSchema,
-    Whole,
     Words,
     check_section,
     read_section,
@@ -33,16 +33,16 @@
 
 
 PARAMETERS = (
-    Field("budget_tokens", Whole(0, 10**15), "1000000", "tokens that the account may spend"),
-    Field("priority", Whole(0, 9), "5", "0 to 9; a higher one goes first"),
+    Field("budget_tokens", Integer(0, 10**15), "1000000", "tokens that the account may spend"),
+    Field("priority", Integer(0, 9), "5", "0 to 9; a higher one goes first"),
     Field("weight", Number(0.01, 1000), "1", "share against other accounts of equal priority"),
     Field("models", Words(), "", "models that it may use; empty: none"),
     Field("services", Names(), "", "plain services that it may use; empty: none"),
     Field("patience_seconds", Number(0.1, 86_400), "60", "longest wait for one call"),
-    Field("max_calls", Whole(1, 100_000), "200", "calls of one program"),
-    Field("max_program_tokens", Whole(1, 10**12), "1000000", "tokens of one program"),
-    Field("max_repeated_calls", Whole(1, 1000), "5", "equal calls in a row that mean a loop"),
-    Field("max_programs", Whole(1, 10**6), "1000", "programs under way on one host"),
+    Field("max_calls", Integer(1, 100_000), "200", "calls of one program"),
+    Field("max_program_tokens", Integer(1, 10**12), "1000000", "tokens of one program"),
+    Field("max_repeated_calls", Integer(1, 1000), "5", "equal calls in a row that mean a loop"),
+    Field("max_programs", Integer(1, 10**6), "1000", "programs under way on one host"),
 )
 TEMPLATE = SectionSchema(ConfigKind.TEMPLATE, PARAMETERS)
 ACCOUNT = SectionSchema(
--- a/src/bayhinge/_internal/models/programs.py
+++ b/src/bayhinge/_internal/models/programs.py
@@ -72,7 +72,7 @@
         """How many messages the recorded history has."""
         return self.calls[-1].message_count if self.calls else 0
 
-    def repeated(self, digest: str) -> int:
+    def count_repeats(self, digest: str) -> int:
         """Returns how many calls at the end of the program equal ``digest``."""
         count = 0
         for seen in reversed(self.recent_digests):
@@ -81,6 +81,6 @@
             count += 1
         return count
 
-    def find_key(self, idempotency_key: str) -> CallEntry | None:
+    def find_by_idempotency_key(self, idempotency_key: str) -> CallEntry | None:
         """Returns the recorded call that bore an idempotency key."""
         return next((call for call in self.calls if call.idempotency_key == idempotency_key), None)
--- a/src/bayhinge/_internal/models/routed_requests.py
+++ b/src/bayhinge/_internal/models/routed_requests.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class HeadFinding:
+class HeaderFinding:
     """Something in a request's head that can't be used; ``why`` names the place and the value."""
 
     field: RequestField
@@ -79,7 +79,7 @@
     parts: tuple[PromptPart, ...] = ()
     affinity: str | None = None
     resume_after: int | None = None
-    findings: tuple[HeadFinding, ...] = ()
+    findings: tuple[HeaderFinding, ...] = ()
     body: bytes = b""
     credentials: RawHeaders = attrs.field(default=(), repr=False)
     key_sha256: str | None = None
--- a/src/bayhinge/_internal/models/routing.py
+++ b/src/bayhinge/_internal/models/routing.py
@@ -88,16 +88,16 @@
 
 
 @attrs.frozen
-class EngineTraits:
+class EngineSpec:
     """What the engines of a service have in common.
 
     Attributes:
         tokens_per_event: tokens that one event of a stream counts for.
-        memory_tokens: tokens that an engine's memory holds.
+        kv_cache_tokens: tokens that an engine's memory holds.
     """
 
     slots: int
-    memory_tokens: int
+    kv_cache_tokens: int
     tokens_per_event: int
 
 
@@ -107,11 +107,11 @@
 
     name: str
     max_connections: int
-    engine: EngineTraits | None = None
+    engine: EngineSpec | None = None
 
 
 @attrs.frozen
-class FrontLimits:
+class RequestLimits:
     """What callers may send."""
 
     body_bytes: int = 4_194_304
@@ -127,14 +127,14 @@
     version: int
     routes: tuple[Route | ClosedRoute, ...]
     services_by_name: dict[str, ServiceSpec]
-    limits: FrontLimits
+    limits: RequestLimits
     findings: tuple[str, ...] = ()
     accounts: AccountTable | None = None
-    _route_by_place: dict[tuple[str, str], Route | ClosedRoute] = attrs.field(
+    _route_by_host_and_prefix: dict[tuple[str, str], Route | ClosedRoute] = attrs.field(
         init=False, eq=False, repr=False
     )
 
-    @_route_by_place.default
+    @_route_by_host_and_prefix.default
     def _index_routes(self) -> dict[tuple[str, str], Route | ClosedRoute]:
         # Backwards, so that of two routes in one place the first one stays.
         return {(route.host, route.path_prefix): route for route in reversed(self.routes)}
@@ -147,7 +147,7 @@
         """
         end = path.rfind("/")
         while end >= 0:
-            route = self._route_by_place.get((host, path[: end + 1]))
+            route = self._route_by_host_and_prefix.get((host, path[: end + 1]))
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
--- a/src/bayhinge/_internal/models/schema.py
+++ b/src/bayhinge/_internal/models/schema.py
@@ -21,7 +21,7 @@
 _MAX_PORT = 65_535
 
 
-class Kind(ABC, Generic[Value]):
+class ValueType(ABC, Generic[Value]):
     """A type of value: reads a text, or says what is wrong with it."""
 
     @abstractmethod
@@ -34,43 +34,43 @@
 
 
 @attrs.frozen
-class Text(Kind[str]):
+class Text(ValueType[str]):
     """Any text."""
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return Ok(text.strip())
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "text"
 
 
 @attrs.frozen
-class Name(Kind[str]):
+class Name(ValueType[str]):
     """A name of small letters, digits and hyphens."""
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         name = text.strip()
         if NAME_PATTERN.fullmatch(name) is None:
             return Error(f"'{name}' is no name: use small letters, digits and hyphens")
         return Ok(name)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "name"
 
 
 @attrs.frozen
-class Number(Kind[float]):
+class Number(ValueType[float]):
     """A number between bounds."""
 
     least: float
     most: float
 
     def read(self, text: str) -> Result[float, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         try:
             value = float(text)
         except ValueError:
@@ -80,19 +80,19 @@
         return Ok(value)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return f"number, {self.least:g} to {self.most:g}"
 
 
 @attrs.frozen
-class Whole(Kind[int]):
+class Integer(ValueType[int]):
     """A whole number between bounds."""
 
     least: int
     most: int
 
     def read(self, text: str) -> Result[int, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         try:
             value = int(text.replace("_", ""))
         except ValueError:
@@ -102,16 +102,16 @@
         return Ok(value)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return f"whole number, {self.least} to {self.most}"
 
 
 @attrs.frozen
-class Flag(Kind[bool]):
+class Flag(ValueType[bool]):
     """Yes or no."""
 
     def read(self, text: str) -> Result[bool, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         word = text.strip().lower()
         if word in {"yes", "true", "on"}:
             return Ok(True)
@@ -120,34 +120,34 @@
         return Error(f"'{text}' is neither yes nor no")
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "yes or no"
 
 
 @attrs.frozen
-class Choice(Kind[str]):
+class Choice(ValueType[str]):
     """One of some words."""
 
     words: tuple[str, ...]
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         word = text.strip()
         if word not in self.words:
             return Error(f"'{word}' is none of {', '.join(self.words)}")
         return Ok(word)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return " or ".join(self.words)
 
 
 @attrs.frozen
-class Names(Kind[tuple[str, ...]]):
+class Names(ValueType[tuple[str, ...]]):
     """Names separated by commas."""
 
     def read(self, text: str) -> Result[tuple[str, ...], str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         names = tuple(part.strip() for part in text.split(",") if part.strip())
         for name in names:
             if NAME_PATTERN.fullmatch(name) is None:
@@ -155,29 +155,29 @@
         return Ok(names)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "names, separated by commas"
 
 
 @attrs.frozen
-class Words(Kind[tuple[str, ...]]):
+class Words(ValueType[tuple[str, ...]]):
     """Words separated by commas."""
 
     def read(self, text: str) -> Result[tuple[str, ...], str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return Ok(tuple(part.strip() for part in text.split(",") if part.strip()))
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "words, separated by commas"
 
 
 @attrs.frozen
-class Digests(Kind[tuple[str, ...]]):
+class Digests(ValueType[tuple[str, ...]]):
     """SHA-256 digests in hexadecimal, separated by commas."""
 
     def read(self, text: str) -> Result[tuple[str, ...], str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         digests = tuple(part.strip().lower() for part in text.split(",") if part.strip())
         for position, digest in enumerate(digests, start=1):
             if _DIGEST.fullmatch(digest) is None:
@@ -186,16 +186,16 @@
         return Ok(digests)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "SHA-256 digests in hexadecimal, separated by commas"
 
 
 @attrs.frozen
-class Address(Kind[str]):
+class Address(ValueType[str]):
     """An IP number with a port."""
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         host, separator, port = text.strip().rpartition(":")
         if not separator or not port.isdigit() or int(port) > _MAX_PORT:
             return Error(f"'{text}' is no address: write an IP number and a port, 10.0.0.5:8100")
@@ -204,23 +204,23 @@
         return Ok(text.strip())
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "IP number and port"
 
 
 @attrs.frozen
-class Url(Kind[str]):
+class Url(ValueType[str]):
     """An HTTP address."""
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         url = text.strip().rstrip("/")
         if not re.match(r"https?://[^/]+", url):
             return Error(f"'{url}' is no HTTP address")
         return Ok(url)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "HTTP address"
 
 
@@ -229,7 +229,7 @@
     """One key of a section. ``default`` is a text as in the file; None: the key is required."""
 
     key: str
-    kind: Kind[Any]
+    kind: ValueType[Any]
     default: str | None
     meaning: str
 
@@ -247,7 +247,7 @@
 
 
 @attrs.frozen
-class ReadSection:
+class ParsedSection:
     """A section's values by key, defaults included, and which keys stood in the text."""
 
     values_by_key: dict[str, object]
@@ -280,11 +280,11 @@
             yield Finding(place, "the key is missing", field.meaning)
 
 
-def read_section(schema: SectionSchema, section: IniSection | None) -> ReadSection:
+def read_section(schema: SectionSchema, section: IniSection | None) -> ParsedSection:
     """Reads a section that :func:`check_section` found nothing wrong with."""
     texts = {} if section is None else section.values_by_key
     values: dict[str, object] = {}
     for field in schema.fields:
         text = texts[field.key].text if field.key in texts else field.default
         values[field.key] = field.kind.read(text or "").ok
-    return ReadSection(values, frozenset(texts))
+    return ParsedSection(values, frozenset(texts))
--- a/src/bayhinge/_internal/network/datagrams.py
+++ b/src/bayhinge/_internal/network/datagrams.py
@@ -7,10 +7,10 @@
 class Datagrams(asyncio.DatagramProtocol):
     """Hands each datagram on as it comes."""
 
-    def __init__(self, take: Callable[[bytes], None]) -> None:
+    def __init__(self, on_datagram: Callable[[bytes], None]) -> None:
         """Takes what is done with a datagram's bytes."""
-        self._take = take
+        self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: object) -> None:
         """See :class:`asyncio.DatagramProtocol`."""
-        self._take(data)
+        self._on_datagram(data)
--- a/src/bayhinge/_internal/network/endpoint_client.py
+++ b/src/bayhinge/_internal/network/endpoint_client.py
@@ -151,21 +151,21 @@
 
     async def cancel(self, address: str, request_id: str) -> None:
         """See :class:`EndpointClient`."""
-        await self._quietly("DELETE", f"{address}/v1/requests/{request_id}", None)
+        await self._request_ignoring_errors("DELETE", f"{address}/v1/requests/{request_id}", None)
 
     async def release(self, address: str, program: str) -> None:
         """See :class:`EndpointClient`."""
         body = orjson.dumps({"program": program})
-        await self._quietly("POST", f"{address}/v1/kv/release", body)
+        await self._request_ignoring_errors("POST", f"{address}/v1/kv/release", body)
 
     async def held(self, address: str) -> list[str] | None:
         """See :class:`EndpointClient`."""
-        answer = await self._quietly("GET", f"{address}/v1/kv/held", None)
+        answer = await self._request_ignoring_errors("GET", f"{address}/v1/kv/held", None)
         return None if answer is None else [str(item["program"]) for item in answer["held"]]
 
     async def load(self, address: str) -> EndpointLoad | None:
         """See :class:`EndpointClient`."""
-        answer = await self._quietly("GET", f"{address}/v1/load", None)
+        answer = await self._request_ignoring_errors("GET", f"{address}/v1/load", None)
         if answer is None:
             return None
         return EndpointLoad(
@@ -198,7 +198,9 @@
             why = str(error) or type(error).__name__
             raise EndpointError(endpoint, why, may_have_run=True) from error
 
-    async def _quietly(self, method: str, url: str, body: bytes | None) -> dict[str, Any] | None:
+    async def _request_ignoring_errors(
+        self, method: str, url: str, body: bytes | None
+    ) -> dict[str, Any] | None:
         if self._is_closed:
             return None
         timeout = call_timeout(self._times.connect_s * 2)
--- a/src/bayhinge/_internal/network/endpoint_link.py
+++ b/src/bayhinge/_internal/network/endpoint_link.py
@@ -27,7 +27,7 @@
     UnreachableError,
 )
 from bayhinge._internal.utils.running_time import running_timeout
-from bayhinge._internal.utils.silence import bound_silence
+from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
 
 READ_BUFFER_BYTES = 65_536
 """Bytes of a body that are held before the endpoint is made to wait."""
@@ -35,21 +35,21 @@
 MAX_HEADER_BYTES = 32_768
 """Longest header line that is taken from an endpoint."""
 
-CONNECT_S = 0.6
+CONNECT_TIMEOUT_S = 0.6
 """Time to connect: a handshake takes milliseconds, a lost packet is sent again after 1 s."""
 
-IDLE_S = 3.0
+DEFAULT_KEEPALIVE_S = 3.0
 """Seconds that a kept connection is reused where the endpoint names no time."""
 
-IDLE_SHARE = 0.8
+KEEPALIVE_FRACTION = 0.8
 """Part of the endpoint's own time that is used, so that a close does not cross a request. Times are
 whole seconds, five or more on the users' sites, and a close crosses within milliseconds."""
 
-UNACKNOWLEDGED_S = 3.0
+TCP_USER_TIMEOUT_S = 3.0
 """Sent bytes that stay without an acknowledgement for so long end the connection. Long, because a
 request that must not be repeated has nothing to gain from an earlier end."""
 
-REPEATABLE_UNACKNOWLEDGED_S = 0.6
+RETRYABLE_TCP_USER_TIMEOUT_S = 0.6
 """The same for a request that another endpoint may serve instead, now or when its program asks for
 the turn again: the connection ends after 0.9 s (loopback, a socket that drops every packet), while
 callers wait for 1.2 s or more."""
@@ -69,12 +69,12 @@
         loop: asyncio.AbstractEventLoop,
         key: str,
         address: str,
-        heard_s_by_key: dict[str, float],
+        last_received_s_by_key: dict[str, float],
     ) -> None:
         """Takes the loop, the pool's key, where it leads, and where to note what was heard."""
         super().__init__(loop)
         self.address = address
-        self._opened_s = self._heard_s = loop.time()
+        self._opened_s = self._last_received_s = loop.time()
         self._answer_parser = HttpResponseParser(
             self,
             loop,
@@ -88,30 +88,30 @@
         )
         self._parser = self._answer_parser
         self.key = key
-        self._heard_s_by_key = heard_s_by_key
+        self._last_received_s_by_key = last_received_s_by_key
         self.is_open = True
         self.is_busy = False
-        self.usable_until = 0.0
+        self.reusable_until_s = 0.0
         self._answers: deque[Answer] = deque()
         self._body: StreamReader | None = None
         self._waiter: asyncio.Future[None] | None = None
         self._why_closed = ""
-        self._unacknowledged_s = 0.0
-        self._fell_silent = False
+        self._user_timeout_s = 0.0
+        self._timed_out = False
 
     # ---- called by the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Sets the socket up."""
         super().connection_made(transport)
-        self._opened_s = self._heard_s = self._loop.time()
-        self._bound_silence(UNACKNOWLEDGED_S)
+        self._opened_s = self._last_received_s = self._loop.time()
+        self._set_tcp_timeouts(TCP_USER_TIMEOUT_S)
 
     def data_received(self, data: bytes) -> None:
         """Parses what came; bytes that nobody asked for end the connection."""
         if not self.is_open:
             return
-        self._heard_s = self._heard_s_by_key[self.key] = self._loop.time()
+        self._last_received_s = self._last_received_s_by_key[self.key] = self._loop.time()
         if not self.is_busy:
             if data:
                 self.abort("bytes came that nobody asked for")
@@ -119,7 +119,7 @@
         try:
             messages, _, _ = self._answer_parser.feed_data(data)
         except Exception as error:  # The parser raises errors of many kinds on odd bytes.
-            self._break_body(f"bytes that are no answer: {error}")
+            self._fail_body(f"bytes that are no answer: {error}")
             self.abort(f"bytes that are no answer: {error}")
             return
         for message, body in messages:
@@ -138,19 +138,19 @@
         self.is_open = False
         why = str(exc) if exc else "the endpoint closed the connection"
         self._why_closed = self._why_closed or why
-        self._fell_silent = isinstance(exc, TimeoutError)
+        self._timed_out = isinstance(exc, TimeoutError)
         if exc is None and not self._why_closed.startswith("aborted"):
             try:
                 self._answer_parser.feed_eof()
             except Exception as error:  # As above.
-                self._break_body(str(error))
+                self._fail_body(str(error))
         else:
-            self._break_body(self._why_closed)
+            self._fail_body(self._why_closed)
         self._wake()
 
     # ---- called by the pool's users ----
 
-    def send(self, head: bytes, body: bytes, may_go_elsewhere: bool = False) -> None:
+    def send(self, head: bytes, body: bytes, is_retryable: bool = False) -> None:
         """Writes one request; one that may go elsewhere gives a silent connection up earlier.
 
         Raises:
@@ -159,8 +159,8 @@
         if not self.is_open or self.transport is None or self.transport.is_closing():
             raise UnreachableError(self._why_closed or "the connection is closed")
         self.is_busy = True
-        bound_s = REPEATABLE_UNACKNOWLEDGED_S if may_go_elsewhere else UNACKNOWLEDGED_S
-        self._bound_silence(bound_s)
+        bound_s = RETRYABLE_TCP_USER_TIMEOUT_S if is_retryable else TCP_USER_TIMEOUT_S
+        self._set_tcp_timeouts(bound_s)
         self.transport.write(head + body)
 
     async def next_answer(self) -> Answer:
@@ -171,7 +171,7 @@
         """
         while not self._answers:
             if not self.is_open:
-                kind = SilentEndpointError if self._fell_silent else BrokenAnswerError
+                kind = SilentEndpointError if self._timed_out else BrokenAnswerError
                 raise kind(self._why_closed)
             self._waiter = self._loop.create_future()
             await self._waiter
@@ -188,10 +188,10 @@
     @property
     def contact(self) -> Contact:
         """What it has seen of the endpoint."""
-        return Contact(self.address, self._opened_s, self._heard_s)
+        return Contact(self.address, self._opened_s, self._last_received_s)
 
     @property
-    def has_surplus(self) -> bool:
+    def has_unread_answer(self) -> bool:
         """Whether an answer came that nobody has read."""
         return bool(self._answers)
 
@@ -213,15 +213,15 @@
         """Whether bytes of the request still wait to be sent."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
-    def _bound_silence(self, unacknowledged_s: float) -> None:
-        if self._unacknowledged_s == unacknowledged_s or self.transport is None:
+    def _set_tcp_timeouts(self, user_timeout_s: float) -> None:
+        if self._user_timeout_s == user_timeout_s or self.transport is None:
             return
-        self._unacknowledged_s = unacknowledged_s
+        self._user_timeout_s = user_timeout_s
         sock = self.transport.get_extra_info("socket")
         if sock is not None:
-            bound_silence(sock, unacknowledged_s)
+            set_tcp_timeouts(sock, user_timeout_s)
 
-    def _break_body(self, why: str) -> None:
+    def _fail_body(self, why: str) -> None:
         body = self._body
         if body is not None and not body.is_eof() and body.exception() is None:
             body.set_exception(ClientPayloadError(why))
@@ -232,7 +232,7 @@
 
 
 @attrs.define
-class LinkCounts:
+class PoolCounters:
     """What the pool did since the start."""
 
     opened: int = 0
@@ -246,8 +246,8 @@
     def __init__(self) -> None:
         """Starts with none."""
         self._idle_by_key: dict[str, list[EndpointConnection]] = {}
-        self._heard_s_by_key: dict[str, float] = {}
-        self.counts = LinkCounts()
+        self._last_received_s_by_key: dict[str, float] = {}
+        self.counts = PoolCounters()
 
     async def acquire(self, key: str, address: str) -> EndpointConnection:
         """Returns a kept or a fresh connection.
@@ -262,15 +262,15 @@
             if connection.address != address:
                 connection.abort("the endpoint is at another address now")
                 continue
-            if connection.is_open and loop.time() < connection.usable_until:
+            if connection.is_open and loop.time() < connection.reusable_until_s:
                 self.counts.reused += 1
                 return connection
             connection.abort("idle for too long")
         host, port = split_address(address)
         try:
-            async with running_timeout(CONNECT_S):
+            async with running_timeout(CONNECT_TIMEOUT_S):
                 _, connection = await loop.create_connection(
-                    lambda: EndpointConnection(loop, key, address, self._heard_s_by_key),
+                    lambda: EndpointConnection(loop, key, address, self._last_received_s_by_key),
                     host,
                     port,
                 )
@@ -281,14 +281,14 @@
 
     def release(self, connection: EndpointConnection, idle_s: float | None) -> None:
         """Takes a connection back whose answer was read to its end."""
-        has_surplus = connection.has_surplus or not connection.is_between_answers()
-        if has_surplus or connection.is_sending or not connection.is_open:
-            self.counts.dropped_with_surplus += has_surplus
+        has_unread_answer = connection.has_unread_answer or not connection.is_between_answers()
+        if has_unread_answer or connection.is_sending or not connection.is_open:
+            self.counts.dropped_with_surplus += has_unread_answer
             connection.abort("not clean after its answer")
             return
-        keep_s = IDLE_S if idle_s is None else idle_s * IDLE_SHARE
+        keep_s = DEFAULT_KEEPALIVE_S if idle_s is None else idle_s * KEEPALIVE_FRACTION
         connection.is_busy = False
-        connection.usable_until = asyncio.get_running_loop().time() + keep_s
+        connection.reusable_until_s = asyncio.get_running_loop().time() + keep_s
         self._idle_by_key.setdefault(connection.key, []).append(connection)
 
     def connected(self) -> frozenset[str]:
@@ -298,12 +298,12 @@
             key
             for key, idle in self._idle_by_key.items()
             # The last one that came back is the next one to be used.
-            if idle and idle[-1].is_open and now < idle[-1].usable_until
+            if idle and idle[-1].is_open and now < idle[-1].reusable_until_s
         )
 
     def was_heard_since(self, key: str, since_s: float) -> bool:
         """Tells whether an endpoint sent anything since a moment on the loop's clock."""
-        return self._heard_s_by_key.get(key, 0.0) > since_s
+        return self._last_received_s_by_key.get(key, 0.0) > since_s
 
     def drop_idle(self, key: str) -> None:
         """Closes the idle connections to an endpoint: it is gone, or fell silent on another one."""
@@ -320,21 +320,21 @@
         if kept:
             self._idle_by_key[key] = kept
         # What a former start said last is no word of this one.
-        heard_s = self._heard_s_by_key.get(key, 0.0)
+        heard_s = self._last_received_s_by_key.get(key, 0.0)
         if start.began_s is None or heard_s < start.began_s:
-            self._heard_s_by_key.pop(key, None)
+            self._last_received_s_by_key.pop(key, None)
         return len(idle) - len(kept)
 
     def forget(self, key: str) -> None:
         """Forgets an endpoint that is gone."""
         self.drop_idle(key)
-        self._heard_s_by_key.pop(key, None)
+        self._last_received_s_by_key.pop(key, None)
 
     def sweep(self) -> None:
         """Closes connections that were idle for too long."""
         now = asyncio.get_running_loop().time()
         for key, idle in list(self._idle_by_key.items()):
-            kept = [link for link in idle if link.is_open and link.usable_until > now]
+            kept = [link for link in idle if link.is_open and link.reusable_until_s > now]
             for link in idle:
                 if link not in kept:
                     link.abort("idle for too long")
--- a/src/bayhinge/_internal/network/endpoint_list.py
+++ b/src/bayhinge/_internal/network/endpoint_list.py
@@ -9,7 +9,7 @@
 from attrs import validators
 
 from bayhinge._internal.models.endpoints import Endpoint, EndpointState
-from bayhinge._internal.utils.checked_fields import OddTableError, read_form, text
+from bayhinge._internal.utils.checked_fields import InvalidTableError, parse_form, text
 from bayhinge._internal.utils.http_session import call_timeout
 
 logger = logging.getLogger(__name__)
@@ -69,8 +69,8 @@
     findings: list[str] = []
     for item in items:
         try:
-            form = read_form(_EntryForm, item)
-        except OddTableError as error:
+            form = parse_form(_EntryForm, item)
+        except InvalidTableError as error:
             findings.append(str(error))
             continue
         state = EndpointState(form.state)
--- a/src/bayhinge/_internal/network/event_stream.py
+++ b/src/bayhinge/_internal/network/event_stream.py
@@ -7,7 +7,7 @@
 _BLOCK_END = re.compile(rb"\r?\n\r?\n")
 _FIELD_DATA = b"data"
 _FIELD_ID = b"id"
-_MOST_DIGITS = 18
+_MAX_DIGITS = 18
 
 
 @attrs.frozen
@@ -21,7 +21,7 @@
     def number(self) -> int | None:
         """The id as a number, where it is one."""
         event_id = self.event_id
-        if event_id is None or not event_id.isdigit() or len(event_id) > _MOST_DIGITS:
+        if event_id is None or not event_id.isdigit() or len(event_id) > _MAX_DIGITS:
             return None
         return int(event_id)
 
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         """Starts before the first byte."""
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, piece: bytes) -> list[StreamEvent]:
         """Returns the events that end in this piece."""
@@ -42,25 +42,25 @@
 
         A block without data, such as a comment, has no event.
         """
-        text = self._rest + piece
+        text = self._buffer + piece
         blocks: list[tuple[bytes, StreamEvent | None]] = []
         start = 0
         for end in _BLOCK_END.finditer(text):
             block = text[start : end.end()]
             blocks.append((block, _read(block.replace(b"\r\n", b"\n").strip(b"\n"))))
             start = end.end()
-        self._rest = text[start:]
+        self._buffer = text[start:]
         return blocks
 
     @property
     def is_between_events(self) -> bool:
         """Whether the last piece ended with an event's end."""
-        return not self._rest.strip()
+        return not self._buffer.strip()
 
     @property
     def cut_bytes(self) -> int:
         """Bytes of an event whose end has not come."""
-        return len(self._rest)
+        return len(self._buffer)
 
 
 def _read(block: bytes) -> StreamEvent | None:
--- a/src/bayhinge/_internal/network/frames.py
+++ b/src/bayhinge/_internal/network/frames.py
@@ -16,7 +16,7 @@
 Message = TypeVar("Message")
 
 
-class _Sink(TTransportBase):  # type: ignore[misc]
+class _WriteBuffer(TTransportBase):  # type: ignore[misc]
     """Takes what an encoder writes, and hands it out."""
 
     def __init__(self) -> None:
@@ -25,15 +25,15 @@
     def write(self, data: bytes) -> None:
         self._pieces.append(data)
 
-    def take(self) -> bytes:
+    def drain(self) -> bytes:
         data = b"".join(self._pieces)
         self._pieces.clear()
         return data
 
 
 # One of each for the process: making them anew for each struct takes longer than the coding.
-_sink = _Sink()
-_encoder = TBinaryProtocolAccelerated(_sink)
+_write_buffer = _WriteBuffer()
+_encoder = TBinaryProtocolAccelerated(_write_buffer)
 _decoder = TBinaryProtocolAccelerated(None)
 
 
@@ -42,7 +42,7 @@
     try:
         message.write(_encoder)
     finally:
-        data = _sink.take()
+        data = _write_buffer.drain()
     return data
 
 
--- a/src/bayhinge/_internal/network/front.py
+++ b/src/bayhinge/_internal/network/front.py
@@ -135,7 +135,7 @@
             raise RefusedError(fields.error)
         program = request.headers.get(PROGRAM_HEADER, "").strip()
         model = str(fields.ok.get("model", ""))
-        incoming = self._incoming(request, account, program, CallKind.MODEL, model, body)
+        incoming = self._build_incoming_call(request, account, program, CallKind.MODEL, model, body)
         # Checked here as well as at the owner, so that nothing is opened for a bad request.
         checked = parse_model_call(incoming, self._settings.limits.default_max_tokens)
         if checked.is_error():
@@ -177,7 +177,7 @@
         if wants_stream:
             return await self._stream_chat(request, incoming, items)
         pieces: list[str] = []
-        async with contextlib.aclosing(_closable(items)) as closing:
+        async with contextlib.aclosing(_with_prompt_close(items)) as closing:
             async for item in closing:
                 if isinstance(item, AnswerPart):
                     pieces.append(item.text)
@@ -188,7 +188,7 @@
                     content_type=JSON,
                     headers=_headers(incoming.program, item.index),
                 )
-        raise RefusedError(_broken())
+        raise RefusedError(_incomplete_answer_refusal())
 
     async def _stream_chat(
         self, request: web.Request, incoming: IncomingCall, items: AsyncIterator[AnswerItem]
@@ -201,7 +201,7 @@
         started = loop.time()
         offset = incoming.resume_offset
         try:
-            async with contextlib.aclosing(_closable(items)) as closing:
+            async with contextlib.aclosing(_with_prompt_close(items)) as closing:
                 async for item in closing:
                     if not response.prepared:
                         # Only now: a call that is refused gets its real status.
@@ -229,7 +229,9 @@
             raise RefusedError(refuse_unaccepted(RefusalCode.NO_ENDPOINT, why))
         body = await read_body(request)
         program = request.headers.get(PROGRAM_HEADER, "").strip()
-        incoming = self._incoming(request, account, program, CallKind.SERVICE, name, body)
+        incoming = self._build_incoming_call(
+            request, account, program, CallKind.SERVICE, name, body
+        )
         if not program:
             begun = await self._handler.begin_single(account)
             if begun.is_error():
@@ -242,11 +244,11 @@
         return await self._answer_service(incoming)
 
     async def _answer_service(self, incoming: IncomingCall) -> web.Response:
-        async with contextlib.aclosing(_closable(self._handler.call(incoming))) as closing:
+        async with contextlib.aclosing(_with_prompt_close(self._handler.call(incoming))) as closing:
             async for item in closing:
                 if isinstance(item, AnswerEnd):
                     return _service_response(incoming.program, item)
-        raise RefusedError(_broken())
+        raise RefusedError(_incomplete_answer_refusal())
 
     # ---- programs ----
 
@@ -289,7 +291,7 @@
         program = request.match_info["program"]
         offset = read_offset(request.headers)
         items = self._handler.collect(account.name, program, int(index[:9]), offset)
-        incoming = self._incoming(request, account, program, CallKind.MODEL, "", b"")
+        incoming = self._build_incoming_call(request, account, program, CallKind.MODEL, "", b"")
         wants_stream = EVENT_STREAM in request.headers.get("Accept", "")
         if wants_stream:
             return await self._stream_chat(request, incoming, items)
@@ -308,7 +310,7 @@
                 body = whole_answer(program, "".join(pieces), item)
                 headers = _headers(program, item.index)
                 return web.Response(body=body, content_type=JSON, headers=headers)
-        raise RefusedError(_broken())
+        raise RefusedError(_incomplete_answer_refusal())
 
     # ---- the rest ----
 
@@ -342,7 +344,7 @@
     def _is_operator(self, request: web.Request) -> bool:
         return self._handler.is_operator(read_key(request.headers))
 
-    def _incoming(
+    def _build_incoming_call(
         self,
         request: web.Request,
         account: ClientAccount,
@@ -397,7 +399,7 @@
     )
 
 
-async def _closable(items: AsyncIterator[AnswerItem]) -> AsyncGenerator[AnswerItem, None]:
+async def _with_prompt_close(items: AsyncIterator[AnswerItem]) -> AsyncGenerator[AnswerItem, None]:
     """Makes sure that leaving the loop closes the generator behind it at once."""
     try:
         async for item in items:
@@ -427,6 +429,6 @@
     return attrs.evolve(incoming, program=program, index=0, idempotency_key=None)
 
 
-def _broken() -> Refusal:
+def _incomplete_answer_refusal() -> Refusal:
     why = "the answer ended before its end was seen; ask for it again with its index"
     return refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.5)
--- a/src/bayhinge/_internal/network/peer_client.py
+++ b/src/bayhinge/_internal/network/peer_client.py
@@ -13,7 +13,7 @@
 from bayhinge._internal.wire.frames.ttypes import Frame, FrameKind
 from bayhinge.coordination.clock import HybridClock
 
-UNHEARD_S = 0.03
+SUSPECT_AFTER_S = 0.03
 """A call that waits for so long, with nothing heard over its connection meanwhile, makes the
 connection doubtful once it is given up or hedged: ten times the way between halls and back."""
 
@@ -71,7 +71,7 @@
             return True
         link.doubt()
         # Another call may have had it replaced a moment ago.
-        return link.is_doubtful or link.made_s > began_s
+        return link.is_suspected or link.connected_at_s > began_s
 
     async def close(self) -> None:
         """Closes every connection."""
@@ -88,11 +88,11 @@
             if link is None or not link.is_usable:
                 fresh = await self._connect(address)
                 if link is not None:
-                    self._leave(link, address)
+                    self._replace(link, address)
                 self._links_by_address[address] = link = fresh
         return link
 
-    def _leave(self, link: "_ClientLink", address: str) -> None:
+    def _replace(self, link: "_ClientLink", address: str) -> None:
         """Gives a doubtful connection up; what waits on it may still get its answer."""
         if link.is_open:
             self.left_silent += 1
@@ -136,24 +136,28 @@
     def __init__(self, clock: HybridClock) -> None:
         super().__init__(clock)
         self._stream_by_number: dict[int, _Stream] = {}
-        self._newest = 0
+        self._last_stream_number = 0
         self._is_retired = False
-        self.is_doubtful = False
+        self.is_suspected = False
 
     @property
     def is_usable(self) -> bool:
-        return self.is_open and not self.is_doubtful
+        return self.is_open and not self.is_suspected
 
     def doubt(self) -> None:
         """Marks the connection where it worked once, and leaves a call alone for too long."""
         for stream in self._stream_by_number.values():
-            self._doubt_by(stream)
+            self._suspect_if_silent(stream)
 
-    def _doubt_by(self, stream: _Stream) -> None:
+    def _suspect_if_silent(self, stream: _Stream) -> None:
         now = asyncio.get_running_loop().time()
-        has_waited = now - stream.opened_s >= UNHEARD_S
-        if has_waited and self.heard_s is not None and self.heard_s <= stream.opened_s:
-            self.is_doubtful = True
+        has_waited = now - stream.opened_s >= SUSPECT_AFTER_S
+        if (
+            has_waited
+            and self.last_received_s is not None
+            and self.last_received_s <= stream.opened_s
+        ):
+            self.is_suspected = True
 
     def retire(self) -> None:
         """Takes no more streams; closes once those that are open have ended."""
@@ -161,7 +165,7 @@
         self._close_if_done()
 
     def data_received(self, data: bytes) -> None:
-        self.is_doubtful = False
+        self.is_suspected = False
         super().data_received(data)
         self._close_if_done()
 
@@ -170,9 +174,11 @@
             self.abort()
 
     def open(self, method: str, payload: bytes) -> _Stream:
-        self._newest += 1
+        self._last_stream_number += 1
         opened_s = asyncio.get_running_loop().time()
-        stream = self._stream_by_number[self._newest] = _Stream(self._newest, opened_s)
+        stream = self._stream_by_number[self._last_stream_number] = _Stream(
+            self._last_stream_number, opened_s
+        )
         self._send(stream.number, FrameKind.OPEN, method, payload)
         return stream
 
@@ -180,14 +186,14 @@
         if self._stream_by_number.pop(stream.number, None) is None:
             return
         self._send(stream.number, FrameKind.CANCEL, None, None)
-        self._doubt_by(stream)
+        self._suspect_if_silent(stream)
         self._close_if_done()
 
     def abort(self) -> None:
         super().abort()
-        self._lost()
+        self._on_connection_lost()
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         stream = self._stream_by_number.get(frame.stream)
         if stream is None:
             return
@@ -195,7 +201,7 @@
             del self._stream_by_number[frame.stream]
         stream.frames.put_nowait(frame)
 
-    def _lost(self) -> None:
+    def _on_connection_lost(self) -> None:
         for stream in self._stream_by_number.values():
             stream.frames.put_nowait(None)
         self._stream_by_number.clear()
--- a/src/bayhinge/_internal/network/peer_link.py
+++ b/src/bayhinge/_internal/network/peer_link.py
@@ -15,13 +15,13 @@
 
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.network.frames import FrameSplitter, encode_frame
-from bayhinge._internal.utils.silence import bound_silence
+from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
 from bayhinge._internal.wire.frames.ttypes import Frame, FrameKind
 from bayhinge.coordination.clock import HybridClock
 
 logger = logging.getLogger(__name__)
 
-UNACKNOWLEDGED_S = 1.0
+TCP_USER_TIMEOUT_S = 1.0
 """Sent bytes that stay without an acknowledgement for so long end a connection. A lost packet is
 sent again after 0.2 s and 0.6 s, so two losses in a row do not end one."""
 
@@ -36,25 +36,25 @@
         self._may_write = asyncio.Event()
         self._may_write.set()
         self.is_open = True
-        self.made_s = 0.0
-        self.heard_s: float | None = None
+        self.connected_at_s = 0.0
+        self.last_received_s: float | None = None
 
     # ---- called by the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self.made_s = asyncio.get_running_loop().time()
+        self.connected_at_s = asyncio.get_running_loop().time()
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            bound_silence(sock, UNACKNOWLEDGED_S)
+            set_tcp_timeouts(sock, TCP_USER_TIMEOUT_S)
 
     def data_received(self, data: bytes) -> None:
-        self.heard_s = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
         try:
             for frame in self._splitter.feed(data):
                 self._clock.observe(frame.clock)
-                self._take(frame)
+                self._handle_frame(frame)
         except FrameError as error:
             logger.warning("%s", error)
             self.abort()
@@ -68,7 +68,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.is_open = False
         self._may_write.set()
-        self._lost()
+        self._on_connection_lost()
 
     # ---- for both sides ----
 
@@ -84,8 +84,8 @@
             frame = Frame(stream, kind, self._clock.tick(), method, payload)
             self._transport.write(encode_frame(frame))
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         raise NotImplementedError
 
-    def _lost(self) -> None:
+    def _on_connection_lost(self) -> None:
         raise NotImplementedError
--- a/src/bayhinge/_internal/network/peer_server.py
+++ b/src/bayhinge/_internal/network/peer_server.py
@@ -58,12 +58,12 @@
         self._on_lost = on_lost
         self._tasks_by_stream: dict[int, asyncio.Task[None]] = {}
 
-    def _lost(self) -> None:
+    def _on_connection_lost(self) -> None:
         for task in list(self._tasks_by_stream.values()):
             task.cancel()
         self._on_lost(self)
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         if frame.kind == FrameKind.OPEN:
             task = asyncio.get_running_loop().create_task(self._serve(frame))
             self._tasks_by_stream[frame.stream] = task
--- a/src/bayhinge/_internal/network/routed_front.py
+++ b/src/bayhinge/_internal/network/routed_front.py
@@ -17,16 +17,16 @@
 from bayhinge._internal.models.routed_requests import RawHeaders
 from bayhinge._internal.network.addresses import split_address
 from bayhinge._internal.utils.early_sockets import BACKLOG, EarlySockets
-from bayhinge._internal.utils.silence import bound_silence
+from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
 
 MAX_HEADER_BYTES = 65_536
 """Longest header line that is taken; the configuration's own limit is lower."""
 
-UNACKNOWLEDGED_S = 2.0
+TCP_USER_TIMEOUT_S = 2.0
 """Bytes of an answer that stay without an acknowledgement for so long end the connection, and
 with it the work for it: callers leave a silent stream after two seconds."""
 
-KEEP_IDLE_S = 75.0
+KEEPALIVE_TIMEOUT_S = 75.0
 """Seconds that callers' idle connections stay open; longer than callers keep them."""
 
 
@@ -119,14 +119,14 @@
         await response.prepare(self._request)
 
 
-class _Connections(Server):
+class _ServerWithTcpTimeouts(Server):
     """aiohttp's server, with a bound on silence for each connection."""
 
     def connection_made(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
         super().connection_made(handler, transport)
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            bound_silence(sock, UNACKNOWLEDGED_S)
+            set_tcp_timeouts(sock, TCP_USER_TIMEOUT_S)
 
 
 class ExchangeHandler(ABC):
@@ -159,11 +159,11 @@
         """Listens, and returns the address with its real port."""
         loop = asyncio.get_running_loop()
         host, port = split_address(self._address)
-        self._server = _Connections(
+        self._server = _ServerWithTcpTimeouts(
             self._serve,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=KEEP_IDLE_S,
+            keepalive_timeout=KEEPALIVE_TIMEOUT_S,
             max_line_size=MAX_HEADER_BYTES,
             max_field_size=MAX_HEADER_BYTES,
             auto_decompress=False,
--- a/src/bayhinge/_internal/network/stream_splice.py
+++ b/src/bayhinge/_internal/network/stream_splice.py
@@ -29,32 +29,32 @@
 
     Attributes:
         last: the number of the newest event that was passed on or that the caller has, or None.
-        first_run: the run that passed the answer's first event on, or None.
-        passed_on_by: the run whose event was the newest that was passed on, or None.
-        rises_by_one: whether each event's number is one more than the one before, or None where no
-            two events have shown it yet.
-        is_numbered: every event so far bore a number.
+        first_forwarded_by: the run that passed the answer's first event on, or None.
+        last_forwarded_by: the run whose event was the newest that was passed on, or None.
+        is_consecutive: whether each event's number is one more than the previous one's; None until
+            two events have been seen.
+        all_numbered: every event so far bore a number.
     """
 
     def __init__(self, resume_after: int | None = None) -> None:
         """Takes the newest event that the caller has already."""
         self.last = resume_after
-        self.first_run: SplicedRun | None = None
-        self.passed_on_by: SplicedRun | None = None
-        self.rises_by_one: bool | None = None
-        self.is_numbered = True
+        self.first_forwarded_by: StreamRun | None = None
+        self.last_forwarded_by: StreamRun | None = None
+        self.is_consecutive: bool | None = None
+        self.all_numbered = True
 
     @property
     def may_go_on(self) -> bool:
         """Whether another run can be joined: every event so far bore a number."""
-        return self.is_numbered
+        return self.all_numbered
 
-    def begin_run(self) -> "SplicedRun":
+    def begin_run(self) -> "StreamRun":
         """Returns the next run, which knows nothing of the bytes of those before it."""
-        return SplicedRun(self)
+        return StreamRun(self)
 
 
-class SplicedRun:
+class StreamRun:
     """One run of a stream.
 
     A run's bytes are read by a reader of its own, and its end ends the reader, whether or not
@@ -66,7 +66,7 @@
         """Takes the stream that it is a run of."""
         self._splice = splice
         self._reader = EventReader()
-        self._held: list[tuple[bytes, StreamEvent | None]] = []
+        self._deferred: list[tuple[bytes, StreamEvent | None]] = []
 
     @property
     def is_between_events(self) -> bool:
@@ -80,123 +80,123 @@
 
     def feed(self, piece: bytes) -> Spliced:
         """Takes a piece of the run, cut anywhere; returns what goes on to the caller."""
-        passed: list[tuple[bytes, StreamEvent | None]] = []
+        forwarded: list[tuple[bytes, StreamEvent | None]] = []
         gap = None
         for text, event in self._reader.feed_blocks(piece):
-            gap = self._take(text, event, passed)
+            gap = self._process_block(text, event, forwarded)
             if gap is not None:
                 break
         # What came in front of a gap counts as passed on, so it does go on.
         return Spliced(
-            tuple(event for _, event in passed if event is not None),
-            b"".join(text for text, _ in passed),
+            tuple(event for _, event in forwarded if event is not None),
+            b"".join(text for text, _ in forwarded),
             gap,
         )
 
     def end(self) -> Spliced:
         """Takes the run's whole end; an event that is still held back may have missing ones."""
-        held = self._held_event()
-        if held is None:
+        deferred = self._deferred_event()
+        if deferred is None:
             return Spliced()
-        return Spliced(gap=f"event {held.number} alone follows event {self._splice.last}")
+        return Spliced(gap=f"event {deferred.number} alone follows event {self._splice.last}")
 
-    def _take(
+    def _process_block(
         self,
         text: bytes,
         event: StreamEvent | None,
-        passed: list[tuple[bytes, StreamEvent | None]],
+        forwarded: list[tuple[bytes, StreamEvent | None]],
     ) -> str | None:
-        """Adds to ``passed`` what goes on; returns why nothing more does, or None."""
+        """Adds to ``forwarded`` what goes on; returns why nothing more does, or None."""
         if event is None:
-            (self._held or passed).append((text, None))
+            (self._deferred or forwarded).append((text, None))
             return None
         number = event.number
         if number is None:
-            return self._take_unnumbered(text, event, passed)
-        held = self._held_event()
-        if held is not None:
-            return self._resolve(held, text, event, passed)
-        return self._take_numbered(text, event, number, passed)
-
-    def _take_unnumbered(
-        self, text: bytes, event: StreamEvent, passed: list[tuple[bytes, StreamEvent | None]]
+            return self._process_unnumbered(text, event, forwarded)
+        deferred = self._deferred_event()
+        if deferred is not None:
+            return self._resolve(deferred, text, event, forwarded)
+        return self._process_numbered(text, event, number, forwarded)
+
+    def _process_unnumbered(
+        self, text: bytes, event: StreamEvent, forwarded: list[tuple[bytes, StreamEvent | None]]
     ) -> str | None:
         splice = self._splice
-        if self._is_joined or self._held:
+        if self._is_joined or self._deferred:
             return "an event without a number behind a run that broke off"
-        splice.is_numbered = False
-        self._note_passed()
-        passed.append((text, event))
+        splice.all_numbered = False
+        self._record_forwarded()
+        forwarded.append((text, event))
         return None
 
-    def _take_numbered(
+    def _process_numbered(
         self,
         text: bytes,
         event: StreamEvent,
         number: int,
-        passed: list[tuple[bytes, StreamEvent | None]],
+        forwarded: list[tuple[bytes, StreamEvent | None]],
     ) -> str | None:
         splice = self._splice
-        if self._is_joined and not splice.is_numbered:
+        if self._is_joined and not splice.all_numbered:
             return f"event {number} behind one without a number"
         if splice.last is not None and number <= splice.last:
             return None
         if splice.last is not None and number != splice.last + 1:
-            if splice.first_run is self:
+            if splice.first_forwarded_by is self:
                 # An endpoint that leaves numbers out by itself counts in another way.
-                splice.rises_by_one = False
-            elif splice.rises_by_one:
+                splice.is_consecutive = False
+            elif splice.is_consecutive:
                 return f"event {number} follows event {splice.last}"
-            elif splice.rises_by_one is None:
-                self._held.append((text, event))
+            elif splice.is_consecutive is None:
+                self._deferred.append((text, event))
                 return None
-        elif splice.last is not None and splice.rises_by_one is None:
-            splice.rises_by_one = True
-        self._pass_on(text, event, number, passed)
+        elif splice.last is not None and splice.is_consecutive is None:
+            splice.is_consecutive = True
+        self._forward(text, event, number, forwarded)
         return None
 
     def _resolve(
         self,
-        held: StreamEvent,
+        deferred: StreamEvent,
         text: bytes,
         event: StreamEvent,
-        passed: list[tuple[bytes, StreamEvent | None]],
+        forwarded: list[tuple[bytes, StreamEvent | None]],
     ) -> str | None:
         """Decides on an event that was held back, by how the next one's number differs."""
         splice = self._splice
-        assert held.number is not None
+        assert deferred.number is not None
         assert event.number is not None
-        if event.number <= held.number:
+        if event.number <= deferred.number:
             return None
-        if event.number == held.number + 1:
-            return f"event {held.number} follows event {splice.last}"
-        splice.rises_by_one = False
-        blocks, self._held = [*self._held, (text, event)], []
+        if event.number == deferred.number + 1:
+            return f"event {deferred.number} follows event {splice.last}"
+        splice.is_consecutive = False
+        blocks, self._deferred = [*self._deferred, (text, event)], []
         for block, one in blocks:
-            self._pass_on(block, one, None if one is None else one.number, passed)
+            self._forward(block, one, None if one is None else one.number, forwarded)
         return None
 
-    def _pass_on(
+    def _forward(
         self,
         text: bytes,
         event: StreamEvent | None,
         number: int | None,
-        passed: list[tuple[bytes, StreamEvent | None]],
+        forwarded: list[tuple[bytes, StreamEvent | None]],
     ) -> None:
-        passed.append((text, event))
+        forwarded.append((text, event))
         if number is not None:
             self._splice.last = number
-            self._note_passed()
+            self._record_forwarded()
 
-    def _note_passed(self) -> None:
+    def _record_forwarded(self) -> None:
         splice = self._splice
-        splice.first_run = splice.first_run or self
-        splice.passed_on_by = self
+        splice.first_forwarded_by = splice.first_forwarded_by or self
+        splice.last_forwarded_by = self
 
     @property
     def _is_joined(self) -> bool:
         """Whether events of another run of this answer went on before this one's."""
-        return self._splice.passed_on_by not in {None, self}
+        return self._splice.last_forwarded_by not in {None, self}
 
-    def _held_event(self) -> StreamEvent | None:
-        return self._held[0][1] if self._held else None
+    def _deferred_event(self) -> StreamEvent | None:
+        return self._deferred[0][1] if self._deferred else None
--- a/src/bayhinge/_internal/platform/__main__.py
+++ b/src/bayhinge/_internal/platform/__main__.py
@@ -16,9 +16,9 @@
     # What is imported stays; looking through it for garbage took 0.07 of 0.42 s of processor time
     # (medians of 25 starts, taken by turns).
     gc.disable()
-    from bayhinge._internal.platform.unused_libraries import leave_out_unused
+    from bayhinge._internal.platform.unused_libraries import stub_unused_libraries
 
-    leave_out_unused()
+    stub_unused_libraries()
     from bayhinge._internal.platform.early_listening import listen_early
 
     # 0.3 s before the host can serve: after a loss of all power, callers wait in place of being
--- a/src/bayhinge/_internal/platform/call_format.py
+++ b/src/bayhinge/_internal/platform/call_format.py
@@ -5,7 +5,7 @@
 from bayhinge._internal.models.account_keys import hash_key
 from bayhinge._internal.models.routed_requests import (
     AnswerMarks,
-    HeadFinding,
+    HeaderFinding,
     PromptPart,
     RawHeaders,
     RequestField,
@@ -28,11 +28,11 @@
 CREDENTIALS = b"authorization"
 ACCOUNT = b"bayhinge-tenant"
 
-MOST_COUNTED = 2**53
+MAX_COUNT = 2**53
 """Larger counts of tokens or events are taken as this many, so that their sums stay whole numbers
 of 64 bits on every host."""
 
-SET_BY_US = frozenset(
+RESERVED_HEADERS = frozenset(
     {
         DEADLINE,
         b"bayhinge-expect-instance",
@@ -49,7 +49,7 @@
 )
 """What a caller must not set: the system speaks to endpoints with these."""
 
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -66,8 +66,8 @@
 
 _TURN = RequestField.TURN
 _RESUME = RequestField.RESUME
-_MOST_DIGITS = 18
-_SHOWN_BYTES = 40
+_MAX_DIGITS = 18
+_MAX_SHOWN_BYTES = 40
 
 MISDIRECTED = 421
 LOWEST_URGENCY = 9
@@ -82,12 +82,12 @@
         attempt = value_by_name.get(ATTEMPT, b"").decode("latin-1")
         if not attempt:
             return None
-        dropped = ONE_CONNECTION | SET_BY_US | _named_by_connection(value_by_name)
+        dropped = HOP_BY_HOP_HEADERS | RESERVED_HEADERS | _named_by_connection(value_by_name)
         kept = tuple(header for header in headers if header[0].lower() not in dropped)
         credentials = tuple(header for header in headers if header[0].lower() == CREDENTIALS)
         deadline_ms = _number(value_by_name.get(DEADLINE))
         host = value_by_name.get(b"host", b"").decode("latin-1")
-        findings: list[HeadFinding] = []
+        findings: list[HeaderFinding] = []
         return RoutedRequest(
             method=method,
             target=target,
@@ -146,7 +146,7 @@
 
     def answer_headers(self, headers: RawHeaders) -> RawHeaders:
         """See :class:`CallFormat`."""
-        dropped = ONE_CONNECTION | {b"date", b"server"}
+        dropped = HOP_BY_HOP_HEADERS | {b"date", b"server"}
         return tuple(header for header in headers if header[0].lower() not in dropped)
 
     def refusal_headers(self, attempt: str | None, retry_after_s: float | None) -> RawHeaders:
@@ -186,7 +186,7 @@
 
 
 def _count(
-    value: bytes | None, name: str, field: RequestField, findings: list[HeadFinding]
+    value: bytes | None, name: str, field: RequestField, findings: list[HeaderFinding]
 ) -> int | None:
     """Decodes a whole number; another value leaves None and a finding."""
     if value is None:
@@ -194,13 +194,13 @@
     text = value.strip()
     if text.isdigit():
         # Longer ones are not decoded at all: the time for that grows with their square.
-        return MOST_COUNTED if len(text) > _MOST_DIGITS else min(MOST_COUNTED, int(text))
-    shown = text[:_SHOWN_BYTES].decode("latin-1")
-    findings.append(HeadFinding(field, f"{name}: '{shown}' is no whole number"))
+        return MAX_COUNT if len(text) > _MAX_DIGITS else min(MAX_COUNT, int(text))
+    shown = text[:_MAX_SHOWN_BYTES].decode("latin-1")
+    findings.append(HeaderFinding(field, f"{name}: '{shown}' is no whole number"))
     return None
 
 
-def _turn(value_by_name: dict[bytes, bytes], findings: list[HeadFinding]) -> TurnContext | None:
+def _turn(value_by_name: dict[bytes, bytes], findings: list[HeaderFinding]) -> TurnContext | None:
     program = value_by_name.get(PROGRAM)
     if program is None:
         return None
@@ -210,7 +210,7 @@
     most_tokens = _count(most or None, "Bayhinge-Token-Usage", _TURN, findings)
     if most_tokens is None and budget is not None and not findings:
         why = "Bayhinge-Token-Usage: a turn with a budget must say how many tokens it emits at most"
-        findings.append(HeadFinding(_TURN, why))
+        findings.append(HeaderFinding(_TURN, why))
     previous = value_by_name.get(PREVIOUS)
     return TurnContext(
         program=program.decode("latin-1"),
@@ -224,7 +224,7 @@
     parts: list[PromptPart] = []
     for item in value.decode("latin-1").split(","):
         name, _, tokens = item.strip().partition(":")
-        if name and tokens.isdecimal() and len(tokens) <= _MOST_DIGITS:
+        if name and tokens.isdecimal() and len(tokens) <= _MAX_DIGITS:
             parts.append(PromptPart(name, int(tokens)))
     return tuple(parts)
 
--- a/src/bayhinge/_internal/platform/disk_program.py
+++ b/src/bayhinge/_internal/platform/disk_program.py
@@ -4,7 +4,7 @@
 
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.platform.objects_api import RETIREMENTS_KIND, PlatformObjects
-from bayhinge._internal.platform.retirements import RetirementDesk
+from bayhinge._internal.platform.retirements import RetirementListener
 from bayhinge._internal.services.disks.disk_host import DiskHost
 from bayhinge._internal.services.keep_running import keep_running
 from bayhinge._internal.services.key_follower import KeyFollower
@@ -27,7 +27,7 @@
             self._store,
             f"{RETIREMENTS_KIND}/",
             lambda: RETIREMENT_WAIT_S,
-            RetirementDesk(self._store, self._disk),
+            RetirementListener(self._store, self._disk),
             self._disk.peers,
         )
 
--- a/src/bayhinge/_internal/platform/early_listening.py
+++ b/src/bayhinge/_internal/platform/early_listening.py
@@ -9,7 +9,7 @@
 
 SETTINGS_VARIABLE = "BAYHINGE_NODE_FILE"
 
-LISTENED = ("frontend", "directory")
+EARLY_LISTEN_KEYS = ("frontend", "directory")
 """Not the address of readiness: a host that is loading must not count as ready."""
 
 
@@ -23,7 +23,7 @@
     try:
         with Path(os.environ.get(SETTINGS_VARIABLE, "")).open("rb") as file:
             addresses = tomllib.load(file)["listen"]
-        for name in LISTENED:
+        for name in EARLY_LISTEN_KEYS:
             if addresses.get(name):
                 sockets.open(addresses[name])
     except (OSError, ArithmeticError, LookupError, ValueError, TypeError, AttributeError) as error:
--- a/src/bayhinge/_internal/platform/entry_calls.py
+++ b/src/bayhinge/_internal/platform/entry_calls.py
@@ -11,7 +11,7 @@
 METRICS_PATH = "/metrics"
 READY_PATH = "/-/readyz"
 RESOLVE_PATH = "/-/resolve"
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 _TEXT = ((b"Content-Type", b"text/plain; version=0.0.4"),)
 _JSON = ((b"Content-Type", b"application/json"),)
@@ -45,7 +45,7 @@
         values = parse_qs(query)
         hall = values.get("zone", [""])[0]
         region = values.get("region", [""])[0]
-        addresses = self._gateway.addresses(hall, region)[:MOST_ADDRESSES]
+        addresses = self._gateway.addresses(hall, region)[:MAX_ADDRESSES]
         if not addresses:
             await exchange.respond(status_codes.HTTP_UNAVAILABLE, (), b"")
             return
--- a/src/bayhinge/_internal/platform/object_forms.py
+++ b/src/bayhinge/_internal/platform/object_forms.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(slots=False, eq=False, repr=False)
-class PlaceForm:
+class RouteKeyForm:
     """Where a route stands. Every prefix begins and ends with a slash."""
 
     host: str = attrs.field(validator=text())
@@ -73,9 +73,9 @@
     """What a route says besides its place; null is as if the field were not there."""
 
     route_kind: str = attrs.field(validator=text())
-    timeout_ms: float = attrs.field(validator=number(0, is_above=True))
+    timeout_ms: float = attrs.field(validator=number(0, is_exclusive=True))
     slo_ms: float | None = attrs.field(
-        default=None, validator=validators.optional(number(0, is_above=True))
+        default=None, validator=validators.optional(number(0, is_exclusive=True))
     )
     priority: int | None = attrs.field(default=None, validator=validators.optional(whole_number(0)))
     attempts: int | None = attrs.field(default=None, validator=validators.optional(whole_number(0)))
@@ -83,7 +83,7 @@
     retention_s: float | None = attrs.field(default=None, validator=validators.optional(number(0)))
     resumable: bool | None = attrs.field(default=None, validator=_FLAG)
     gap_slo_ms: float | None = attrs.field(
-        default=None, validator=validators.optional(number(0, is_above=True))
+        default=None, validator=validators.optional(number(0, is_exclusive=True))
     )
     service: str | None = attrs.field(default=None, validator=validators.optional(text()))
     split: list[Any] | None = attrs.field(default=None, validator=validators.optional(_list))
--- a/src/bayhinge/_internal/platform/object_reader.py
+++ b/src/bayhinge/_internal/platform/object_reader.py
@@ -16,8 +16,8 @@
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.routing import (
     ClosedRoute,
-    EngineTraits,
-    FrontLimits,
+    EngineSpec,
+    RequestLimits,
     Route,
     RouteKind,
     RoutingTable,
@@ -27,7 +27,7 @@
 from bayhinge._internal.platform import object_forms as forms
 from bayhinge._internal.platform.objects_api import CONFIGURATION_KEY
 from bayhinge._internal.services.gateway.outside import ObjectReader
-from bayhinge._internal.utils.checked_fields import SHOWN, OddTableError, read_form
+from bayhinge._internal.utils.checked_fields import SHOWN, InvalidTableError, parse_form
 
 KIND_BY_NAME = {
     "idempotent": RouteKind.IDEMPOTENT,
@@ -42,7 +42,7 @@
 }
 """Endpoints that a request may be sent to where its route names no number."""
 
-USUAL_URGENCY = 5
+DEFAULT_URGENCY = 5
 """Urgency of a route that names none: the middle of 0 to 9, as engines take it."""
 
 _ID = re.compile(r"[\x21-\x7e]{1,256}")
@@ -56,8 +56,8 @@
         """See :class:`ObjectReader`."""
         key = CONFIGURATION_KEY
         try:
-            whole = read_form(forms.ConfigurationForm, orjson.loads(value))
-            return _ConfigurationReading(whole).table()
+            whole = parse_form(forms.ConfigurationForm, orjson.loads(value))
+            return _ConfigurationReader(whole).table()
         except ValueError as error:
             raise UnreadableObjectError(key, (f"{key}: {error}",)) from error
 
@@ -67,7 +67,7 @@
         if _ID.fullmatch(instance) is None:
             raise UnreadableObjectError(key, ("its name can't be an endpoint's id",))
         try:
-            form = read_form(forms.EntryForm, orjson.loads(value))
+            form = parse_form(forms.EntryForm, orjson.loads(value))
         except ValueError as error:
             raise UnreadableObjectError(key, (str(error),)) from error
         return EndpointEntry(
@@ -81,23 +81,23 @@
         )
 
 
-class _ConfigurationReading:
+class _ConfigurationReader:
     """One configuration under way: what can be read of it, and what is wrong with the rest."""
 
     def __init__(self, whole: forms.ConfigurationForm) -> None:
         self._whole = whole
         self._findings: list[str] = []
         self._services_by_name: dict[str, ServiceSpec] = {}
-        self._odd_services: set[str] = set()
+        self._invalid_services: set[str] = set()
 
     def table(self) -> RoutingTable:
         """Returns the table.
 
         Raises:
-            OddTableError: the place of a route can't be read, so nobody may say what it covers.
+            InvalidTableError: the place of a route can't be read, so nobody may say what it covers.
         """
         for item in self._whole.services:
-            self._take_service(item)
+            self._add_service(item)
         routes = tuple(self._route(item) for item in self._whole.routes)
         accounts = self._accounts()
         return RoutingTable(
@@ -124,8 +124,8 @@
         name = str(table.get("name", "?"))[:SHOWN]
         digests = self._digests(name, table.get("api_keys"))
         try:
-            form = read_form(forms.AccountForm, item)
-        except OddTableError as error:
+            form = parse_form(forms.AccountForm, item)
+        except InvalidTableError as error:
             self._findings.append(f"account '{name}': {error}")
             return ClosedAccount(name, digests, str(error))
         quota = Quota(float(form.rate_per_s), float(form.burst or 0)) if form.rate_per_s else None
@@ -150,33 +150,33 @@
             return None
         return priority
 
-    def _take_service(self, item: Any) -> None:
+    def _add_service(self, item: Any) -> None:
         name = item.get("name") if isinstance(item, dict) else None
         if not isinstance(name, str) or not name:
             self._findings.append("a service without a name")
             return
         try:
             self._services_by_name[name] = _service(name, item)
-        except OddTableError as error:
+        except InvalidTableError as error:
             self._findings.append(f"service '{name[:SHOWN]}': {error}")
-            self._odd_services.add(name)
+            self._invalid_services.add(name)
 
     def _route(self, item: Any) -> Route | ClosedRoute:
         name = str(item.get("name", "?"))[:SHOWN] if isinstance(item, dict) else "?"
         try:
-            place = read_form(forms.PlaceForm, item)
-        except OddTableError as error:
-            raise OddTableError(f"route '{name}': {error}") from error
+            place = parse_form(forms.RouteKeyForm, item)
+        except InvalidTableError as error:
+            raise InvalidTableError(f"route '{name}': {error}") from error
         host = place.host.lower()
         try:
             route = self._read_route(name, host, place.path_prefix, item)
-        except OddTableError as error:
+        except InvalidTableError as error:
             self._findings.append(f"route '{name}': {error}")
             return ClosedRoute(name, host, place.path_prefix, str(error))
         return route
 
     def _read_route(self, name: str, host: str, path_prefix: str, item: Any) -> Route:
-        form = read_form(forms.RouteForm, item)
+        form = parse_form(forms.RouteForm, item)
         kind = KIND_BY_NAME.get(form.route_kind)
         if kind is None:
             # Running once at most is safe for every kind, and better than no answer.
@@ -191,7 +191,7 @@
             shares=self._shares(form),
             timeout_s=form.timeout_ms / 1000,
             objective_s=slo_ms / 1000,
-            urgency=USUAL_URGENCY if form.priority is None else form.priority,
+            urgency=DEFAULT_URGENCY if form.priority is None else form.priority,
             max_endpoints=form.attempts or DEFAULT_ATTEMPTS_BY_KIND[kind],
             keeps_turns=bool(form.retained),
             keep_turns_s=float(form.retention_s or 0.0),
@@ -202,29 +202,31 @@
 
     def _shares(self, form: forms.RouteForm) -> tuple[ServiceShare, ...]:
         split = form.split or [{"service": form.service, "weight": 1}]
-        read = [read_form(forms.ShareForm, share) for share in split]
+        read = [parse_form(forms.ShareForm, share) for share in split]
         if not any(share.weight for share in read):
-            raise OddTableError("no share of 'split' has a weight")
-        odd = sorted(self._odd_services.intersection(share.service for share in read))
+            raise InvalidTableError("no share of 'split' has a weight")
+        odd = sorted(self._invalid_services.intersection(share.service for share in read))
         if odd:
-            raise OddTableError(f"its service '{odd[0]}' can't be read")
+            raise InvalidTableError(f"its service '{odd[0]}' can't be read")
         return tuple(ServiceShare(share.service, float(share.weight)) for share in read)
 
-    def _limits(self) -> FrontLimits:
+    def _limits(self) -> RequestLimits:
         if self._whole.limits is None:
-            return FrontLimits()
+            return RequestLimits()
         try:
-            form = read_form(forms.LimitsForm, self._whole.limits)
-        except OddTableError as error:
+            form = parse_form(forms.LimitsForm, self._whole.limits)
+        except InvalidTableError as error:
             self._findings.append(f"limits: {error}")
-            return FrontLimits()
-        return FrontLimits() if form.max_body_bytes is None else FrontLimits(form.max_body_bytes)
+            return RequestLimits()
+        return (
+            RequestLimits() if form.max_body_bytes is None else RequestLimits(form.max_body_bytes)
+        )
 
 
 def _service(name: str, item: Any) -> ServiceSpec:
-    form = read_form(forms.ServiceForm, item)
+    form = parse_form(forms.ServiceForm, item)
     traits = None
     if form.engine_kind:
-        engine = read_form(forms.EngineForm, form.engine_kind)
-        traits = EngineTraits(engine.slots, int(engine.kv_capacity), engine.chunk_tokens)
+        engine = parse_form(forms.EngineForm, form.engine_kind)
+        traits = EngineSpec(engine.slots, int(engine.kv_capacity), engine.chunk_tokens)
     return ServiceSpec(name, form.max_conns or 0, traits)
--- a/src/bayhinge/_internal/platform/objects_api.py
+++ b/src/bayhinge/_internal/platform/objects_api.py
@@ -37,13 +37,13 @@
 )
 from bayhinge.coordination.store_contact import StoreContact
 
-CALL_S = 1.0
+CALL_TIMEOUT_S = 1.0
 """Time for one call; the store answers within milliseconds when it is well."""
 
 WAIT_MARGIN_S = 0.7
 """Time beyond its wait that a watch call may take."""
 
-RATE_RETRY_S = 0.5
+RATE_LIMIT_RETRY_S = 0.5
 """When to come back after the store's rate was passed; the store names no time."""
 
 CONFIGURATION_KIND = "config"
@@ -55,7 +55,7 @@
 UNREADABLE = b""
 """What stands for the bytes of an object that can't be read; no object of ours is empty."""
 
-MOST_ENTRY_BYTES = 16_384
+MAX_ENTRY_BYTES = 16_384
 """Longest entry of an endpoint that is kept. They have some 250 bytes, the store takes 1 MB of any
 writer, and each host holds all of them."""
 
@@ -132,7 +132,7 @@
             objects = _objects(kind, body["items"])
             return Listing(objects, int(body["timestamp"]), bool(body["has_more"]))
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise _odd_answer(f"list {prefix}", error) from error
+            raise _invalid_answer_error(f"list {prefix}", error) from error
 
     async def poll(self, prefix: str, after_revision: int, wait_s: float) -> ChangePage:
         """See :class:`PollingStore`."""
@@ -146,7 +146,7 @@
             revision = int(answer.body["timestamp"])
             changes = _changes(kind, answer.body["events"])
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise _odd_answer(what, error) from error
+            raise _invalid_answer_error(what, error) from error
         return ChangePage(changes, revision)
 
     async def write_status(self, key: str, status: dict[str, Any]) -> None:
@@ -165,7 +165,7 @@
         path: str,
         what: str,
         body: dict[str, Any] | None = None,
-        time_s: float = CALL_S,
+        time_s: float = CALL_TIMEOUT_S,
     ) -> _Answer:
         if self._session is None:
             self._session = open_session()
@@ -184,13 +184,13 @@
             self._contact.note_failure(is_silent=isinstance(error, TimeoutError))
             raise StoreUnavailableError(what, str(error) or type(error).__name__) from error
         except (ValueError, RecursionError) as error:
-            raise _odd_answer(what, error) from error
-        self._note_status(status)
+            raise _invalid_answer_error(what, error) from error
+        self._record_status(status)
         return _checked(what, status, content)
 
-    def _note_status(self, status: int) -> None:
-        is_turned_away = status == status_codes.HTTP_TOO_MANY_REQUESTS
-        if is_turned_away or status >= status_codes.HTTP_SERVER_ERROR:
+    def _record_status(self, status: int) -> None:
+        is_rate_limited = status == status_codes.HTTP_TOO_MANY_REQUESTS
+        if is_rate_limited or status >= status_codes.HTTP_SERVER_ERROR:
             self._contact.note_failure(is_silent=False)
         else:
             self._contact.note_answer()
@@ -198,14 +198,14 @@
 
 def _checked(what: str, status: int, content: Any) -> _Answer:
     if status == status_codes.HTTP_TOO_MANY_REQUESTS:
-        raise StoreRateLimitedError(what, RATE_RETRY_S)
+        raise StoreRateLimitedError(what, RATE_LIMIT_RETRY_S)
     known = {status_codes.HTTP_NOT_FOUND, status_codes.HTTP_CONFLICT, status_codes.HTTP_GONE}
     if status >= status_codes.HTTP_MULTIPLE_CHOICES and status not in known:
         raise StoreUnavailableError(what, f"status {status}: {content}")
     return _Answer(status, content if isinstance(content, dict) else {})
 
 
-def _odd_answer(what: str, error: Exception) -> StoreUnavailableError:
+def _invalid_answer_error(what: str, error: Exception) -> StoreUnavailableError:
     return StoreUnavailableError(what, f"an answer of unknown form: {error!r}")
 
 
@@ -231,11 +231,11 @@
 
 def _objects(kind: str, items: Iterable[Any]) -> tuple[StoredObject, ...]:
     found = [_object(kind, item) for item in items]
-    _tell_of_nameless(kind, found.count(None))
+    _log_nameless_objects(kind, found.count(None))
     return tuple(stored for stored in found if stored is not None)
 
 
-def _tell_of_nameless(kind: str, count: int) -> None:
+def _log_nameless_objects(kind: str, count: int) -> None:
     """Logs objects that were passed over: without a name there is nothing to keep them under."""
     if count:
         eliot.log_message("store.nameless_objects", kind=kind, count=count)
@@ -255,14 +255,14 @@
 def _stored(key: str, item: dict[str, Any]) -> StoredObject:
     found = _object(key.partition("/")[0], item)
     if found is None:
-        raise _odd_answer(f"read {key}", KeyError("metadata"))
+        raise _invalid_answer_error(f"read {key}", KeyError("metadata"))
     return attrs.evolve(found, key=key)
 
 
 def _changes(kind: str, events: Iterable[Any]) -> tuple[Change, ...]:
     tables = [event if isinstance(event, dict) else {} for event in events]
     found = [(_object(kind, table.get("object")), bool(table.get("deleted"))) for table in tables]
-    _tell_of_nameless(kind, sum(stored is None for stored, _ in found))
+    _log_nameless_objects(kind, sum(stored is None for stored, _ in found))
     return tuple(
         Change(stored.key, None if is_gone else stored.value, stored.version, stored.version)
         for stored, is_gone in found
@@ -282,5 +282,5 @@
         value = orjson.dumps(spec)
     except (TypeError, ValueError, binascii.Error):
         return UNREADABLE
-    is_too_long = kind == ENDPOINTS_KIND and len(value) > MOST_ENTRY_BYTES
+    is_too_long = kind == ENDPOINTS_KIND and len(value) > MAX_ENTRY_BYTES
     return UNREADABLE if is_too_long else value
--- a/src/bayhinge/_internal/platform/retirements.py
+++ b/src/bayhinge/_internal/platform/retirements.py
@@ -13,14 +13,14 @@
 from bayhinge.coordination.errors import StoreError
 from bayhinge.coordination.store import Change
 
-MOST_ALLOWED_S = 60.0
+MAX_ALLOWED_S = 60.0
 """A longer time is taken as this one: a disk that waits for others does so within a minute."""
 
 RETRY_S = 0.4
 """Pause after the store did not take a status."""
 
 
-class RetirementDesk(FollowListener):
+class RetirementListener(FollowListener):
     """Passes requests for this host on to it, and reports how far it is."""
 
     def __init__(self, store: PlatformObjects, disk: DiskHost) -> None:
@@ -33,14 +33,14 @@
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
         """See :class:`FollowListener`."""
         if self._key in value_by_key:
-            self._take(value_by_key[self._key])
+            self._handle_request(value_by_key[self._key])
 
     def apply(self, change: Change, is_after_outage: bool) -> None:
         """See :class:`FollowListener`."""
         if change.key == self._key and change.value is not None:
-            self._take(change.value)
+            self._handle_request(change.value)
 
-    def _take(self, value: bytes) -> None:
+    def _handle_request(self, value: bytes) -> None:
         """Begins where the operator asks for it: any table does, whatever it says of the time.
 
         A ``duration_s`` that can't be read allows no waiting. What is no table was written by
@@ -81,4 +81,4 @@
     allowed_s = spec.get("duration_s")
     if not isinstance(allowed_s, int | float) or isinstance(allowed_s, bool):
         return 0.0
-    return min(MOST_ALLOWED_S, max(0.0, float(allowed_s)))
+    return min(MAX_ALLOWED_S, max(0.0, float(allowed_s)))
--- a/src/bayhinge/_internal/platform/settings_file.py
+++ b/src/bayhinge/_internal/platform/settings_file.py
@@ -12,7 +12,7 @@
 from bayhinge._internal.models.findings import Finding, Place
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.utils.checked_fields import (
-    MOST_PORT,
+    MAX_PORT,
     SHOWN,
     Check,
     ipv4_with_port,
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class _Named:
+class _FieldName:
     """What a check calls a value by."""
 
     name: str
@@ -43,7 +43,7 @@
     table: Mapping[str, Any]
     findings: list[Finding] = attrs.field(factory=list)
 
-    def take(self, path: str, check: Check, fallback: Any = None) -> Any:
+    def read(self, path: str, check: Check, fallback: Any = None) -> Any:
         """Returns a field by its dotted path; without a fallback it must be there."""
         value: Any = self.table
         for name in path.split("."):
@@ -55,7 +55,7 @@
                 self.findings.append(Finding(place, "the field is missing"))
             return fallback
         try:
-            check(None, _Named(key), value)
+            check(None, _FieldName(key), value)
         except (TypeError, ValueError) as error:
             shown = repr(value)[:SHOWN]
             self.findings.append(Finding(place, f"{shown} can't be used: {error.args[0]}"))
@@ -74,7 +74,7 @@
         raise TypeError(f"'{field.name}' must be the first and the last port")
     for port in value:
         check(None, field, port)
-    if not value[0] < value[1] <= MOST_PORT:
+    if not value[0] < value[1] <= MAX_PORT:
         raise ValueError("two ports are needed, one for each kind of link")
 
 
@@ -96,31 +96,31 @@
 
 
 def _read(fields: _Fields) -> SiteSettings:
-    take = fields.take
-    first_port = (take("port_range", _ports) or [0])[0]
-    seeds = take("seeds", _TEXTS, [])
-    is_strict = take("bounds.revoke_strict", _FLAG, False)
-    revoke_ms = take("bounds.revoke_ms", number(0, is_above=True), 0) if is_strict else 0
+    read = fields.read
+    first_port = (read("port_range", _ports) or [0])[0]
+    seeds = read("seeds", _TEXTS, [])
+    is_strict = read("bounds.revoke_strict", _FLAG, False)
+    revoke_ms = read("bounds.revoke_ms", number(0, is_exclusive=True), 0) if is_strict else 0
     return SiteSettings(
-        host=take("node_name", text()),
-        hall=take("zone", text()),
-        region=take("region", text()),
-        ip=take("ip", _ipv4),
-        region_by_hall=take("zones", _REGIONS, {}),
-        front_address=take("listen.frontend", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
-        ready_address=take("listen.ready", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
-        directory_address=take("listen.directory", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
+        host=read("node_name", text()),
+        hall=read("zone", text()),
+        region=read("region", text()),
+        ip=read("ip", _ipv4),
+        region_by_hall=read("zones", _REGIONS, {}),
+        front_address=read("listen.frontend", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
+        ready_address=read("listen.ready", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
+        directory_address=read("listen.directory", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
         gossip_port=first_port,
         peer_port=first_port + 1,
         seeds=tuple(seed.rpartition(":")[0] for seed in seeds),
-        data_folder=take("data_dir", text(0), ""),
-        is_first_start=take("bootstrap", _FLAG, False),
-        tolerated_disks=take("fault_tolerance.machines", whole_number(0), 1),
-        store_address=take("platform.address", ipv4_with_port),
-        address_keep_s=float(take("bounds.ttl_max_s", number(0), 5.0)),
-        grace_s=float(take("bounds.grace_s", number(0), 8.0)),
+        data_folder=read("data_dir", text(0), ""),
+        is_first_start=read("bootstrap", _FLAG, False),
+        tolerated_disks=read("fault_tolerance.machines", whole_number(0), 1),
+        store_address=read("platform.address", ipv4_with_port),
+        address_keep_s=float(read("bounds.ttl_max_s", number(0), 5.0)),
+        grace_s=float(read("bounds.grace_s", number(0), 8.0)),
         taken_away_s=revoke_ms / 1000 if revoke_ms else None,
-        quota_window_s=float(take("bounds.quota_window_s", number(0), 1.0)),
-        quota_overage=float(take("bounds.quota_overage", number(0), 0.0)),
-        quota_slack=float(take("bounds.quota_slack", number(0), 0.0)),
+        quota_window_s=float(read("bounds.quota_window_s", number(0), 1.0)),
+        quota_overage=float(read("bounds.quota_overage", number(0), 0.0)),
+        quota_slack=float(read("bounds.quota_slack", number(0), 0.0)),
     )
--- a/src/bayhinge/_internal/platform/unused_libraries.py
+++ b/src/bayhinge/_internal/platform/unused_libraries.py
@@ -14,16 +14,16 @@
     """Something uses a library that was left out."""
 
 
-class _LeftOut(ModuleType):
+class _StubModule(ModuleType):
     """Stands for a library; whoever uses it learns why it is not there."""
 
     def __getattr__(self, name: str) -> Any:
         if name.startswith("__"):
             raise AttributeError(name)
-        return _Refusing(f"{self.__name__}.{name}")
+        return _StubName(f"{self.__name__}.{name}")
 
 
-class _Refusing:
+class _StubName:
     """Stands for one name of a library."""
 
     def __init__(self, name: str) -> None:
@@ -35,7 +35,7 @@
         )
 
 
-def leave_out_unused() -> None:
+def stub_unused_libraries() -> None:
     """Puts stand-ins for them where imports look; must come before anything loads them."""
     for name in UNUSED:
-        sys.modules.setdefault(name, _LeftOut(name))
+        sys.modules.setdefault(name, _StubModule(name))
--- a/src/bayhinge/_internal/utils/checked_fields.py
+++ b/src/bayhinge/_internal/utils/checked_fields.py
@@ -14,23 +14,23 @@
 Form = TypeVar("Form")
 Check = Callable[[Any, Any, Any], None]
 
-MOST_WHOLE = 2**53
+MAX_INTEGER = 2**53
 """Largest number that every JSON writer can write exactly."""
 
-MOST_TEXT = 4096
+MAX_TEXT_CHARS = 4096
 """Longest text of one field, in signs; the longest that is in use are some 40."""
 
 SHOWN = 80
 """Signs of an odd value that a finding shows."""
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 
 
-class OddTableError(ValueError):
+class InvalidTableError(ValueError):
     """A table is not of its form; the message names the field and what it may hold."""
 
 
-def _no_truth_value(_: Any, field: Any, value: Any) -> None:
+def _reject_bool(_: Any, field: Any, value: Any) -> None:
     # Python counts truth values among its whole numbers.
     if isinstance(value, bool):
         raise TypeError(f"'{field.name}' must be a number, not {value}")
@@ -39,31 +39,31 @@
 def text(least: int = 1) -> Check:
     """Returns a check for text of at least so many signs."""
     is_text = validators.instance_of(str)
-    return validators.and_(is_text, validators.min_len(least), validators.max_len(MOST_TEXT))
+    return validators.and_(is_text, validators.min_len(least), validators.max_len(MAX_TEXT_CHARS))
 
 
 def whole_number(least: int) -> Check:
     """Returns a check for a whole number; a truth value is none."""
     return validators.and_(
         validators.instance_of(int),
-        _no_truth_value,
+        _reject_bool,
         validators.ge(least),
-        validators.le(MOST_WHOLE),
+        validators.le(MAX_INTEGER),
     )
 
 
-def number(least: float, is_above: bool = False) -> Check:
+def number(least: float, is_exclusive: bool = False) -> Check:
     """Returns a check for a number from ``least`` on, or above it; no truth value, no infinity."""
-    bound = validators.gt(least) if is_above else validators.ge(least)
+    bound = validators.gt(least) if is_exclusive else validators.ge(least)
     return validators.and_(
-        validators.instance_of((int, float)), _no_truth_value, bound, validators.le(MOST_WHOLE)
+        validators.instance_of((int, float)), _reject_bool, bound, validators.le(MAX_INTEGER)
     )
 
 
 def is_ipv4_with_port(address: str) -> bool:
     """Tells whether text is ``10.0.0.5:8100``: an address that one machine may have, and a port."""
     host, _, port = address.rpartition(":")
-    if not (port.isascii() and port.isdigit()) or port.startswith("0") or int(port[:6]) > MOST_PORT:
+    if not (port.isascii() and port.isdigit()) or port.startswith("0") or int(port[:6]) > MAX_PORT:
         return False
     return is_ipv4(host)
 
@@ -88,23 +88,26 @@
         raise TypeError(f"'{field.name}' must be an IPv4 address and a port (got {value!r})")
 
 
-def read_form(form: type[Form], table: Any) -> Form:
+def parse_form(form: type[Form], table: Any) -> Form:
     """Returns the attrs class ``form`` filled from a table; fields it doesn't name are passed over.
 
     Raises:
-        OddTableError: the table is none, a field is missing, or one is of another type or range.
+        InvalidTableError: not a table, a required field is missing, or a value has the wrong type
+            or is out of range.
     """
     if not isinstance(table, Mapping):
-        raise OddTableError(f"a {type(table).__name__}, where a table with fields is due")
+        raise InvalidTableError(f"a {type(table).__name__}, where a table with fields is due")
     values: dict[str, Any] = {}
     for field in attrs.fields(form):  # type: ignore[arg-type]
         if field.name in table:
             values[field.name] = table[field.name]
         elif field.default is attrs.NOTHING:
-            raise OddTableError(f"'{field.name}' is missing")
+            raise InvalidTableError(f"'{field.name}' is missing")
     try:
         return form(**values)
     except (TypeError, ValueError) as error:
         # attrs adds the field and the value behind its message.
         why = str(error.args[0] if error.args else error)
-        raise OddTableError(why if len(why) <= SHOWN * 2 else f"{why[: SHOWN * 2]}...") from error
+        raise InvalidTableError(
+            why if len(why) <= SHOWN * 2 else f"{why[: SHOWN * 2]}..."
+        ) from error
--- a/src/bayhinge/_internal/utils/durable_files.py
+++ b/src/bayhinge/_internal/utils/durable_files.py
@@ -22,9 +22,9 @@
 
 def replace_synced(path: Path, data: bytes) -> None:
     """Replaces a file so that after a power loss either the old or the new one is whole."""
-    fresh = path.with_suffix(".fresh")
-    write_synced(fresh, data)
-    fresh.replace(path)
+    temporary = path.with_suffix(".fresh")
+    write_synced(temporary, data)
+    temporary.replace(path)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/src/bayhinge/_internal/utils/http_session.py
+++ b/src/bayhinge/_internal/utils/http_session.py
@@ -11,9 +11,9 @@
 import aiohttp
 from aiohttp import AddrInfoType, ClientHandlerType, ClientRequest, ClientResponse
 
-from bayhinge._internal.utils.silence import bound_silence
+from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
 
-UNACKNOWLEDGED_S = 2.0
+TCP_USER_TIMEOUT_S = 2.0
 """Sent bytes that stay without an acknowledgement for so long end a connection. Calls bound
 themselves; this is for those that wait for long, such as a watch."""
 
@@ -42,7 +42,7 @@
     """A connection broke after the request may have been sent; aiohttp leaves this one alone."""
 
 
-async def _repeat_nothing(request: ClientRequest, handler: ClientHandlerType) -> ClientResponse:
+async def _disable_retries(request: ClientRequest, handler: ClientHandlerType) -> ClientResponse:
     try:
         return await handler(request)
     except aiohttp.ClientConnectorError:
@@ -55,7 +55,7 @@
 def _open_socket(address: AddrInfoType) -> socket.socket:
     family, kind, protocol, _, _ = address
     sock = socket.socket(family, kind, protocol)
-    bound_silence(sock, UNACKNOWLEDGED_S)
+    set_tcp_timeouts(sock, TCP_USER_TIMEOUT_S)
     return sock
 
 
@@ -63,5 +63,5 @@
     """Opens a session without limits on connections: queueing is done elsewhere, and seen."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, socket_factory=_open_socket),
-        middlewares=(_repeat_nothing,),
+        middlewares=(_disable_retries,),
     )
--- a/src/bayhinge/_internal/utils/log_output.py
+++ b/src/bayhinge/_internal/utils/log_output.py
@@ -71,7 +71,7 @@
 
     def __call__(self, message: Mapping[str, Any]) -> None:
         """Takes one message; see eliot's destinations."""
-        if message.get("message_type") in ORDINARY_TYPES and not self._takes_ordinary():
+        if message.get("message_type") in ORDINARY_TYPES and not self._admits_ordinary():
             return
         fields = {name: value for name, value in message.items() if name not in _UNUSED}
         line = orjson.dumps(self._host | fields, default=str, option=orjson.OPT_APPEND_NEWLINE)
@@ -87,7 +87,7 @@
         if not self._is_watched():
             self.flush()
 
-    def _takes_ordinary(self) -> bool:
+    def _admits_ordinary(self) -> bool:
         # Half of the buffer is kept for what matters more.
         has_room = self._waiting_bytes < BUFFER_BYTES // 2
         if has_room and self.ordinary.takes(time.monotonic()):
--- a/src/bayhinge/_internal/utils/running_time.py
+++ b/src/bayhinge/_internal/utils/running_time.py
@@ -30,8 +30,8 @@
         yield
         return
     async with asyncio.timeout(None) as bound:
-        parts = _Parts(bound, limit_s / STEPS)
-        parts.begin_next()
+        parts = _TimeoutSlices(bound, limit_s / STEPS)
+        parts.start_next()
         try:
             yield
         finally:
@@ -39,19 +39,19 @@
 
 
 @attrs.define
-class _Parts:
+class _TimeoutSlices:
     """What is left of a bound; a part begins when this loop has noticed the last one's end."""
 
     _bound: asyncio.Timeout
-    _part_s: float
-    _left: int = STEPS
+    _slice_s: float
+    _slices_left: int = STEPS
     _timer: asyncio.TimerHandle | None = None
 
-    def begin_next(self) -> None:
+    def start_next(self) -> None:
         loop = asyncio.get_running_loop()
-        if self._left:
-            self._left -= 1
-            self._timer = loop.call_later(self._part_s, self.begin_next)
+        if self._slices_left:
+            self._slices_left -= 1
+            self._timer = loop.call_later(self._slice_s, self.start_next)
         else:
             self._bound.reschedule(loop.time())
 
@@ -70,7 +70,7 @@
     def __init__(self, limit_s: float) -> None:
         """Takes the bound in seconds."""
         self.left_s = limit_s
-        self._part_s = limit_s / STEPS
+        self._slice_s = limit_s / STEPS
 
     async def first_of(
         self, waiting: Iterable[asyncio.Task[Result]]
@@ -83,8 +83,8 @@
             began_s = loop.time()
             finished, left = await asyncio.wait(
                 left,
-                timeout=min(self._part_s, self.left_s),
+                timeout=min(self._slice_s, self.left_s),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            self.left_s -= min(loop.time() - began_s, self._part_s)
+            self.left_s -= min(loop.time() - began_s, self._slice_s)
         return finished, left
--- a/src/bayhinge/_internal/utils/silence.py
+++ b/src/bayhinge/_internal/utils/tcp_timeouts.py
@@ -7,27 +7,27 @@
 
 import socket
 
-PROBE_IDLE_S = 1
+KEEPALIVE_IDLE_S = 1
 """Seconds without traffic after which the kernel probes. The least that it takes: what waits
 quietly, such as a watch or a stream in its middle, must be found within the three seconds in which
 a host counts as in touch again."""
 
-PROBE_PERIOD_S = 1
+KEEPALIVE_INTERVAL_S = 1
 """Seconds between two probes; the kernel counts in whole ones."""
 
-MOST_PROBES = 2
+KEEPALIVE_PROBES = 2
 """Probes without an answer that end a connection: one may be lost."""
 
 
-def bound_silence(sock: socket.socket, unacknowledged_s: float) -> None:
+def set_tcp_timeouts(sock: socket.socket, user_timeout_s: float) -> None:
     """Ends a connection whose peer acknowledges nothing.
 
-    Sent bytes may stay unacknowledged for ``unacknowledged_s`` seconds; the end comes with the
+    Sent bytes may stay unacknowledged for ``user_timeout_s`` seconds; the end comes with the
     kernel's next try: after 1.4 s with a bound of 1.0 s, and after 2.0 s without traffic
     (measured on loopback, against a socket that drops every packet).
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_PERIOD_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MOST_PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(unacknowledged_s * 1000))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(user_timeout_s * 1000))
--- a/tests/unit/test_endpoint_news.py
+++ b/tests/unit/test_endpoint_news.py
@@ -174,7 +174,7 @@
 
 def test_what_a_former_start_said_last_is_no_word_of_the_next_one() -> None:
     links = EndpointLinks()
-    links._heard_s_by_key["a"] = 10.0
+    links._last_received_s_by_key["a"] = 10.0
     links.start_again("a", NewStart("x", 9.0))
     assert links.was_heard_since("a", 9.5), "that was the new start"
     links.start_again("a", NewStart("x", 11.0))
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -11,7 +11,7 @@
 
 from bayhinge._internal.decisions.endpoint_book import EndpointBook, Wish
 from bayhinge._internal.exceptions import UnreadableObjectError
-from bayhinge._internal.models.routing import ClosedRoute, FrontLimits, Route, RouteKind
+from bayhinge._internal.models.routing import ClosedRoute, RequestLimits, Route, RouteKind
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.platform import objects_api
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
@@ -383,7 +383,7 @@
 )
 def test_odd_limits_are_the_usual_ones(limits: Any) -> None:
     table = READER.read_configuration(odd_configuration(limits=limits))
-    assert table.limits == FrontLimits()
+    assert table.limits == RequestLimits()
     assert len(table.findings) == 1
     assert all(isinstance(route, Route) for route in table.routes)
 
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from bayhinge._internal.models.routing import (
-    FrontLimits,
+    RequestLimits,
     Route,
     RouteKind,
     RoutingTable,
@@ -26,7 +26,7 @@
 
 
 def table(*routes: Route) -> RoutingTable:
-    return RoutingTable(1, routes, {}, FrontLimits())
+    return RoutingTable(1, routes, {}, RequestLimits())
 
 
 @given(st.lists(st.tuples(st.sampled_from("hg"), prefixes), max_size=8), paths)
--- a/tests/unit/test_stalls_endpoints.py
+++ b/tests/unit/test_stalls_endpoints.py
@@ -11,7 +11,7 @@
 
 from bayhinge._internal.decisions.answer_bounds import AnswerBounds
 from bayhinge._internal.network.endpoint_answer import Answer, SilentEndpointError
-from bayhinge._internal.network.endpoint_link import CONNECT_S, EndpointLinks
+from bayhinge._internal.network.endpoint_link import CONNECT_TIMEOUT_S, EndpointLinks
 from bayhinge._internal.services.gateway.stream_delivery import _pieces
 from tests.lib.disks_elsewhere import disks_elsewhere
 
@@ -90,7 +90,7 @@
 def test_an_endpoint_is_reached_by_a_host_that_stood_still() -> None:
     async def scenario(address: str) -> None:
         links = EndpointLinks()
-        asyncio.get_running_loop().call_soon(time.sleep, CONNECT_S + 0.1)
+        asyncio.get_running_loop().call_soon(time.sleep, CONNECT_TIMEOUT_S + 0.1)
         connection = await links.acquire("i-1", address)
         connection.abort("over")
 
--- a/tests/unit/test_unused_libraries.py
+++ b/tests/unit/test_unused_libraries.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from bayhinge._internal.platform.unused_libraries import UNUSED, _LeftOut
+from bayhinge._internal.platform.unused_libraries import UNUSED, _StubModule
 
 LOADS = """
 import sys
-from bayhinge._internal.platform.unused_libraries import leave_out_unused
-leave_out_unused()
+from bayhinge._internal.platform.unused_libraries import stub_unused_libraries
+stub_unused_libraries()
 import bayhinge._internal.platform.{program}
 dates = {{"dateutil", "pytz", "croniter"}}
 print(sorted(name for name in sys.modules if name.split(".")[0] in dates))
@@ -30,4 +30,4 @@
 
 def test_what_is_left_out_says_so_when_it_is_used() -> None:
     with pytest.raises(AttributeError, match="left out of hosts"):
-        _LeftOut("croniter").croniter("* * * * *")
+        _StubModule("croniter").croniter("* * * * *")
