--- a/src/bayhinge/_internal/commands/__init__.py
+++ b/src/bayhinge/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What changes a program's state: checks and transitions."""
+"""Commands on programs: parsing, validation and the decision what to do with a call."""
--- a/src/bayhinge/_internal/commands/accept_call.py
+++ b/src/bayhinge/_internal/commands/accept_call.py
@@ -1,6 +1,6 @@
-"""Decides what to do with a call: run it, join it, answer it from the record, or refuse.
+"""Decides whether to run a call, join a running one, replay its recorded answer, or refuse it.
 
-Pure: the program's state and the call in, a decision out.
+The functions are pure: they map a program's state and a call to a decision.
 """
 
 from collections.abc import Iterator
@@ -20,51 +20,51 @@
 )
 
 MAX_AHEAD = 16
-"""A call may come so many places early and wait for those before it."""
+"""How far a call's index may be ahead of the next one; it then waits for the calls before it."""
 
 
 class Decision:
-    """What is to be done with a call."""
+    """What to do with a call."""
 
 
 @attrs.frozen
 class RunCall(Decision):
-    """Run it at this index."""
+    """Run the call at this index."""
 
     index: int
 
 
 @attrs.frozen
 class JoinCall(Decision):
-    """It is running already: follow its answer."""
+    """The call is already running: stream the answer of that run."""
 
     index: int
 
 
 @attrs.frozen
 class ReplayCall(Decision):
-    """It is recorded already: give the recorded answer."""
+    """The call is already recorded: return the recorded answer."""
 
     entry: CallEntry
 
 
 @attrs.frozen
 class AwaitTurn(Decision):
-    """A call before it has not ended yet: look again when it has."""
+    """An earlier call of the program has not ended: decide again once it has."""
 
     index: int
 
 
 @attrs.frozen
 class RefuseCall(Decision):
-    """Refuse it."""
+    """Refuse the call."""
 
     refusal: Refusal
 
 
 @attrs.frozen
 class RunningView:
-    """The one call of the program that is running."""
+    """The program's running call; a program runs one call at a time."""
 
     index: int
     digest: str
@@ -72,7 +72,7 @@
 
 
 def decide_call(state: ProgramState, call: Call, running: RunningView | None) -> Decision:
-    """Decides on a call of a living program."""
+    """Decides what to do with a call; ``running`` is the program's running call, if any."""
     known = _find_earlier_call(state, call, running)
     if known is not None:
         return known
@@ -96,7 +96,7 @@
 def _find_earlier_call(
     state: ProgramState, call: Call, running: RunningView | None
 ) -> Decision | None:
-    """Finds a call that was made before, by its idempotency key or its index."""
+    """Finds an earlier request for the same call, by its idempotency key or index."""
     if call.idempotency_key is not None:
         if running is not None and running.idempotency_key == call.idempotency_key:
             return _check_same_request(running.digest, call, JoinCall(running.index))
@@ -120,12 +120,12 @@
 
 
 def _index_gap_refusal(state: ProgramState, index: int) -> Refusal:
-    why = f"call {index} was made, and the next one is {state.next_index}"
+    why = f"call index {index} is too far ahead; the next index is {state.next_index}"
     return refuse_unaccepted(RefusalCode.INDEX_GAP, why, Figure("next_index", state.next_index))
 
 
 def check_limits(account: ClientAccount, state: ProgramState, call: Call) -> Iterator[Refusal]:
-    """Yields what the account's parameters have against a call, gravest first."""
+    """Yields the account limits that a call violates, most severe first."""
     yield from _check_permission(account, call)
     if state.next_index >= account.max_calls:
         yield refuse_unaccepted(
@@ -144,7 +144,7 @@
     if repeated >= account.max_repeated_calls:
         yield refuse_unaccepted(
             RefusalCode.LOOP_DETECTED,
-            "the program makes the same call again and again",
+            "the program keeps repeating the same call",
             Figure("repeated_calls", repeated),
             Figure("max_repeated_calls", account.max_repeated_calls),
         )
@@ -162,10 +162,11 @@
 
 @attrs.frozen
 class NewMessages:
-    """What a model call adds to the history.
+    """The messages that a model call adds to the history.
 
-    ``rewrite`` says that it replaces the history; ``digest`` is the history's digest
-    with ``messages``.
+    Attributes:
+        rewrite: the messages replace the history.
+        digest: the digest of the resulting history.
     """
 
     messages: tuple[bytes, ...]
@@ -174,10 +175,9 @@
 
 
 def find_new_messages(state: ProgramState, work: ModelCall) -> Result[NewMessages, Refusal]:
-    """Finds what a call's message list adds to the recorded history.
+    """Finds the messages that a call adds to the recorded history.
 
-    A whole list must extend the history: the digest over as many messages as are
-    recorded must be the recorded one.
+    In mode WHOLE the list must start with the recorded history, which is checked by digest.
     """
     if work.mode is MessagesMode.REWRITE:
         digest = extend_digest(EMPTY_DIGEST, work.messages)
@@ -188,8 +188,8 @@
     if extend_digest(EMPTY_DIGEST, work.messages[:count]) == state.history_digest:
         return Ok(_extension(state, work.messages[count:]))
     why = (
-        "the message list does not extend the program's recorded history; send only what is new "
-        "(Bayhinge-Messages: new), or say that it replaces it (Bayhinge-Messages: rewrite)"
+        "the message list does not extend the program's recorded history; send only the new "
+        "messages (Bayhinge-Messages: new) or replace the history (Bayhinge-Messages: rewrite)"
     )
     figures = (
         Figure("recorded_messages", count),
@@ -204,7 +204,7 @@
 
 
 def _first_difference(state: ProgramState, messages: tuple[bytes, ...]) -> int:
-    """Returns a message number at or before which the lists part, from call boundaries."""
+    """Returns the last call boundary, as a message number, up to which the lists are equal."""
     digest, done = EMPTY_DIGEST, 0
     for entry in state.calls[state.history_base :]:
         if not entry.has_messages:
--- a/src/bayhinge/_internal/commands/parse_call.py
+++ b/src/bayhinge/_internal/commands/parse_call.py
@@ -1,4 +1,4 @@
-"""Reads an incoming call; a bad one is refused before anything else sees it."""
+"""Parses and validates incoming calls."""
 
 from typing import Any
 
@@ -26,10 +26,10 @@
 
 
 def parse_call(incoming: IncomingCall, default_max_tokens: int) -> Result[Call, Refusal]:
-    """Reads an incoming call."""
+    """Parses an incoming call."""
     program = parse_program_id(incoming.program)
     if program is None:
-        return Error(_bad(f"'{incoming.program[:80]}' is no program's identifier"))
+        return Error(_bad(f"'{incoming.program[:80]}' is not a program identifier"))
     work: Result[Any, Refusal]
     if incoming.kind is CallKind.MODEL:
         work = parse_model_call(incoming, default_max_tokens)
@@ -51,7 +51,7 @@
 
 
 def parse_model_call(incoming: IncomingCall, default_max_tokens: int) -> Result[ModelCall, Refusal]:
-    """Reads a chat completion request."""
+    """Parses a chat completion request."""
     body = read_json_object(incoming.body)
     if body.is_error():
         return Error(body.error)
@@ -68,18 +68,18 @@
     if not isinstance(max_tokens, int) or not 1 <= max_tokens <= MAX_TOKENS:
         return Error(_bad(f"field 'max_tokens' must be a whole number from 1 to {MAX_TOKENS}"))
     if fields.get("n") not in {None, 1}:
-        return Error(_bad("field 'n' must be 1: a program's history has one answer to each call"))
+        return Error(_bad("field 'n' must be 1: a program records one answer for each call"))
     left_out = OWN_FIELDS | FORBIDDEN_FIELDS
     options = {name: value for name, value in fields.items() if name not in left_out}
     return Ok(ModelCall(model, messages.ok, incoming.mode, max_tokens, options))
 
 
 def read_json_object(body: bytes) -> Result[dict[str, Any], Refusal]:
-    """Reads a JSON object."""
+    """Parses a JSON object."""
     try:
         fields = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        return Error(_bad(f"the body is no JSON: {error}"))
+        return Error(_bad(f"the body is not valid JSON: {error}"))
     if not isinstance(fields, dict):
         return Error(_bad("the body must be a JSON object"))
     return Ok(fields)
@@ -109,7 +109,7 @@
 
 
 def _digest(incoming: IncomingCall) -> str:
-    """Digests what makes two calls equal; patience and resumption do not count."""
+    """Returns a digest of what identifies a call; patience and resume offset are left out."""
     digest = xxhash.xxh3_128()
     parts = (incoming.kind, incoming.target, incoming.http_method, incoming.path, incoming.mode)
     for part in parts:
--- a/src/bayhinge/_internal/models/account_keys.py
+++ b/src/bayhinge/_internal/models/account_keys.py
@@ -1,6 +1,6 @@
-"""Client accounts as requests meet them: whose a key is, how urgent its work, how much it may ask.
+"""Client accounts as seen by request handling: key lookup, urgency and quota.
 
-Keys are never kept, only their digests: what nobody holds stands in no log, report or dump.
+Only digests of keys are held, so that no key can leak through a log, report or dump.
 """
 
 import hashlib
@@ -9,16 +9,16 @@
 
 
 def hash_key(key: str) -> str:
-    """Returns the digest of a key as it is kept in configuration.
+    """Returns the digest under which a key is stored in the configuration.
 
-    Keys are random and long, so that a plain hash is enough; they are no passwords.
+    Keys are long and random, unlike passwords, so an unsalted hash is sufficient.
     """
     return hashlib.sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 @attrs.frozen
 class AccountIdentity:
-    """What makes a client account: its name, and the digests of its keys."""
+    """The name of a client account and the digests of its keys."""
 
     name: str
     key_sha256: tuple[str, ...]
@@ -26,11 +26,11 @@
 
 @attrs.frozen
 class Quota:
-    """How many requests an account may send over all hosts together.
+    """Request rate limit of an account, over all hosts together.
 
     Attributes:
-        rate_per_s: requests a second in the long run.
-        burst: requests that may come at once on top.
+        rate_per_s: sustained requests per second.
+        burst: further requests that may arrive at once.
     """
 
     rate_per_s: float
@@ -39,11 +39,11 @@
 
 @attrs.frozen
 class RoutedAccount(AccountIdentity):
-    """An account of a configuration of routes.
+    """A client account of the routing configuration.
 
     Attributes:
-        urgency: goes before that of the route, or None where the route's counts.
-        quota: None where there is no limit.
+        urgency: overrides the route's urgency; None uses the route's.
+        quota: None means unlimited.
     """
 
     urgency: int | None = None
@@ -52,10 +52,10 @@
 
 @attrs.frozen
 class ClosedAccount(AccountIdentity):
-    """An account that can't be read otherwise: what bears its keys is refused as not run.
+    """An account whose configuration is invalid; requests with its keys are refused as not run.
 
-    Served without its limits it might cost others theirs; a 401 would tell its callers that their
-    keys are gone.
+    Serving them without limits could starve other accounts, and a 401 would tell callers that
+    their keys were revoked.
     """
 
     why: str
@@ -63,7 +63,7 @@
 
 @attrs.frozen
 class AccountTable:
-    """All accounts of one configuration; a key that stands at two accounts is closed."""
+    """All accounts of one configuration; a key listed by two accounts is invalid."""
 
     accounts: tuple[RoutedAccount | ClosedAccount, ...]
     _account_by_digest: dict[str, RoutedAccount | ClosedAccount] = attrs.field(
@@ -77,10 +77,10 @@
             for digest in account.key_sha256:
                 other = found.setdefault(digest, account)
                 if other.name != account.name:
-                    why = f"the key is also one of account '{account.name}'"
+                    why = f"the key also belongs to account '{account.name}'"
                     found[digest] = ClosedAccount(other.name, (digest,), why)
         return found
 
     def find(self, digest: str) -> RoutedAccount | ClosedAccount | None:
-        """Returns the account of a key's digest, or None where no account has it."""
+        """Returns the account that owns the key with this digest, or None."""
         return self._account_by_digest.get(digest)
--- a/src/bayhinge/_internal/models/accounts.py
+++ b/src/bayhinge/_internal/models/accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts and templates: their parameters, and where each value comes from."""
+"""Client accounts and templates: their parameters and the source of each value."""
 
 import hmac
 from collections.abc import Iterator
@@ -26,7 +26,7 @@
 
 
 class ConfigKind(StrEnum):
-    """Kinds of configured objects; the names of their INI sections too."""
+    """Kinds of configured objects; the values are also their INI section names."""
 
     TEMPLATE = "template"
     ACCOUNT = "account"
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class Parameter:
-    """A value with the place it comes from: ``account``, ``template NAME`` or ``default``."""
+    """A value and its source: ``account``, ``template NAME`` or ``default``."""
 
     name: str
     value: Any
@@ -67,7 +67,7 @@
 
 @attrs.frozen
 class ClientAccount(AccountIdentity):
-    """A client account with every parameter resolved, at a certain revision."""
+    """A client account with every parameter resolved, at one revision."""
 
     template: str
     budget_tokens: int
@@ -84,7 +84,7 @@
     sources_by_parameter: dict[str, str]
 
     def parameters(self) -> list[Parameter]:
-        """Returns the parameters with their sources, in the schema's order."""
+        """Returns the parameters with their sources, in schema order."""
         return [
             Parameter(field.key, getattr(self, field.key), self.sources_by_parameter[field.key])
             for field in PARAMETERS
@@ -93,7 +93,7 @@
 
 @attrs.frozen
 class ConfigText:
-    """A template's or account's text at its revision."""
+    """The INI text of a template or account, at one revision."""
 
     kind: ConfigKind
     name: str
@@ -102,7 +102,7 @@
 
 
 def check_config_text(kind: ConfigKind, text: str, file: str) -> tuple[Finding, ...]:
-    """Returns what is wrong with a template's or account's text."""
+    """Validates the INI text of a template or account and returns the findings."""
     parsed = parse_ini(text)
     if parsed.is_error():
         return (Finding(Place(file, parsed.error.line), parsed.error.problem),)
@@ -114,16 +114,16 @@
     for name, section in document.sections_by_name.items():
         if name != schema.title:
             place = Place(file, section.line, name)
-            yield Finding(place, "unknown section", f"the one section is [{schema.title}]")
+            yield Finding(place, "unknown section", f"the only section is [{schema.title}]")
     section_found = document.sections_by_name.get(schema.title)
     if section_found is None:
-        yield Finding(Place(file), f"section [{schema.title}] is missing", "put it first")
+        yield Finding(Place(file), f"section [{schema.title}] is missing", "add it at the top")
         return
     yield from check_section(schema, section_found, file)
 
 
 def resolve_account(account: ConfigText, template: ConfigText | None) -> Result[ClientAccount, str]:
-    """Puts an account's values over its template's, and those over the defaults."""
+    """Resolves each parameter: the account overrides its template, which overrides the default."""
     own = _read(account)
     if own.is_error():
         return Error(own.error)
@@ -168,7 +168,7 @@
 
 
 def read_value(text: str, key: str) -> str:
-    """Reads one key of an account's text, which was checked when it was accepted."""
+    """Returns one value of an account's text, which was validated when it was accepted."""
     parsed = parse_ini(text)
     if parsed.is_error():
         return ""
@@ -179,13 +179,13 @@
 
 
 def read_digests(text: str) -> tuple[str, ...]:
-    """Reads the digests of an account's keys from its text."""
+    """Returns the key digests in an account's text."""
     parts = read_value(text, "key_sha256").split(",")
     return tuple(part.strip().lower() for part in parts if part.strip())
 
 
 def key_matches(key: str, digests: tuple[str, ...]) -> bool:
-    """Tells whether a key has one of the digests, in constant time."""
+    """Returns whether a key matches one of the digests; compares in constant time."""
     own = hash_key(key)
     matches = [hmac.compare_digest(own, digest) for digest in digests]
     return any(matches)
--- a/src/bayhinge/_internal/models/calls.py
+++ b/src/bayhinge/_internal/models/calls.py
@@ -1,4 +1,4 @@
-"""Calls as the owner handles them."""
+"""Calls of a program and their answers, as the program's owner handles them."""
 
 from enum import StrEnum
 from typing import Any
@@ -9,19 +9,19 @@
 
 
 class CallKind(StrEnum):
-    """What a call goes to."""
+    """The kind of a call's target."""
 
     MODEL = "model"
     SERVICE = "service"
 
 
 class MessagesMode(StrEnum):
-    """What a caller's message list holds.
+    """How the message list of a call relates to the recorded history.
 
     Attributes:
         WHOLE: the whole conversation, which must extend the recorded history.
-        NEW: only what is new.
-        REWRITE: a whole conversation that replaces the recorded one.
+        NEW: only the new messages.
+        REWRITE: a whole conversation that replaces the recorded history.
     """
 
     WHOLE = "whole"
@@ -54,10 +54,11 @@
 
 @attrs.frozen
 class Call:
-    """A caller's call to its program.
+    """A parsed call of a program.
 
-    ``index`` None stands for the next one; ``resume_offset`` counts characters of
-    the answer's text that the caller has already.
+    Attributes:
+        index: the call's position in the program; None means the next one.
+        resume_offset: characters of the answer's text that the caller has already received.
     """
 
     account: str
@@ -71,13 +72,13 @@
 
     @property
     def repeatable(self) -> bool:
-        """True where the work may be run again."""
+        """Whether the call may be executed more than once."""
         return isinstance(self.work, ModelCall) or self.work.repeatable
 
 
 @attrs.frozen
 class Usage:
-    """Tokens of one model call."""
+    """Token counts of one model call."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -85,13 +86,13 @@
 
     @property
     def total(self) -> int:
-        """Tokens that count against budgets."""
+        """The tokens charged to budgets."""
         return self.prompt_tokens + self.completion_tokens
 
 
 @attrs.frozen
 class AnswerPart:
-    """A piece of a model's text, at its offset in characters."""
+    """A piece of a model's text and its offset in characters."""
 
     offset: int
     text: str
@@ -112,15 +113,18 @@
 
 
 AnswerItem = AnswerPart | AnswerEnd
-"""What an answer's stream consists of: parts of text, then one end."""
+"""An item of an answer's stream: any number of parts, then one end."""
 
 
 @attrs.frozen
 class IncomingCall:
-    """A caller's call as it came, not yet read.
+    """A call as received over HTTP, with its body not yet parsed.
 
-    ``body`` is a chat completion request, or what a plain service is to get.
-    ``path`` and ``http_method`` matter to plain services alone.
+    Attributes:
+        body: a chat completion request, or the request body for a plain service.
+        http_method: used for plain services only.
+        path: used for plain services only.
+        hops: how many hosts have forwarded the call.
     """
 
     account: str
--- a/src/bayhinge/_internal/models/endpoint_entries.py
+++ b/src/bayhinge/_internal/models/endpoint_entries.py
@@ -1,29 +1,29 @@
-"""Endpoints as the platform's list describes them, and their starts."""
+"""Endpoints as listed by the platform, and their incarnations."""
 
 import attrs
 
 
 @attrs.frozen
 class EndpointStart:
-    """One start of an endpoint: it holds and knows nothing of those before it.
+    """One incarnation of an endpoint; no state survives from earlier ones.
 
     Attributes:
-        endpoint: its id, which it may have had before, or empty where there is no endpoint.
-        born_ms: the Unix millisecond at which it started, or None where nobody has said so. An
-            unknown start is neither before nor after another one: it may be any of its endpoint.
+        endpoint: the endpoint's id, which is reused across restarts; empty for no endpoint.
+        born_ms: start time in Unix milliseconds, or None if unknown. An incarnation with an unknown
+            start time is not ordered: it may equal any incarnation of the same endpoint.
     """
 
     endpoint: str = ""
     born_ms: int | None = None
 
     def may_be(self, other: "EndpointStart") -> bool:
-        """Whether the two are the same start, as far as is known."""
+        """Whether the two can be the same incarnation."""
         if self.endpoint != other.endpoint:
             return False
         return self.born_ms is None or other.born_ms is None or self.born_ms == other.born_ms
 
     def is_after(self, other: "EndpointStart") -> bool:
-        """Whether this is surely a later start of the same endpoint."""
+        """Whether this is known to be a later incarnation of the same endpoint."""
         return self.endpoint == other.endpoint and _is_later(self.born_ms, other.born_ms)
 
 
@@ -32,9 +32,9 @@
     """One running endpoint.
 
     Attributes:
-        instance: its id, which stays when it starts again.
-        slots: requests that it works on at once.
-        is_leaving: it gets no new work.
+        instance: its id, which stays the same across restarts.
+        slots: maximum number of concurrent requests.
+        is_leaving: it is draining and gets no new work.
         born_ms: see :class:`EndpointStart`.
     """
 
@@ -48,11 +48,11 @@
 
     @property
     def start(self) -> EndpointStart:
-        """The start that wrote the entry."""
+        """The incarnation that the entry describes."""
         return EndpointStart(self.instance, self.born_ms)
 
     def took_address_of(self, other: "EndpointEntry") -> bool:
-        """Whether this other endpoint surely started later, at the same address."""
+        """Whether this is a different endpoint known to have started later at the same address."""
         return (
             self.instance != other.instance
             and self.address == other.address
--- a/src/bayhinge/_internal/models/endpoints.py
+++ b/src/bayhinge/_internal/models/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints: engines and endpoints of plain services."""
+"""Endpoints of engine pools and of plain services."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class EndpointState(StrEnum):
-    """What the platform's list says of an endpoint."""
+    """An endpoint's state in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class EndpointLoad:
-    """An engine's own report, which lags."""
+    """An engine's load report, which may be out of date."""
 
     running: int
     cache_used_tokens: int
--- a/src/bayhinge/_internal/models/events.py
+++ b/src/bayhinge/_internal/models/events.py
@@ -1,4 +1,4 @@
-"""Events of the time line: what was decided, for which program, why, on which figures."""
+"""Events of the operators' timeline: each records a decision, its reason and its figures."""
 
 from enum import StrEnum
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class Mechanism(StrEnum):
-    """The parts of the system that an operator can watch."""
+    """The subsystem that emitted an event."""
 
     OWNER = "owner"
     JOURNAL = "journal"
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Event:
-    """One line of the time line. ``stamp`` is a hybrid logical clock's."""
+    """One event of the timeline; ``stamp`` is a hybrid logical clock timestamp."""
 
     stamp: int
     host: str
@@ -39,7 +39,7 @@
     figures: tuple[Figure, ...] = ()
 
     def to_fields(self) -> dict[str, Any]:
-        """Returns plain fields for logs and for the wire."""
+        """Returns the event as a plain dict for logs and the wire."""
         fields = attrs.asdict(self, recurse=False)
         fields["mechanism"] = self.mechanism.value
         fields["figures"] = {figure.name: figure.value for figure in self.figures}
@@ -47,7 +47,7 @@
 
 
 def event_from_fields(fields: dict[str, Any]) -> Event:
-    """Reads an event from its plain fields."""
+    """Builds an event from the dict that :meth:`Event.to_fields` returned."""
     figures = tuple(Figure(name, value) for name, value in fields["figures"].items())
     known = {name: fields[name] for name in fields if name not in {"mechanism", "figures"}}
     return Event(mechanism=Mechanism(fields["mechanism"]), figures=figures, **known)
--- a/src/bayhinge/_internal/models/findings.py
+++ b/src/bayhinge/_internal/models/findings.py
@@ -1,11 +1,11 @@
-"""Findings: what is wrong in a text, where, and what to do about it."""
+"""Validation findings: a problem, its location and a hint."""
 
 import attrs
 
 
 @attrs.frozen
 class Place:
-    """Where something stands; ``line`` counts from 1, and 0 means the file as a whole."""
+    """A location in a file; ``line`` counts from 1, and 0 means the whole file."""
 
     file: str
     line: int = 0
@@ -13,7 +13,7 @@
     key: str = ""
 
     def __str__(self) -> str:
-        """Returns the usual ``file:line`` form with section and key."""
+        """Returns ``file:line``, with the section and key if known."""
         text = f"{self.file}:{self.line}" if self.line else self.file
         if self.section:
             text += f" [{self.section}]"
@@ -24,13 +24,13 @@
 
 @attrs.frozen
 class Finding:
-    """One thing that is wrong, with a hint how to mend it."""
+    """One problem, with a hint how to fix it."""
 
     place: Place
     problem: str
     hint: str = ""
 
     def __str__(self) -> str:
-        """Returns one line for a person."""
+        """Returns the finding as one line of text."""
         hint = f" ({self.hint})" if self.hint else ""
         return f"{self.place}: {self.problem}{hint}"
--- a/src/bayhinge/_internal/models/messages.py
+++ b/src/bayhinge/_internal/models/messages.py
@@ -1,6 +1,6 @@
 """Chat messages as encoded bytes, and the digest chain over a history.
 
-History is kept encoded and spliced into requests; it is never decoded to be sent.
+Histories are stored encoded and inserted into request bodies without decoding.
 """
 
 from collections.abc import Iterable
@@ -10,16 +10,16 @@
 import xxhash
 
 BYTES_PER_TOKEN = 4
-"""Estimate of a token's size, used until the engine has told the true count."""
+"""Estimated size of a token, used until the engine has reported the real count."""
 
 _ECHOED_KEYS = frozenset({"role", "content", "tool_calls"})
 
 
 def encode_message(message: dict[str, Any]) -> bytes:
-    """Encodes a message the same way whichever client sent it.
+    """Encodes a message canonically, whichever client library sent it.
 
-    Clients echo an assistant's message with fields of their own library's (null
-    refusals, annotations); only what the engine reads is kept of those.
+    Client libraries echo assistant messages with extra fields (null refusals, annotations);
+    only the fields that the engine reads are kept.
     """
     kept = {key: value for key, value in message.items() if value is not None}
     if message.get("role") == "assistant":
@@ -28,7 +28,7 @@
 
 
 def assistant_message(text: str, tool_calls: bytes | None) -> bytes:
-    """Builds the message that an answer adds to the history."""
+    """Encodes the message that an answer adds to the history."""
     message: dict[str, Any] = {"role": "assistant", "content": text}
     if tool_calls:
         message["tool_calls"] = orjson.loads(tool_calls)
@@ -36,19 +36,19 @@
 
 
 def extend_digest(digest: str, messages: Iterable[bytes]) -> str:
-    """Returns the digest of a history after more messages."""
+    """Returns the digest of a history extended by more messages."""
     for message in messages:
         digest = xxhash.xxh3_128_hexdigest(digest.encode() + message)
     return digest
 
 
 def estimate_tokens(messages: Iterable[bytes]) -> int:
-    """Estimates the tokens of encoded messages."""
+    """Estimates the token count of encoded messages."""
     return sum(1 + len(message) // BYTES_PER_TOKEN for message in messages)
 
 
 def splice(fields: dict[str, Any], messages: Iterable[bytes]) -> bytes:
-    """Builds a request body from its other fields and encoded messages."""
+    """Builds a request body from already encoded messages and the other fields."""
     head = orjson.dumps(fields)
     joined = b",".join(messages)
     separator = b"," if fields else b""
@@ -56,9 +56,9 @@
 
 
 def merge_tool_calls(merged: list[dict[str, Any]], deltas: bytes) -> None:
-    """Adds a chunk's tool call deltas to the calls collected so far.
+    """Merges a chunk's tool call deltas into the calls collected so far.
 
-    The protocol sends a call's name first and its arguments in pieces.
+    The protocol sends a call's name first, then its arguments in pieces.
     """
     for delta in orjson.loads(deltas):
         position = int(delta.get("index", len(merged)))
--- a/src/bayhinge/_internal/models/programs.py
+++ b/src/bayhinge/_internal/models/programs.py
@@ -1,7 +1,7 @@
 """A program's state at its owner.
 
-The state of an evicted program is small: one entry a call, with the place of its
-record in a journal. Message bytes live in a cache of their own and are rebuilt.
+The state holds one small entry per call, with the position of its record in a journal.
+Message bytes are cached separately and rebuilt from the journal after eviction.
 """
 
 from collections import deque
@@ -18,7 +18,7 @@
 class CallEntry:
     """One recorded call of a program.
 
-    ``history_digest`` and ``message_count`` describe the history after it.
+    ``history_digest`` and ``message_count`` describe the history including this call.
     """
 
     index: int
@@ -32,7 +32,7 @@
 
 @attrs.frozen
 class UnfinishedCall:
-    """A call that may not be repeated and whose start, but no end, is recorded."""
+    """A non-repeatable call whose start is recorded but whose end is not."""
 
     index: int
     digest: str
@@ -42,7 +42,7 @@
 
 @attrs.define
 class ProgramState:
-    """All that an owner knows of a program without its message bytes."""
+    """The state of a program at its owner, except for message bytes."""
 
     program_id: ProgramId
     account: str
@@ -59,7 +59,7 @@
 
     @property
     def next_index(self) -> int:
-        """The index that the next call must bear."""
+        """The index of the next call."""
         return len(self.calls)
 
     @property
@@ -69,11 +69,11 @@
 
     @property
     def message_count(self) -> int:
-        """How many messages the recorded history has."""
+        """The number of messages in the recorded history."""
         return self.calls[-1].message_count if self.calls else 0
 
     def count_repeats(self, digest: str) -> int:
-        """Returns how many calls at the end of the program equal ``digest``."""
+        """Returns how many of the most recent calls in a row have this digest."""
         count = 0
         for seen in reversed(self.recent_digests):
             if seen != digest:
@@ -82,5 +82,5 @@
         return count
 
     def find_by_idempotency_key(self, idempotency_key: str) -> CallEntry | None:
-        """Returns the recorded call that bore an idempotency key."""
+        """Returns the recorded call with this idempotency key, or None."""
         return next((call for call in self.calls if call.idempotency_key == idempotency_key), None)
--- a/src/bayhinge/_internal/models/refusals.py
+++ b/src/bayhinge/_internal/models/refusals.py
@@ -1,8 +1,7 @@
-"""Refusals: one typed error for every call that gets no answer.
+"""Refusals: the typed error for every call that gets no answer.
 
-Whether anything ran is not a text that code may choose freely. It is worked out by
-:class:`CallAttempt`, which counts what was sent; a refusal made without an attempt
-belongs to a call that was never accepted.
+The run state of a refusal is derived by :class:`CallAttempt` from the requests that were sent;
+a refusal without an attempt belongs to a call that was never accepted.
 """
 
 from enum import StrEnum
@@ -14,7 +13,7 @@
 
 
 class RunState(StrEnum):
-    """What is known of the work behind a refusal."""
+    """Whether the work of a refused call was executed."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
@@ -80,7 +79,7 @@
 
 @attrs.frozen
 class Figure:
-    """A number that a decision rests on, with its unit in the name (``waited_s``)."""
+    """A number that a decision was based on, with its unit in the name (``waited_s``)."""
 
     name: str
     value: float
@@ -88,9 +87,9 @@
 
 @attrs.frozen
 class Refusal:
-    """The answer to a call that was not served.
+    """The error answer to a call that was not served.
 
-    ``retry_after_s`` is None where trying again the same way is useless.
+    ``retry_after_s`` is None if retrying the same request is useless.
     """
 
     code: RefusalCode
@@ -101,11 +100,11 @@
 
     @property
     def http_status(self) -> int:
-        """The HTTP status that goes with the code."""
+        """The HTTP status for the code."""
         return STATUS_BY_CODE[self.code]
 
     def to_json(self) -> bytes:
-        """Returns the problem document that callers get."""
+        """Returns the JSON error document sent to callers."""
         error: dict[str, object] = {
             "code": self.code.value,
             "type": "bayhinge_refusal",
@@ -118,7 +117,7 @@
 
 
 def refusal_from_json(data: bytes) -> Refusal:
-    """Reads a problem document that another host made."""
+    """Parses an error document received from another host."""
     error = orjson.loads(data)["error"]
     figures = tuple(Figure(name, value) for name, value in error["figures"].items())
     return Refusal(
@@ -131,10 +130,9 @@
 
 
 class RefusedError(Exception):
-    """Carries a refusal up to where it is answered."""
+    """Carries a refusal up to the handler that sends it."""
 
     def __init__(self, refusal: Refusal) -> None:
-        """Takes the refusal."""
         super().__init__(f"{refusal.code}: {refusal.why}")
         self.refusal = refusal
 
@@ -145,18 +143,18 @@
     *figures: Figure,
     retry_after_s: float | None = None,
 ) -> Refusal:
-    """Refuses a call before it was accepted: nothing can have run."""
+    """Returns a refusal of a call that was not accepted, so nothing can have run."""
     return Refusal(code, RunState.NOT_RUN, why, figures, retry_after_s)
 
 
 @attrs.define
 class CallAttempt:
-    """Counts what was sent for one call, so that a refusal tells the truth.
+    """Tracks the requests sent for one call, to derive the run state of a refusal.
 
     Attributes:
         sends: requests that may have reached an endpoint.
-        answered: an endpoint has given its whole answer.
-        started_before: an earlier owner had recorded the start of this call.
+        answered: an endpoint has returned a complete answer.
+        started_before: a previous owner recorded the start of this call.
     """
 
     sends: int = 0
@@ -164,16 +162,16 @@
     started_before: bool = False
 
     def note_send(self) -> None:
-        """Must be called before any byte goes to an endpoint."""
+        """Counts a send; must be called before any byte goes to an endpoint."""
         self.sends += 1
 
     def note_unsent(self) -> None:
-        """Takes a send back that can't have arrived, such as a refused connect."""
+        """Reverts a send that can't have arrived, such as after a refused connection."""
         self.sends -= 1
 
     @property
     def run_state(self) -> RunState:
-        """What is true of the work so far."""
+        """The run state as far as is known."""
         if self.answered:
             return RunState.RAN
         if self.sends or self.started_before:
@@ -187,5 +185,5 @@
         *figures: Figure,
         retry_after_s: float | None = None,
     ) -> Refusal:
-        """Makes a refusal that says what ran."""
+        """Returns a refusal with the current run state."""
         return Refusal(code, self.run_state, why, figures, retry_after_s)
--- a/src/bayhinge/_internal/models/routed_requests.py
+++ b/src/bayhinge/_internal/models/routed_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are passed on along a route, decoded once where they come in."""
+"""Requests to be forwarded along a route, decoded once on receipt."""
 
 from enum import StrEnum
 
@@ -7,11 +7,11 @@
 from bayhinge._internal.models.account_keys import RoutedAccount
 
 RawHeaders = tuple[tuple[bytes, bytes], ...]
-"""Header names and values as they were sent, in order, with repeats."""
+"""Header names and values as received, in order and including duplicates."""
 
 
 class RequestField(StrEnum):
-    """What a finding about a request's head concerns."""
+    """The part of a request that a header finding concerns."""
 
     TURN = "turn"
     RESUME = "resume"
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class HeaderFinding:
-    """Something in a request's head that can't be used; ``why`` names the place and the value."""
+    """An invalid request header; ``why`` names the header and the value."""
 
     field: RequestField
     why: str
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt that other requests may share."""
+    """A section of a prompt that other requests may share, for prefix caching."""
 
     name: str
     tokens: int
@@ -35,12 +35,12 @@
 
 @attrs.frozen
 class TurnContext:
-    """What a request of an agent program says of its program.
+    """The program context of a request that is a turn of an agent program.
 
     Attributes:
-        token_budget: tokens that all turns of the program may emit, or None.
-        most_tokens: the most that this turn emits.
-        previous: the turn that this one goes on from, or None at the start.
+        token_budget: output token limit over all turns of the program, or None.
+        most_tokens: output token limit of this turn.
+        previous: the id of the turn that this one continues, or None for the first.
     """
 
     program: str
@@ -55,18 +55,18 @@
 
     Attributes:
         target: the raw path and query.
-        headers: what is passed on; headers of one connection are left out already.
+        headers: the headers to forward, without hop-by-hop headers.
         attempt: the caller's id of this attempt.
         patience_s: how long the caller waits, in seconds.
         turn: set on requests of agent programs.
         parts: the prompt's parts, in order.
-        resume_after: the last event that the caller has of a stream that broke off, or None.
-        findings: what can't be used, each with the field that it leaves unset.
-        credentials: the headers that bear a key. They go on only where no configuration of client
-            accounts makes keys ours to check.
-        key_sha256: the digest of the one key that the caller showed; None where it showed none,
-            several, or something else.
-        account: whose request this is, once its key was checked.
+        resume_after: the number of the last event that the caller received of an interrupted
+            stream, or None.
+        findings: the invalid headers; the fields that they would set are unset.
+        credentials: the authorization headers. They are forwarded only if the configuration has no
+            client accounts, since otherwise the keys are checked here.
+        key_sha256: the digest of the caller's key; None unless it sent exactly one bearer key.
+        account: the authenticated account, once the key was checked.
     """
 
     method: str
@@ -87,26 +87,26 @@
 
     @property
     def account_name(self) -> str:
-        """Whose request this is; empty where no key was asked for."""
+        """The name of the authenticated account, or empty if no key is required."""
         return "" if self.account is None else self.account.name
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query."""
         return self.target.partition("?")[0]
 
 
 @attrs.frozen
 class AnswerMarks:
-    """What the headers of an endpoint's answer say.
+    """Metadata from the headers of an endpoint's answer.
 
     Attributes:
-        attempt: the request that it answers, or None.
-        is_signed: it bears the endpoint's signature.
-        not_run: the endpoint promises that the request did not run.
-        wrong_instance: another instance has the address now; the request did not run.
-        is_encoded: the body is encoded, so it isn't the endpoint's own.
-        idle_s: how long the endpoint keeps the connection, or None.
+        attempt: the id of the attempt that it answers, or None.
+        is_signed: it carries the endpoint's signature.
+        not_run: the endpoint guarantees that the request was not executed.
+        wrong_instance: another instance now has the address; the request was not executed.
+        is_encoded: the body has a content encoding, so the endpoint itself did not produce it.
+        idle_s: the endpoint's keep-alive timeout in seconds, or None.
     """
 
     attempt: str | None
--- a/src/bayhinge/_internal/models/routing.py
+++ b/src/bayhinge/_internal/models/routing.py
@@ -1,4 +1,4 @@
-"""Routes, services and limits: what the operator's configuration says of requests."""
+"""Routes, services and limits of the operator's routing configuration."""
 
 import random
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class RouteKind(StrEnum):
-    """How often a request of a route may run."""
+    """How a route's requests may be executed and answered."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at_most_once"
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class ServiceShare:
-    """The part of a route's requests that goes to one service."""
+    """A service of a route and its weight in traffic splitting."""
 
     service: str
     weight: float
@@ -29,16 +29,15 @@
     """One route.
 
     Attributes:
-        timeout_s: the longest that a request may be held, in seconds.
-        objective_s: an answer within this time earns its full credit.
+        timeout_s: the longest time that a request may be held, in seconds.
+        objective_s: the latency objective, in seconds.
         urgency: 0 is the most urgent.
         max_endpoints: the number of endpoints that one request may be sent to.
-        keeps_turns: the system keeps what was said; requests bring only new input.
-        keep_turns_s: how long a turn may be asked for again, in seconds.
-        is_resumable: a stream that broke off may go on behind any of its events.
-        pause_s: the longest pause between events that still counts as in time, in seconds, or
-            None where the route names none.
-        is_public: requests need no key of a client account.
+        keeps_turns: conversation history is retained; requests carry only new input.
+        keep_turns_s: how long a turn is retained, in seconds.
+        is_resumable: an interrupted stream may be resumed after any of its events.
+        pause_s: the objective for the gap between events, in seconds, or None.
+        is_public: requests need no client account key.
     """
 
     name: str
@@ -58,15 +57,15 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.kind is RouteKind.IDEMPOTENT or self.is_resumable
 
     def urgency_of(self, account: RoutedAccount | None) -> int:
-        """Returns how urgent a request is: its account's word goes before the route's."""
+        """Returns a request's urgency; the account's setting overrides the route's."""
         return self.urgency if account is None or account.urgency is None else account.urgency
 
     def choose_service(self, generator: random.Random) -> str:
-        """Draws one of the route's services by weight."""
+        """Picks one of the route's services at random, by weight."""
         if len(self.shares) == 1:
             return self.shares[0].service
         weights = [share.weight for share in self.shares]
@@ -75,10 +74,10 @@
 
 @attrs.frozen
 class ClosedRoute:
-    """The place of a route that the operator wrote and that can't be read otherwise.
+    """A route whose host and prefix are valid but whose other fields are not.
 
-    Its requests are refused as not run, with a time to come back: without it they would get the
-    404 of a place that was never there, or the service of a shorter prefix.
+    Its requests are refused as not run, with a retry time. Without this entry they would get a 404
+    or match the route of a shorter prefix.
     """
 
     name: str
@@ -89,11 +88,12 @@
 
 @attrs.frozen
 class EngineSpec:
-    """What the engines of a service have in common.
+    """Properties shared by all engines of a service.
 
     Attributes:
-        tokens_per_event: tokens that one event of a stream counts for.
-        kv_cache_tokens: tokens that an engine's memory holds.
+        slots: maximum number of concurrent requests of one engine.
+        kv_cache_tokens: KV cache capacity of one engine, in tokens.
+        tokens_per_event: number of tokens that one stream event stands for.
     """
 
     slots: int
@@ -112,16 +112,18 @@
 
 @attrs.frozen
 class RequestLimits:
-    """What callers may send."""
+    """Limits on callers' requests."""
 
     body_bytes: int = 4_194_304
 
 
 @attrs.frozen
 class RoutingTable:
-    """One version of the whole configuration; ``findings`` say what of it can't be read.
+    """One version of the whole routing configuration.
 
-    ``accounts`` is None where the configuration knows of none: then no request needs a key.
+    Attributes:
+        findings: the parts of the configuration that are invalid.
+        accounts: None if the configuration defines no accounts; then no request needs a key.
     """
 
     version: int
@@ -136,14 +138,14 @@
 
     @_route_by_host_and_prefix.default
     def _index_routes(self) -> dict[tuple[str, str], Route | ClosedRoute]:
-        # Backwards, so that of two routes in one place the first one stays.
+        # Reversed, so that the first of two routes with the same host and prefix wins.
         return {(route.host, route.path_prefix): route for route in reversed(self.routes)}
 
     def find(self, host: str, path: str) -> Route | ClosedRoute | None:
         """Returns the route of ``host`` with the longest prefix of ``path``, or None.
 
-        Prefixes end with a slash, so only the path's own slashes are tried: the time does not
-        grow with the number of routes.
+        Prefixes end with a slash, so one lookup per slash in the path suffices, however many routes
+        there are.
         """
         end = path.rfind("/")
         while end >= 0:
--- a/src/bayhinge/_internal/models/schema.py
+++ b/src/bayhinge/_internal/models/schema.py
@@ -1,6 +1,6 @@
 """Schemas of INI sections: each key with its type, default, bounds and meaning.
 
-The same tables check a text, fill the classes and print the reference pages.
+The same schemas validate a text, fill the settings classes and print the reference pages.
 """
 
 import re
@@ -22,15 +22,15 @@
 
 
 class ValueType(ABC, Generic[Value]):
-    """A type of value: reads a text, or says what is wrong with it."""
+    """The type of a value: parses and validates its text."""
 
     @abstractmethod
     def read(self, text: str) -> Result[Value, str]:
-        """Returns the value, or the problem."""
+        """Returns the parsed value, or the problem."""
 
     @abstractmethod
     def describe(self) -> str:
-        """Returns the type for the reference page."""
+        """Returns the type's description for the reference page."""
 
 
 @attrs.frozen
@@ -48,13 +48,13 @@
 
 @attrs.frozen
 class Name(ValueType[str]):
-    """A name of small letters, digits and hyphens."""
+    """A name of lowercase letters, digits and hyphens."""
 
     def read(self, text: str) -> Result[str, str]:
         """See :class:`ValueType`."""
         name = text.strip()
         if NAME_PATTERN.fullmatch(name) is None:
-            return Error(f"'{name}' is no name: use small letters, digits and hyphens")
+            return Error(f"'{name}' is not a valid name: use lowercase letters, digits and hyphens")
         return Ok(name)
 
     def describe(self) -> str:
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class Number(ValueType[float]):
-    """A number between bounds."""
+    """A number between bounds, inclusive."""
 
     least: float
     most: float
@@ -74,7 +74,7 @@
         try:
             value = float(text)
         except ValueError:
-            return Error(f"'{text}' is no number")
+            return Error(f"'{text}' is not a number")
         if not self.least <= value <= self.most:
             return Error(f"{text} is not between {self.least:g} and {self.most:g}")
         return Ok(value)
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class Integer(ValueType[int]):
-    """A whole number between bounds."""
+    """An integer between bounds, inclusive."""
 
     least: int
     most: int
@@ -96,7 +96,7 @@
         try:
             value = int(text.replace("_", ""))
         except ValueError:
-            return Error(f"'{text}' is no whole number")
+            return Error(f"'{text}' is not a whole number")
         if not self.least <= value <= self.most:
             return Error(f"{text} is not between {self.least} and {self.most}")
         return Ok(value)
@@ -126,7 +126,7 @@
 
 @attrs.frozen
 class Choice(ValueType[str]):
-    """One of some words."""
+    """One of a fixed set of words."""
 
     words: tuple[str, ...]
 
@@ -134,7 +134,7 @@
         """See :class:`ValueType`."""
         word = text.strip()
         if word not in self.words:
-            return Error(f"'{word}' is none of {', '.join(self.words)}")
+            return Error(f"'{word}' is not one of {', '.join(self.words)}")
         return Ok(word)
 
     def describe(self) -> str:
@@ -151,7 +151,9 @@
         names = tuple(part.strip() for part in text.split(",") if part.strip())
         for name in names:
             if NAME_PATTERN.fullmatch(name) is None:
-                return Error(f"'{name}' is no name: use small letters, digits and hyphens")
+                return Error(
+                    f"'{name}' is not a valid name: use lowercase letters, digits and hyphens"
+                )
         return Ok(names)
 
     def describe(self) -> str:
@@ -181,7 +183,7 @@
         digests = tuple(part.strip().lower() for part in text.split(",") if part.strip())
         for position, digest in enumerate(digests, start=1):
             if _DIGEST.fullmatch(digest) is None:
-                # The text is not repeated: somebody may have put the key itself here.
+                # The value is not shown: it may be the key itself, entered by mistake.
                 return Error(f"digest {position} is not 64 hexadecimal digits")
         return Ok(digests)
 
@@ -192,15 +194,15 @@
 
 @attrs.frozen
 class Address(ValueType[str]):
-    """An IP number with a port."""
+    """An IP address and port."""
 
     def read(self, text: str) -> Result[str, str]:
         """See :class:`ValueType`."""
         host, separator, port = text.strip().rpartition(":")
         if not separator or not port.isdigit() or int(port) > _MAX_PORT:
-            return Error(f"'{text}' is no address: write an IP number and a port, 10.0.0.5:8100")
+            return Error(f"'{text}' is not an IP address and port, such as 10.0.0.5:8100")
         if not re.fullmatch(r"[0-9.]+|\[[0-9a-f:]+\]", host):
-            return Error(f"'{host}' is no IP number")
+            return Error(f"'{host}' is not an IP address")
         return Ok(text.strip())
 
     def describe(self) -> str:
@@ -210,13 +212,13 @@
 
 @attrs.frozen
 class Url(ValueType[str]):
-    """An HTTP address."""
+    """An HTTP or HTTPS URL."""
 
     def read(self, text: str) -> Result[str, str]:
         """See :class:`ValueType`."""
         url = text.strip().rstrip("/")
         if not re.match(r"https?://[^/]+", url):
-            return Error(f"'{url}' is no HTTP address")
+            return Error(f"'{url}' is not an HTTP URL")
         return Ok(url)
 
     def describe(self) -> str:
@@ -226,7 +228,7 @@
 
 @attrs.frozen
 class Field:
-    """One key of a section. ``default`` is a text as in the file; None: the key is required."""
+    """One key of a section; ``default`` is INI text, or None if the key is required."""
 
     key: str
     kind: ValueType[Any]
@@ -236,7 +238,7 @@
 
 @attrs.frozen
 class SectionSchema:
-    """The keys that a section may have."""
+    """The keys of a section."""
 
     title: str
     fields: tuple[Field, ...]
@@ -248,7 +250,7 @@
 
 @attrs.frozen
 class ParsedSection:
-    """A section's values by key, defaults included, and which keys stood in the text."""
+    """A section's parsed values including defaults; ``given`` holds the keys set in the text."""
 
     values_by_key: dict[str, object]
     given: frozenset[str]
@@ -257,7 +259,7 @@
 def check_section(
     schema: SectionSchema, section: IniSection | None, file: str
 ) -> Iterator[Finding]:
-    """Yields what is wrong with a section; None stands for a section that is missing."""
+    """Yields the findings on a section; None stands for a missing section."""
     if section is None:
         missing = [field.key for field in schema.fields if field.default is None]
         if missing:
@@ -281,7 +283,7 @@
 
 
 def read_section(schema: SectionSchema, section: IniSection | None) -> ParsedSection:
-    """Reads a section that :func:`check_section` found nothing wrong with."""
+    """Parses a section that :func:`check_section` has found valid."""
     texts = {} if section is None else section.values_by_key
     values: dict[str, object] = {}
     for field in schema.fields:
--- a/src/bayhinge/_internal/models/settings.py
+++ b/src/bayhinge/_internal/models/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: read from INI, checked as a whole."""
+"""The daemon's settings, parsed from an INI file and validated."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -218,7 +218,7 @@
 
 @attrs.frozen
 class ServiceSettings:
-    """A section ``service NAME``: a plain service."""
+    """A section ``service NAME``."""
 
     name: str
     repeatable_methods: tuple[str, ...] = ("GET", "HEAD")
@@ -248,7 +248,7 @@
 
 
 def read_settings_file(path: Path) -> Result[Settings, tuple[Finding, ...]]:
-    """Reads and checks a settings file."""
+    """Reads and validates a settings file."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -257,7 +257,7 @@
 
 
 def read_settings(text: str, file: str) -> Result[Settings, tuple[Finding, ...]]:
-    """Reads and checks settings; all findings are reported together."""
+    """Parses and validates settings; all findings are reported together."""
     parsed = parse_ini(text)
     if parsed.is_error():
         problem = parsed.error
@@ -282,14 +282,14 @@
         if schema_found is None:
             yield Finding(place, "unknown section", "see docs/settings.md")
         elif Name().read(own_name).is_error():
-            yield Finding(place, "the section needs a name", f"write [{title} some-name]")
+            yield Finding(place, "the section needs a valid name", f"write [{title} some-name]")
         else:
             yield from check_section(schema_found, section, file)
     yield from _check_together(document, file)
 
 
 def _check_together(document: IniDocument, file: str) -> Iterator[Finding]:
-    """Checks what only several keys together show."""
+    """Validates constraints that span several keys."""
     membership = document.sections_by_name.get("membership")
     if membership is not None and not any(check_section(MEMBERSHIP, membership, file)):
         values: dict[str, Any] = read_section(MEMBERSHIP, membership).values_by_key
@@ -298,8 +298,8 @@
             line = membership.values_by_key[key].line if key in membership.values_by_key else 0
             yield Finding(
                 Place(file, line, "membership", key),
-                "is less than two beats, so that living hosts would be held dead",
-                "make it three times beat_seconds or more",
+                "is less than two heartbeat intervals, so live hosts would be declared dead",
+                "set it to at least three times beat_seconds",
             )
 
 
--- a/src/bayhinge/_internal/models/site_settings.py
+++ b/src/bayhinge/_internal/models/site_settings.py
@@ -1,27 +1,27 @@
-"""Settings of a host that runs on a platform: who it is, where it listens, what it must bear."""
+"""Settings of a host on a platform: identity, addresses, fault tolerance and bounds."""
 
 import attrs
 
 
 @attrs.frozen
 class SiteSettings:
-    """One process of one host.
+    """Settings of one process of one host.
 
     Attributes:
         region_by_hall: the region of every hall.
-        gossip_port: the UDP port of hellos, the same on every host.
-        peer_port: the TCP port of the peer link, the same on every host.
-        seeds: IP addresses of hosts that may be up.
-        is_first_start: the whole system starts for the first time, with empty disks.
-        tolerated_disks: disks that may be lost at once while nothing acknowledged is lost.
+        gossip_port: the UDP port of heartbeats, the same on every host.
+        peer_port: the TCP port of peer links, the same on every host.
+        seeds: IP addresses of hosts to contact first; they need not be up.
+        is_first_start: bootstraps a new system with empty disks.
+        tolerated_disks: number of disks that may be lost at once without losing acknowledged data.
         store_address: ``ip:port`` of the platform's store.
-        address_keep_s: the longest that callers may keep an answer about addresses.
-        grace_s: time between the request to stop and the kill.
-        taken_away_s: the longest that a key may be served after it was taken away, on any host, or
-            None where that is not bounded.
-        quota_window_s: accounts are held to their limits within any time of this length.
-        quota_overage: part of a limit by which it may be passed.
-        quota_slack: requests by which it may be passed on top.
+        address_keep_s: the TTL of resolved addresses, in seconds.
+        grace_s: time between SIGTERM and SIGKILL.
+        taken_away_s: upper bound on the time for which any host may still accept a revoked key, or
+            None if unbounded.
+        quota_window_s: quotas are enforced over any window of this length.
+        quota_overage: fraction of a quota by which it may be exceeded.
+        quota_slack: number of requests by which it may be exceeded in addition.
     """
 
     host: str
@@ -48,10 +48,10 @@
 
     @property
     def gossip_address(self) -> str:
-        """Where this host's hellos come from."""
+        """The address from which this host sends heartbeats."""
         return f"{self.ip}:{self.gossip_port}"
 
     @property
     def peer_address(self) -> str:
-        """Where this host's peers reach it."""
+        """The address at which peers connect to this host."""
         return f"{self.ip}:{self.peer_port}"
--- a/src/bayhinge/_internal/models/views.py
+++ b/src/bayhinge/_internal/models/views.py
@@ -1,4 +1,4 @@
-"""What queries return: plain views that go out as JSON."""
+"""Query results that are sent as JSON."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class ProgramView:
-    """A program as callers and operators see it."""
+    """A program as shown to callers and operators."""
 
     id: str
     account: str
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class AddressView:
-    """Addresses of hosts, best first, and how long they may be kept, in seconds."""
+    """Addresses of hosts, best first, and their TTL in seconds."""
 
     addresses: tuple[str, ...]
     keep_s: float
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class HostView:
-    """A host as one of them sees it."""
+    """A host as seen by the host that answers the query."""
 
     host: str
     incarnation: str
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class EndpointStatusView:
-    """An endpoint as its queue home sees it."""
+    """An endpoint as seen by its queue dispatcher."""
 
     name: str
     pool: str
@@ -66,7 +66,7 @@
 
 @attrs.frozen
 class ConfigStatusView:
-    """Which revision a host has applied, and whether it vouches for it."""
+    """The configuration revision that a host has applied, and whether it confirms it."""
 
     host: str
     incarnation: str
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class ParameterView:
-    """A resolved parameter and where its value comes from."""
+    """A resolved parameter and the source of its value."""
 
     name: str
     value: Any
@@ -117,5 +117,5 @@
 
 
 def to_json(view: Any) -> bytes:
-    """Encodes a view, or a list or dictionary of views."""
+    """Encodes a view, or a list or dict of views, as JSON."""
     return orjson.dumps(_CONVERTER.unstructure(view))
--- a/src/bayhinge/_internal/network/__init__.py
+++ b/src/bayhinge/_internal/network/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers and endpoints, and the link between hosts."""
+"""HTTP servers and clients, and the TCP links between hosts."""
--- a/src/bayhinge/_internal/network/addresses.py
+++ b/src/bayhinge/_internal/network/addresses.py
@@ -1,7 +1,7 @@
-"""Addresses as settings and hellos write them."""
+"""Parsing of ``host:port`` addresses."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Splits ``10.0.0.5:8100``."""
+    """Splits an address such as ``10.0.0.5:8100`` into host and port."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/src/bayhinge/_internal/network/chat_format.py
+++ b/src/bayhinge/_internal/network/chat_format.py
@@ -1,7 +1,7 @@
 """Answers in the OpenAI chat format: one object, or a stream of server-sent events.
 
-An event's identifier is the number of characters of text that a caller has once it
-has read the event, so that ``Last-Event-ID`` resumes running and recorded answers alike.
+An event's id is the number of characters of text received up to and including the event, so that
+``Last-Event-ID`` can resume running and recorded answers alike.
 """
 
 from typing import Any
@@ -15,12 +15,12 @@
 
 
 def answer_id(program: str, index: int | None) -> str:
-    """Returns the identifier of an answer."""
+    """Returns the ``id`` field of an answer."""
     return f"chatcmpl-{program}" if index is None else f"chatcmpl-{program}-{index}"
 
 
 def whole_answer(program: str, text: str, end: AnswerEnd) -> bytes:
-    """Returns the answer as one object."""
+    """Returns the answer as one JSON object."""
     message: dict[str, Any] = {"role": "assistant", "content": text}
     if end.tool_calls:
         message["tool_calls"] = orjson.loads(end.tool_calls)
@@ -36,7 +36,7 @@
 
 
 def part_event(program: str, model: str, part: AnswerPart) -> bytes:
-    """Returns a piece of text as an event."""
+    """Returns an event with a piece of text."""
     delta: dict[str, Any] = {"content": part.text}
     if part.offset == 0:
         delta["role"] = "assistant"
@@ -59,7 +59,7 @@
 
 
 def refusal_event(refusal: Refusal) -> bytes:
-    """Returns a refusal that comes after text was sent already."""
+    """Returns an error event, for a refusal after the answer has started."""
     return b"event: error\ndata: " + refusal.to_json() + b"\n\n"
 
 
--- a/src/bayhinge/_internal/network/datagrams.py
+++ b/src/bayhinge/_internal/network/datagrams.py
@@ -1,14 +1,13 @@
-"""Datagrams as services see them."""
+"""Reception of UDP datagrams."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """Hands each datagram on as it comes."""
+    """Passes the bytes of each received datagram to a callback."""
 
     def __init__(self, on_datagram: Callable[[bytes], None]) -> None:
-        """Takes what is done with a datagram's bytes."""
         self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: object) -> None:
--- a/src/bayhinge/_internal/network/endpoint_answer.py
+++ b/src/bayhinge/_internal/network/endpoint_answer.py
@@ -1,4 +1,4 @@
-"""An endpoint's answer as it comes, and how there may be none."""
+"""An endpoint's answer as a stream, and the errors that end it early."""
 
 from collections.abc import AsyncIterator
 
@@ -11,32 +11,30 @@
 
 
 class BrokenAnswerError(Exception):
-    """There is no whole answer; ``why`` says how it broke.
+    """The answer is incomplete; ``why`` is the reason.
 
     Attributes:
-        cut_bytes: of an event of a stream whose end did not come; 0 where none was cut.
+        cut_bytes: bytes received of an incomplete last event of a stream.
     """
 
     def __init__(self, why: str) -> None:
-        """Takes the reason."""
         super().__init__(why)
         self.why = why
         self.cut_bytes = 0
 
 
 class SilentEndpointError(BrokenAnswerError):
-    """There is no whole answer, because nothing came for longer than the endpoint may be silent."""
+    """The answer is incomplete because the endpoint sent nothing for too long."""
 
 
 class UnreachableError(Exception):
-    """There is no connection to the endpoint, so nothing was sent."""
+    """No connection to the endpoint could be made, so nothing was sent."""
 
 
 class Answer:
-    """The head of an answer, and its body as it comes."""
+    """The status and headers of an answer, and its body as a stream."""
 
     def __init__(self, message: RawResponseMessage, body: StreamReader) -> None:
-        """Takes the parser's message and the body's reader."""
         self.status: int = message.code
         self.reason: str = message.reason
         self.headers: RawHeaders = message.raw_headers
@@ -47,7 +45,7 @@
         """Yields the body's bytes as they arrive.
 
         Raises:
-            BrokenAnswerError: the body breaks off.
+            BrokenAnswerError: the body is incomplete.
         """
         try:
             while True:
@@ -56,12 +54,12 @@
                     return
                 yield piece
         except (ClientPayloadError, HttpProcessingError, ConnectionError) as error:
-            raise BrokenAnswerError(f"the body broke off: {error}") from error
+            raise BrokenAnswerError(f"the body is incomplete: {error}") from error
 
     async def read_body(self) -> bytes:
         """Returns the whole body.
 
         Raises:
-            BrokenAnswerError: the body breaks off.
+            BrokenAnswerError: the body is incomplete.
         """
         return b"".join([piece async for piece in self.read_pieces()])
--- a/src/bayhinge/_internal/network/endpoint_client.py
+++ b/src/bayhinge/_internal/network/endpoint_client.py
@@ -1,4 +1,4 @@
-"""Clients of endpoints: engines over the OpenAI chat protocol, plain services over HTTP."""
+"""Endpoint clients: engines over the OpenAI chat protocol, and plain services over HTTP."""
 
 from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class EnginePiece:
-    """A piece of an engine's stream: text, or what ends it."""
+    """A chunk of an engine's stream: text, tool calls, or the fields of the last chunks."""
 
     text: str = ""
     tool_calls: bytes | None = None
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class ServiceAnswer:
-    """A plain service's whole answer."""
+    """A plain service's complete answer."""
 
     status: int
     content_type: str
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class EndpointTimes:
-    """Time-outs in seconds."""
+    """Timeouts in seconds."""
 
     connect_s: float = 1.0
     first_byte_s: float = 60.0
@@ -55,7 +55,7 @@
 
 
 class EndpointClient(ABC):
-    """How the owner reaches endpoints."""
+    """Interface for requests to endpoints."""
 
     @abstractmethod
     def complete(
@@ -64,24 +64,24 @@
         """Streams an engine's answer.
 
         Raises:
-            EndpointError: there is no whole answer; it says whether work may have run.
+            EndpointError: there is no complete answer; the error tells if the request may have run.
         """
 
     @abstractmethod
     async def cancel(self, address: str, request_id: str) -> None:
-        """Tells an engine to drop a request; a failure is ignored."""
+        """Cancels a request at an engine; errors are ignored."""
 
     @abstractmethod
     async def release(self, address: str, program: str) -> None:
-        """Tells an engine to free what it holds for a program; a failure is ignored."""
+        """Releases a program's KV cache at an engine; errors are ignored."""
 
     @abstractmethod
     async def held(self, address: str) -> list[str] | None:
-        """Returns the programs that an engine holds memory for, or None."""
+        """Returns the programs with KV cache held at an engine, or None on an error."""
 
     @abstractmethod
     async def load(self, address: str) -> EndpointLoad | None:
-        """Returns an engine's load report, or None."""
+        """Returns an engine's load report, or None on an error."""
 
     @abstractmethod
     async def call_service(
@@ -90,7 +90,7 @@
         """Calls a plain service.
 
         Raises:
-            EndpointError: there is no whole answer; it says whether work may have run.
+            EndpointError: there is no complete answer; the error tells if the request may have run.
         """
 
     async def close(self) -> None:
@@ -99,10 +99,9 @@
 
 
 class HttpEndpointClient(EndpointClient):
-    """Endpoints over HTTP."""
+    """The :class:`EndpointClient` over HTTP."""
 
     def __init__(self, times: EndpointTimes) -> None:
-        """Takes the time-outs."""
         self._times = times
         self._session: aiohttp.ClientSession | None = None
         self._is_closed = False
@@ -221,7 +220,7 @@
         return
     draining = DRAINING_HEADER in response.headers
     text = (await response.text())[:200]
-    # A status before any stream says that the engine did not take the work.
+    # An error status before the stream means that the engine rejected the request.
     ran = response.status >= status_codes.HTTP_SERVER_ERROR and not draining
     raise EndpointError(endpoint, f"status {response.status} {text}", ran, draining)
 
@@ -239,7 +238,7 @@
             _read_usage(chunk.get("usage")),
         )
     except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError) as error:
-        raise EndpointError(endpoint, f"a chunk can't be read: {error}", True) from error
+        raise EndpointError(endpoint, f"invalid chunk: {error}", True) from error
 
 
 def _read_usage(usage: dict[str, Any] | None) -> Usage | None:
--- a/src/bayhinge/_internal/network/endpoint_link.py
+++ b/src/bayhinge/_internal/network/endpoint_link.py
@@ -1,8 +1,8 @@
-"""Connections to endpoints that take nothing for granted.
+"""A pool of HTTP connections to endpoints that may violate the protocol.
 
-An endpoint may send a surplus answer, answer late in the place of the next answer, break
-off, or close a kept connection. aiohttp's client pairs answers with requests by order
-alone, so the connections are kept here; its parser reads what comes.
+An endpoint may send surplus answers, send a late answer in place of the next one, or close the
+connection at any point. aiohttp's client matches answers to requests by order alone, so this pool
+is used instead; only aiohttp's parser is reused.
 """
 
 import asyncio
@@ -30,39 +30,37 @@
 from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
 
 READ_BUFFER_BYTES = 65_536
-"""Bytes of a body that are held before the endpoint is made to wait."""
+"""Buffer size of a body; beyond it reading from the endpoint is paused."""
 
 MAX_HEADER_BYTES = 32_768
-"""Longest header line that is taken from an endpoint."""
+"""Longest header line that is accepted from an endpoint."""
 
 CONNECT_TIMEOUT_S = 0.6
-"""Time to connect: a handshake takes milliseconds, a lost packet is sent again after 1 s."""
+"""Connect timeout; shorter than the 1 s after which the kernel retransmits a lost SYN."""
 
 DEFAULT_KEEPALIVE_S = 3.0
-"""Seconds that a kept connection is reused where the endpoint names no time."""
+"""How long an idle connection is reused if the endpoint names no keep-alive timeout."""
 
 KEEPALIVE_FRACTION = 0.8
-"""Part of the endpoint's own time that is used, so that a close does not cross a request. Times are
-whole seconds, five or more on the users' sites, and a close crosses within milliseconds."""
+"""Fraction of the endpoint's keep-alive timeout for which a connection is reused, so that a request
+does not cross with the endpoint's close."""
 
 TCP_USER_TIMEOUT_S = 3.0
-"""Sent bytes that stay without an acknowledgement for so long end the connection. Long, because a
-request that must not be repeated has nothing to gain from an earlier end."""
+"""TCP user timeout for non-retryable requests, which gain nothing from a shorter one."""
 
 RETRYABLE_TCP_USER_TIMEOUT_S = 0.6
-"""The same for a request that another endpoint may serve instead, now or when its program asks for
-the turn again: the connection ends after 0.9 s (loopback, a socket that drops every packet), while
-callers wait for 1.2 s or more."""
+"""TCP user timeout for requests that may be retried elsewhere; short enough that a retry still fits
+into the 1.2 s or more for which callers wait."""
 
 _INTERIM_STATUS = 200
 
 _PROBE_STATUS = 299
 _PROBE = b"HTTP/1.1 299 probe\r\nContent-Length: 0\r\n\r\n"
-"""An answer that no endpoint sends, fed to a parser to learn what it still holds."""
+"""An artificial answer, fed to the parser to detect a buffered partial answer."""
 
 
 class EndpointConnection(BaseProtocol):
-    """One connection, which serves one request at a time."""
+    """One connection, with one request in flight at a time."""
 
     def __init__(
         self,
@@ -71,7 +69,6 @@
         address: str,
         last_received_s_by_key: dict[str, float],
     ) -> None:
-        """Takes the loop, the pool's key, where it leads, and where to note what was heard."""
         super().__init__(loop)
         self.address = address
         self._opened_s = self._last_received_s = loop.time()
@@ -102,25 +99,25 @@
     # ---- called by the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sets the socket up."""
+        """Configures the socket's timeouts."""
         super().connection_made(transport)
         self._opened_s = self._last_received_s = self._loop.time()
         self._set_tcp_timeouts(TCP_USER_TIMEOUT_S)
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came; bytes that nobody asked for end the connection."""
+        """Parses received bytes; bytes without a request in flight abort the connection."""
         if not self.is_open:
             return
         self._last_received_s = self._last_received_s_by_key[self.key] = self._loop.time()
         if not self.is_busy:
             if data:
-                self.abort("bytes came that nobody asked for")
+                self.abort("unsolicited bytes received")
             return
         try:
             messages, _, _ = self._answer_parser.feed_data(data)
-        except Exception as error:  # The parser raises errors of many kinds on odd bytes.
-            self._fail_body(f"bytes that are no answer: {error}")
-            self.abort(f"bytes that are no answer: {error}")
+        except Exception as error:  # The parser raises errors of many types on invalid bytes.
+            self._fail_body(f"invalid HTTP answer: {error}")
+            self.abort(f"invalid HTTP answer: {error}")
             return
         for message, body in messages:
             self._body = body
@@ -129,11 +126,11 @@
         self._wake()
 
     def eof_received(self) -> None:
-        """The endpoint closed its side; the connection ends."""
+        """Closes the connection when the endpoint closes its side."""
         return
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Ends what is under way; a body without a length is whole only after a clean close."""
+        """Ends the answer in flight; a body without a length is complete only on a clean close."""
         super().connection_lost(exc)
         self.is_open = False
         why = str(exc) if exc else "the endpoint closed the connection"
@@ -151,10 +148,16 @@
     # ---- called by the pool's users ----
 
     def send(self, head: bytes, body: bytes, is_retryable: bool = False) -> None:
-        """Writes one request; one that may go elsewhere gives a silent connection up earlier.
+        """Writes one request.
+
+        Args:
+            head: the request line and headers.
+            body: the request body.
+            is_retryable: whether another endpoint may serve the request; then an unresponsive
+                connection is ended earlier.
 
         Raises:
-            UnreachableError: the connection is closed already; nothing was sent.
+            UnreachableError: the connection is already closed; nothing was sent.
         """
         if not self.is_open or self.transport is None or self.transport.is_closing():
             raise UnreachableError(self._why_closed or "the connection is closed")
@@ -164,10 +167,10 @@
         self.transport.write(head + body)
 
     async def next_answer(self) -> Answer:
-        """Returns the next answer's head.
+        """Returns the next answer once its headers have arrived.
 
         Raises:
-            BrokenAnswerError: the connection ended before it.
+            BrokenAnswerError: the connection ended before that.
         """
         while not self._answers:
             if not self.is_open:
@@ -178,7 +181,7 @@
         return self._answers.popleft()
 
     def abort(self, why: str) -> None:
-        """Ends the connection at once."""
+        """Closes the connection at once."""
         self._why_closed = self._why_closed or f"aborted: {why}"
         self.is_open = False
         if self.transport is not None:
@@ -187,30 +190,29 @@
 
     @property
     def contact(self) -> Contact:
-        """What it has seen of the endpoint."""
+        """When the connection was opened and last received anything from the endpoint."""
         return Contact(self.address, self._opened_s, self._last_received_s)
 
     @property
     def has_unread_answer(self) -> bool:
-        """Whether an answer came that nobody has read."""
+        """Whether an answer was received but not read."""
         return bool(self._answers)
 
     def is_between_answers(self) -> bool:
-        """Tells whether nothing of a further answer has come; leaves the parser at a beginning.
+        """Returns whether no part of a further answer has arrived; resets the parser if so.
 
-        The parser keeps the beginning of a head to itself. On a connection that goes on with it,
-        the next answer's head would be read behind it: a request that had run was called not run
-        and ran again elsewhere (stand-in endpoint that sends half of a surplus head).
+        The parser buffers partial headers. If the connection were reused, they would be prepended
+        to the next answer, and a request that has run could be taken as not run and run again.
         """
         try:
             messages, _, _ = self._answer_parser.feed_data(_PROBE)
-        except Exception:  # The parser raises errors of many kinds on odd bytes.
+        except Exception:  # The parser raises errors of many types on invalid bytes.
             return False
         return [message.code for message, _ in messages] == [_PROBE_STATUS]
 
     @property
     def is_sending(self) -> bool:
-        """Whether bytes of the request still wait to be sent."""
+        """Whether part of the request is still in the write buffer."""
         return self.transport is not None and self.transport.get_write_buffer_size() > 0
 
     def _set_tcp_timeouts(self, user_timeout_s: float) -> None:
@@ -233,7 +235,7 @@
 
 @attrs.define
 class PoolCounters:
-    """What the pool did since the start."""
+    """Counters of the pool since the start of the process."""
 
     opened: int = 0
     reused: int = 0
@@ -241,26 +243,25 @@
 
 
 class EndpointLinks:
-    """Kept connections by endpoint instance."""
+    """A pool of idle connections, by endpoint instance."""
 
     def __init__(self) -> None:
-        """Starts with none."""
         self._idle_by_key: dict[str, list[EndpointConnection]] = {}
         self._last_received_s_by_key: dict[str, float] = {}
         self.counts = PoolCounters()
 
     async def acquire(self, key: str, address: str) -> EndpointConnection:
-        """Returns a kept or a fresh connection.
+        """Returns an idle connection of the pool, or a new one.
 
         Raises:
-            UnreachableError: the endpoint can't be connected to.
+            UnreachableError: the connection can't be made.
         """
         loop = asyncio.get_running_loop()
         idle = self._idle_by_key.get(key, [])
         while idle:
             connection = idle.pop()
             if connection.address != address:
-                connection.abort("the endpoint is at another address now")
+                connection.abort("the endpoint's address has changed")
                 continue
             if connection.is_open and loop.time() < connection.reusable_until_s:
                 self.counts.reused += 1
@@ -280,11 +281,16 @@
         return connection
 
     def release(self, connection: EndpointConnection, idle_s: float | None) -> None:
-        """Takes a connection back whose answer was read to its end."""
+        """Returns a connection to the pool after its answer was read to the end.
+
+        Args:
+            connection: the connection, which is closed instead if it can't be reused.
+            idle_s: the endpoint's keep-alive timeout in seconds, or None.
+        """
         has_unread_answer = connection.has_unread_answer or not connection.is_between_answers()
         if has_unread_answer or connection.is_sending or not connection.is_open:
             self.counts.dropped_with_surplus += has_unread_answer
-            connection.abort("not clean after its answer")
+            connection.abort("data left over after the answer")
             return
         keep_s = DEFAULT_KEEPALIVE_S if idle_s is None else idle_s * KEEPALIVE_FRACTION
         connection.is_busy = False
@@ -292,46 +298,46 @@
         self._idle_by_key.setdefault(connection.key, []).append(connection)
 
     def connected(self) -> frozenset[str]:
-        """Returns the endpoints to which a connection is free."""
+        """Returns the endpoints for which there is a reusable idle connection."""
         now = asyncio.get_running_loop().time()
         return frozenset(
             key
             for key, idle in self._idle_by_key.items()
-            # The last one that came back is the next one to be used.
+            # Connections are reused in LIFO order.
             if idle and idle[-1].is_open and now < idle[-1].reusable_until_s
         )
 
     def was_heard_since(self, key: str, since_s: float) -> bool:
-        """Tells whether an endpoint sent anything since a moment on the loop's clock."""
+        """Returns whether an endpoint has sent anything since a time on the loop's clock."""
         return self._last_received_s_by_key.get(key, 0.0) > since_s
 
     def drop_idle(self, key: str) -> None:
-        """Closes the idle connections to an endpoint: it is gone, or fell silent on another one."""
+        """Closes the idle connections to an endpoint that was removed or has timed out."""
         for connection in self._idle_by_key.pop(key, []):
-            connection.abort("the endpoint is gone or silent")
+            connection.abort("the endpoint was removed or timed out")
 
     def start_again(self, key: str, start: NewStart) -> int:
-        """Closes the idle connections that may lead to a former start; returns their number."""
+        """Closes idle connections that may belong to a previous incarnation; returns how many."""
         idle = self._idle_by_key.pop(key, [])
         kept = [connection for connection in idle if is_surely_of(connection.contact, start)]
         for connection in idle:
             if connection not in kept:
-                connection.abort("the endpoint has started again")
+                connection.abort("the endpoint has restarted")
         if kept:
             self._idle_by_key[key] = kept
-        # What a former start said last is no word of this one.
+        # Data received from a previous incarnation does not count for this one.
         heard_s = self._last_received_s_by_key.get(key, 0.0)
         if start.began_s is None or heard_s < start.began_s:
             self._last_received_s_by_key.pop(key, None)
         return len(idle) - len(kept)
 
     def forget(self, key: str) -> None:
-        """Forgets an endpoint that is gone."""
+        """Removes an endpoint and closes its idle connections."""
         self.drop_idle(key)
         self._last_received_s_by_key.pop(key, None)
 
     def sweep(self) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes connections that are past their keep-alive time."""
         now = asyncio.get_running_loop().time()
         for key, idle in list(self._idle_by_key.items()):
             kept = [link for link in idle if link.is_open and link.reusable_until_s > now]
--- a/src/bayhinge/_internal/network/endpoint_list.py
+++ b/src/bayhinge/_internal/network/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of endpoints."""
+"""The platform's list of endpoints, which may be out of date."""
 
 import logging
 from abc import ABC, abstractmethod
@@ -25,22 +25,21 @@
 
 
 class EndpointList(ABC):
-    """Where endpoints are learned from."""
+    """A source of the list of endpoints."""
 
     @abstractmethod
     async def fetch(self) -> list[Endpoint] | None:
-        """Returns the list, or None where the platform did not answer."""
+        """Returns the list, or None if there is no valid answer."""
 
     async def close(self) -> None:
-        """Closes what is open."""
+        """Closes the connections."""
         return
 
 
 class HttpEndpointList(EndpointList):
-    """The list over HTTP."""
+    """The :class:`EndpointList` over HTTP."""
 
     def __init__(self, base_url: str, timeout_s: float) -> None:
-        """Takes the platform's address and the time for one call, in seconds."""
         self._url = f"{base_url}/v1/endpoints"
         self._timeout = call_timeout(timeout_s)
         self._session: aiohttp.ClientSession | None = None
@@ -64,7 +63,7 @@
 
 
 def _read(items: list[Any]) -> list[Endpoint]:
-    """Returns the entries that can be read; the others name no endpoint to use."""
+    """Returns the valid entries; invalid ones are logged and skipped."""
     found: list[Endpoint] = []
     findings: list[str] = []
     for item in items:
@@ -76,5 +75,5 @@
         state = EndpointState(form.state)
         found.append(Endpoint(form.name, form.pool, form.hall, form.address, state))
     if findings:
-        logger.warning("%d odd entries in the list of endpoints: %s", len(findings), findings[:3])
+        logger.warning("skipped %d invalid endpoint list entries: %s", len(findings), findings[:3])
     return found
--- a/src/bayhinge/_internal/network/event_stream.py
+++ b/src/bayhinge/_internal/network/event_stream.py
@@ -1,4 +1,4 @@
-"""Reads a stream of events (``text/event-stream``) as it passes by."""
+"""Incremental parser of server-sent events (``text/event-stream``)."""
 
 import re
 
@@ -12,14 +12,14 @@
 
 @attrs.frozen
 class StreamEvent:
-    """One event: its id where it has one, and its data without the field's name."""
+    """One event: its id, or None, and its data without field names."""
 
     event_id: bytes | None
     data: bytes
 
     @property
     def number(self) -> int | None:
-        """The id as a number, where it is one."""
+        """The id as a number, or None if it is not one."""
         event_id = self.event_id
         if event_id is None or not event_id.isdigit() or len(event_id) > _MAX_DIGITS:
             return None
@@ -27,20 +27,19 @@
 
 
 class EventReader:
-    """Cuts pieces of a stream into events, wherever the pieces are cut."""
+    """Splits a stream into events, however it is split into pieces."""
 
     def __init__(self) -> None:
-        """Starts before the first byte."""
         self._buffer = b""
 
     def feed(self, piece: bytes) -> list[StreamEvent]:
-        """Returns the events that end in this piece."""
+        """Returns the events that are completed by this piece."""
         return [event for _, event in self.feed_blocks(piece) if event is not None]
 
     def feed_blocks(self, piece: bytes) -> list[tuple[bytes, StreamEvent | None]]:
-        """Returns the blocks that end in this piece, as they came, each with its event.
+        """Returns the raw blocks that are completed by this piece, each with its event.
 
-        A block without data, such as a comment, has no event.
+        The event is None for a block without data, such as a comment.
         """
         text = self._buffer + piece
         blocks: list[tuple[bytes, StreamEvent | None]] = []
@@ -54,12 +53,12 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Whether the last piece ended with an event's end."""
+        """Whether the last piece ended at the end of an event."""
         return not self._buffer.strip()
 
     @property
     def cut_bytes(self) -> int:
-        """Bytes of an event whose end has not come."""
+        """Bytes received of an incomplete event."""
         return len(self._buffer)
 
 
--- a/src/bayhinge/_internal/network/frames.py
+++ b/src/bayhinge/_internal/network/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the peer link: a length, then a thrift struct."""
+"""Frames of the peer link: a 4-byte big-endian length, then a thrift struct."""
 
 import struct
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 
 class _WriteBuffer(TTransportBase):  # type: ignore[misc]
-    """Takes what an encoder writes, and hands it out."""
+    """A thrift transport that collects written bytes."""
 
     def __init__(self) -> None:
         self._pieces: list[bytes] = []
@@ -31,7 +31,7 @@
         return data
 
 
-# One of each for the process: making them anew for each struct takes longer than the coding.
+# Shared by the whole process, since creating them takes longer than encoding a struct.
 _write_buffer = _WriteBuffer()
 _encoder = TBinaryProtocolAccelerated(_write_buffer)
 _decoder = TBinaryProtocolAccelerated(None)
@@ -47,61 +47,59 @@
 
 
 def decode_message(empty: Message, data: bytes) -> Message:
-    """Fills an empty thrift struct.
+    """Decodes bytes into an empty thrift struct and returns it.
 
     Raises:
-        FrameError: the bytes are no such struct.
+        FrameError: the bytes are not a valid struct of this type.
     """
     try:
         _decoder.trans = TMemoryBuffer(data)
         empty.read(_decoder)  # type: ignore[attr-defined]
         empty.validate()  # type: ignore[attr-defined]
     except (TException, EOFError, TypeError, ValueError, OverflowError, MemoryError) as error:
-        raise FrameError(f"no {type(empty).__name__}: {error}") from error
+        raise FrameError(f"invalid {type(empty).__name__}: {error}") from error
     return empty
 
 
 class MessageReader:
-    """Reads many thrift structs that stand in one buffer: half the time of one by one."""
+    """Decodes many thrift structs from one buffer, faster than :func:`decode_message` on each."""
 
     def __init__(self, data: bytes) -> None:
-        """Takes the buffer."""
         self._buffer = TMemoryBuffer(data)
         self._protocol = TBinaryProtocolAccelerated(self._buffer)
 
     def read(self, empty: Message, offset: int) -> Message:
-        """Fills an empty thrift struct with the one that begins at ``offset``.
+        """Decodes the thrift struct at ``offset`` into an empty one and returns it.
 
         Raises:
-            FrameError: the bytes are no such struct.
+            FrameError: the bytes are not a valid struct of this type.
         """
         self._buffer.cstringio_buf.seek(offset)
         try:
             empty.read(self._protocol)  # type: ignore[attr-defined]
             empty.validate()  # type: ignore[attr-defined]
         except (TException, EOFError, TypeError, ValueError, OverflowError, MemoryError) as error:
-            raise FrameError(f"no {type(empty).__name__}: {error}") from error
+            raise FrameError(f"invalid {type(empty).__name__}: {error}") from error
         return empty
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Returns a frame as it goes over the link."""
+    """Returns the wire form of a frame."""
     data = encode_message(frame)
     return _LENGTH.pack(len(data)) + data
 
 
 class FrameSplitter:
-    """Takes the bytes of a link as they come and gives out whole frames."""
+    """Splits the byte stream of a link into frames."""
 
     def __init__(self) -> None:
-        """Starts at the beginning of a link."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yields the frames that are whole now.
+        """Adds received bytes and yields the frames that are now complete.
 
         Raises:
-            FrameError: the bytes are no frame, or it is too long.
+            FrameError: a frame is invalid or too long.
         """
         self._buffer += data
         position = 0
@@ -109,7 +107,7 @@
             while len(self._buffer) - position >= _LENGTH.size:
                 (length,) = _LENGTH.unpack_from(self._buffer, position)
                 if length > MAX_FRAME_BYTES:
-                    raise FrameError(f"it claims {length} bytes, the limit is {MAX_FRAME_BYTES}")
+                    raise FrameError(f"length {length} exceeds {MAX_FRAME_BYTES} bytes")
                 end = position + _LENGTH.size + length
                 if len(self._buffer) < end:
                     return
--- a/src/bayhinge/_internal/network/front.py
+++ b/src/bayhinge/_internal/network/front.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: chat completions, programs, plain services, addresses."""
+"""The HTTP API for callers: chat completions, programs, plain services, addresses."""
 
 import asyncio
 import contextlib
@@ -56,21 +56,20 @@
     """Serves callers and operators on the public address."""
 
     def __init__(self, settings: Settings, handler: FrontHandler) -> None:
-        """Takes the settings and the daemon behind the front."""
         self._settings = settings
         self._handler = handler
         self._runner: web.AppRunner | None = None
         self._connections = 0
 
     async def start(self) -> str:
-        """Listens, and returns the address with its real port."""
+        """Starts listening; returns the address with the actual port."""
         app = web.Application(client_max_size=self._settings.limits.body_bytes)
         app.middlewares.append(_answer_refusals)
         app.middlewares.append(self._limit_connections)
         self._add_routes(app)
         OperatorFront(self._handler).add_routes(app)
-        # Cancelling a handler when its caller leaves is what frees the call's resources.
-        # A stop waits for calls that are passed on to another host, as for own ones.
+        # Cancelling the handler when its caller disconnects frees the call's resources.
+        # The shutdown timeout also covers calls forwarded to another host.
         self._runner = web.AppRunner(
             app,
             access_log=None,
@@ -83,12 +82,12 @@
         return f"{host}:{self._runner.addresses[0][1]}"
 
     async def stop(self) -> None:
-        """Stops listening, and closes the connections once their requests have ended."""
+        """Stops listening and closes each connection once its requests have ended."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     def abort(self) -> None:
-        """Drops every connection at once, as a death of the process would."""
+        """Drops every connection at once, as a crash of the process would."""
         if self._runner is None or self._runner.server is None:
             return
         for site in list(self._runner.sites):
@@ -117,7 +116,7 @@
     ) -> web.StreamResponse:
         limit = self._settings.limits.connections
         if self._connections >= limit:
-            why = f"this host serves {limit} requests already"
+            why = f"this host is already serving {limit} requests"
             raise RefusedError(refuse_unaccepted(RefusalCode.OVERLOADED, why, retry_after_s=1.0))
         self._connections += 1
         try:
@@ -136,7 +135,7 @@
         program = request.headers.get(PROGRAM_HEADER, "").strip()
         model = str(fields.ok.get("model", ""))
         incoming = self._build_incoming_call(request, account, program, CallKind.MODEL, model, body)
-        # Checked here as well as at the owner, so that nothing is opened for a bad request.
+        # Validated here as well as at the owner, so that no program is opened for a bad request.
         checked = parse_model_call(incoming, self._settings.limits.default_max_tokens)
         if checked.is_error():
             raise RefusedError(checked.error)
@@ -153,7 +152,7 @@
         incoming: IncomingCall,
         wants_stream: bool,
     ) -> web.StreamResponse:
-        """Serves a caller that knows of no programs: the call is a program of its own."""
+        """Serves a call without a program header as a program of its own."""
         begun = await self._handler.begin_single(account)
         if begun.is_error():
             raise RefusedError(begun.error)
@@ -204,7 +203,7 @@
             async with contextlib.aclosing(_with_prompt_close(items)) as closing:
                 async for item in closing:
                     if not response.prepared:
-                        # Only now: a call that is refused gets its real status.
+                        # Delayed until here, so that a refused call still gets its error status.
                         await response.prepare(request)
                         self._handler.note_latency("first_token", loop.time() - started)
                     if isinstance(item, AnswerPart):
@@ -225,7 +224,7 @@
         name = request.match_info["service"]
         settings = self._handler.find_service(name)
         if settings is None:
-            why = f"no service is called '{name[:80]}'"
+            why = f"there is no service '{name[:80]}'"
             raise RefusedError(refuse_unaccepted(RefusalCode.NO_ENDPOINT, why))
         body = await read_body(request)
         program = request.headers.get(PROGRAM_HEADER, "").strip()
@@ -260,7 +259,7 @@
             raise RefusedError(fields.error)
         parent = fields.ok.get("parent")
         if parent is not None and not isinstance(parent, str):
-            why = "field 'parent' must be a program's identifier"
+            why = "field 'parent' must be a program identifier"
             raise RefusedError(refuse_unaccepted(RefusalCode.BAD_REQUEST, why))
         key = read_idempotency_key(request.headers)
         opened = await self._handler.open_program(account, parent, key)
@@ -286,7 +285,7 @@
         account = self._authenticate(request)
         index = request.match_info["index"]
         if not index.isascii() or not index.isdigit():
-            why = "a call's index is a whole number"
+            why = "the call index must be a whole number"
             raise RefusedError(refuse_unaccepted(RefusalCode.BAD_REQUEST, why))
         program = request.match_info["program"]
         offset = read_offset(request.headers)
@@ -312,7 +311,7 @@
                 return web.Response(body=body, content_type=JSON, headers=headers)
         raise RefusedError(_incomplete_answer_refusal())
 
-    # ---- the rest ----
+    # ---- models, addresses, metrics, health ----
 
     async def _models(self, request: web.Request) -> web.Response:
         self._authenticate(request)
@@ -337,7 +336,7 @@
             raise RefusedError(refuse_unaccepted(RefusalCode.UNAUTHORIZED, why))
         named = request.headers.get(ACCOUNT_HEADER)
         if named is not None and named != account.name:
-            why = f"the key belongs to another client account than header {ACCOUNT_HEADER} names"
+            why = f"the key does not belong to the client account in header {ACCOUNT_HEADER}"
             raise RefusedError(refuse_unaccepted(RefusalCode.FORBIDDEN, why))
         return account
 
@@ -371,7 +370,7 @@
             content_type=headers.get("Content-Type", ""),
             patience_s=read_patience(headers, account.patience_seconds),
             idempotency_key=read_idempotency_key(headers),
-            # A caller may only forbid a repeat, never allow one.
+            # The header can forbid repeats, but never allow them.
             repeatable=repeatable and not forbids_repeat(headers),
             mode=read_mode(headers),
             resume_offset=read_offset(headers),
@@ -387,7 +386,7 @@
 
 
 def refusal_response(refusal: Refusal) -> web.Response:
-    """Returns a refusal as an HTTP answer."""
+    """Returns the HTTP response for a refusal."""
     headers = {"Bayhinge-Run-State": refusal.run_state.value}
     if refusal.retry_after_s is not None:
         headers["Retry-After"] = str(max(1, round(refusal.retry_after_s)))
@@ -400,7 +399,7 @@
 
 
 async def _with_prompt_close(items: AsyncIterator[AnswerItem]) -> AsyncGenerator[AnswerItem, None]:
-    """Makes sure that leaving the loop closes the generator behind it at once."""
+    """Wraps an iterator so that closing the wrapper closes the generator behind it at once."""
     try:
         async for item in items:
             yield item
@@ -430,5 +429,5 @@
 
 
 def _incomplete_answer_refusal() -> Refusal:
-    why = "the answer ended before its end was seen; ask for it again with its index"
+    why = "the answer is incomplete; request it again with its call index"
     return refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.5)
--- a/src/bayhinge/_internal/network/front_handler.py
+++ b/src/bayhinge/_internal/network/front_handler.py
@@ -1,4 +1,4 @@
-"""What the front needs from the daemon behind it."""
+"""The interface between the HTTP API and the daemon."""
 
 from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator, Mapping
@@ -33,19 +33,19 @@
 
 
 class FrontHandler(ABC):
-    """The daemon as its HTTP front sees it."""
+    """Implemented by the daemon to serve requests of the HTTP API."""
 
     @abstractmethod
     def find_account(self, key: str) -> ClientAccount | None:
-        """Returns the client account of a key."""
+        """Returns the client account of a key, or None."""
 
     @abstractmethod
     def is_operator(self, key: str) -> bool:
-        """Tells whether a key is an operator's."""
+        """Returns whether a key is an operator's."""
 
     @abstractmethod
     def find_service(self, name: str) -> ServiceSettings | None:
-        """Returns a plain service's settings."""
+        """Returns a plain service's settings, or None."""
 
     @abstractmethod
     def models(self) -> list[str]:
@@ -53,11 +53,11 @@
 
     @abstractmethod
     async def begin_single(self, account: ClientAccount) -> Result[str, Refusal]:
-        """Begins a program of one call, for callers that know of no programs."""
+        """Opens a program for a single call, for requests without a program."""
 
     @abstractmethod
     async def end_single(self, account: ClientAccount, program: str, reason: str) -> None:
-        """Ends a program of one call."""
+        """Ends a program opened by :meth:`begin_single`."""
 
     @abstractmethod
     async def open_program(
@@ -82,17 +82,17 @@
         """Yields the answer to a call.
 
         Raises:
-            RefusedError: there is none.
+            RefusedError: the call was refused.
         """
 
     @abstractmethod
     def collect(
         self, account: str, program: str, index: int, offset: int
     ) -> AsyncIterator[AnswerItem]:
-        """Yields an earlier answer.
+        """Yields the answer to an earlier call, from an offset in characters.
 
         Raises:
-            RefusedError: there is none.
+            RefusedError: the answer is not available.
         """
 
     @abstractmethod
@@ -103,20 +103,20 @@
     async def operator_query(
         self, name: str, parameters: Mapping[str, str]
     ) -> Result[bytes, Refusal]:
-        """Answers an operator's query from all hosts, as JSON."""
+        """Answers an operator's query over all hosts, as JSON."""
 
     @abstractmethod
     def follow_events(self, parameters: Mapping[str, str]) -> AsyncIterator[bytes]:
-        """Yields this host's events as they come, a line of JSON each."""
+        """Yields this host's events as they occur, each as a line of JSON."""
 
     @abstractmethod
     async def edit_config(self, edit: ConfigEdit) -> ConfigAnswer:
-        """Checks an edit as a whole and accepts it, or says what is wrong."""
+        """Validates an edit and applies it, or returns the findings."""
 
     @abstractmethod
     def metrics(self) -> bytes:
-        """Returns the metrics in the usual text format."""
+        """Returns the metrics in the Prometheus text format."""
 
     @abstractmethod
     def note_latency(self, what: str, seconds: float) -> None:
-        """Takes a latency into the histograms."""
+        """Adds a latency to its histogram."""
--- a/src/bayhinge/_internal/network/http_store.py
+++ b/src/bayhinge/_internal/network/http_store.py
@@ -1,7 +1,7 @@
-"""The platform's object API over HTTP, as an :class:`ObjectStore`.
+"""An :class:`ObjectStore` over the platform's HTTP object API.
 
-Entity tags are versions; preconditions make creates, updates and deletes
-conditional. Any break of the connection is an answer that may have been lost.
+Versions are entity tags, and writes are conditional by If-Match and If-None-Match. After a
+connection error the outcome of a write is unknown.
 """
 
 import base64
@@ -24,14 +24,13 @@
 from bayhinge.coordination.store import Change, Listing, ObjectStore, StoredObject
 
 WATCH_SILENCE_S = 300.0
-"""A watch that is silent for so long is opened anew."""
+"""Read timeout of a watch; the watch is then reopened."""
 
 
 class HttpObjectStore(ObjectStore):
-    """A client of the object API; one per daemon."""
+    """A client of the object API."""
 
     def __init__(self, base_url: str, timeout_s: float) -> None:
-        """Takes the API's address and the time for one call, in seconds."""
         self._base_url = base_url
         self._timeout = call_timeout(timeout_s)
         self._watch_timeout = call_timeout(sock_connect_s=timeout_s, sock_read_s=WATCH_SILENCE_S)
@@ -98,7 +97,7 @@
                     yield Change(item["key"], value, item["version"], item["revision"])
         except (aiohttp.ClientError, TimeoutError) as error:
             raise WatchEndedError(prefix, str(error) or type(error).__name__) from error
-        raise WatchEndedError(prefix, "the platform closed it")
+        raise WatchEndedError(prefix, "the platform closed the connection")
 
     def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
@@ -132,7 +131,7 @@
 
 
 class _Answer:
-    """What of an HTTP answer is needed."""
+    """The used parts of an HTTP response."""
 
     __slots__ = ("body", "status", "version")
 
--- a/src/bayhinge/_internal/network/operator_front.py
+++ b/src/bayhinge/_internal/network/operator_front.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface; every call needs an operator's key."""
+"""The HTTP API for operators; every request needs an operator's key."""
 
 from aiohttp import web
 
@@ -15,7 +15,6 @@
     """Routes under ``/v1/operator``."""
 
     def __init__(self, handler: FrontHandler) -> None:
-        """Takes the daemon behind the front."""
         self._handler = handler
 
     def add_routes(self, app: web.Application) -> None:
@@ -48,7 +47,7 @@
         try:
             text = body.decode("utf-8")
         except UnicodeDecodeError as error:
-            raise RefusedError(_bad(f"the text is no UTF-8: {error}")) from error
+            raise RefusedError(_bad(f"the text is not valid UTF-8: {error}")) from error
         if len(body) > MAX_CONFIG_BYTES:
             raise RefusedError(_bad(f"the text is longer than {MAX_CONFIG_BYTES} bytes"))
         return await self._propose(request, text)
@@ -60,7 +59,7 @@
     async def _propose(self, request: web.Request, text: str | None) -> web.Response:
         base = request.headers.get("If-Match", "0").strip('"')
         if not base.isascii() or not base.isdigit():
-            raise RefusedError(_bad("header If-Match must be the revision that was edited"))
+            raise RefusedError(_bad("header If-Match must be the revision the edit is based on"))
         edit = ConfigEdit(
             request.match_info["kind"],
             request.match_info["name"],
@@ -73,7 +72,7 @@
 
     def _authenticate(self, request: web.Request) -> None:
         if not self._handler.is_operator(read_key(request.headers)):
-            why = "this call needs an operator's key"
+            why = "this request needs an operator's key"
             raise RefusedError(refuse_unaccepted(RefusalCode.UNAUTHORIZED, why))
 
 
--- a/src/bayhinge/_internal/network/peer_client.py
+++ b/src/bayhinge/_internal/network/peer_client.py
@@ -1,4 +1,4 @@
-"""The asking side of the link between hosts, and how it leaves connections that fell silent."""
+"""The client side of the links between hosts, which replaces unresponsive connections."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -14,15 +14,14 @@
 from bayhinge.coordination.clock import HybridClock
 
 SUSPECT_AFTER_S = 0.03
-"""A call that waits for so long, with nothing heard over its connection meanwhile, makes the
-connection doubtful once it is given up or hedged: ten times the way between halls and back."""
+"""If a call is cancelled or hedged after waiting this long without any data on its connection, the
+connection is suspected. Ten times the round trip between halls."""
 
 
 class PeerClient(Peers):
-    """The connections to all peers, opened when first needed."""
+    """Connections to all peers, opened on first use."""
 
     def __init__(self, clock: HybridClock, connect_s: float) -> None:
-        """Takes the clock whose stamps go with each frame, and the time to connect."""
         self._clock = clock
         self._connect_s = connect_s
         self._links_by_address: dict[str, _ClientLink] = {}
@@ -31,12 +30,7 @@
     async def stream(
         self, address: str, method: str, payload: bytes
     ) -> AsyncGenerator[bytes, None]:
-        """Opens a stream and yields the answer's messages.
-
-        Raises:
-            PeerUnreachableError: there is no connection, or it broke before the end.
-            PeerFailureError: the peer answered with a failure.
-        """
+        """See :class:`Peers`."""
         link = await self._link(address)
         stream = link.open(method, payload)
         try:
@@ -50,7 +44,7 @@
             link.close_stream(stream)
 
     async def call(self, address: str, method: str, payload: bytes) -> bytes:
-        """See :class:`Peers`; without the cost of a generator."""
+        """See :class:`Peers`; overridden to avoid the cost of a generator."""
         link = await self._link(address)
         stream = link.open(method, payload)
         answer = b""
@@ -70,7 +64,7 @@
         if link is None or not link.is_open:
             return True
         link.doubt()
-        # Another call may have had it replaced a moment ago.
+        # Another call may have replaced the connection already.
         return link.is_suspected or link.connected_at_s > began_s
 
     async def close(self) -> None:
@@ -93,7 +87,7 @@
         return link
 
     def _replace(self, link: "_ClientLink", address: str) -> None:
-        """Gives a doubtful connection up; what waits on it may still get its answer."""
+        """Retires a suspected connection; open streams on it may still be answered."""
         if link.is_open:
             self.left_silent += 1
             eliot.log_message("peer.left_silent_connection", address=address)
@@ -113,7 +107,7 @@
 
 
 class _Stream:
-    """One stream on the asking side; None among its frames means that the connection broke."""
+    """One stream on the client side; a None frame means that the connection broke."""
 
     def __init__(self, number: int, opened_s: float) -> None:
         self.number = number
@@ -131,7 +125,7 @@
 
 
 class _ClientLink(PeerLink):
-    """One connection to a peer, on the asking side."""
+    """One connection to a peer, on the client side."""
 
     def __init__(self, clock: HybridClock) -> None:
         super().__init__(clock)
@@ -145,7 +139,7 @@
         return self.is_open and not self.is_suspected
 
     def doubt(self) -> None:
-        """Marks the connection where it worked once, and leaves a call alone for too long."""
+        """Suspects the connection if it has worked before and a call has waited too long."""
         for stream in self._stream_by_number.values():
             self._suspect_if_silent(stream)
 
@@ -160,7 +154,7 @@
             self.is_suspected = True
 
     def retire(self) -> None:
-        """Takes no more streams; closes once those that are open have ended."""
+        """Closes the connection once its open streams have ended."""
         self._is_retired = True
         self._close_if_done()
 
--- a/src/bayhinge/_internal/network/peer_link.py
+++ b/src/bayhinge/_internal/network/peer_link.py
@@ -1,12 +1,11 @@
-"""The link between hosts: many streams over one TCP connection to each peer.
+"""The link between hosts: many streams multiplexed over one TCP connection to each peer.
 
-A stream is opened with a method and a message. The peer answers with any number
-of data messages and one end or failure. Either side may break: a client that goes
-cancels its streams, and a lost connection fails all of them. An end may carry the last
-message, so that a call with one answer takes one frame each way.
+A stream is opened with a method and a message. The peer answers with any number of data messages
+and one END or FAIL frame. A client can cancel its streams, and a lost connection fails all of
+them. An END frame may carry the last message, so that a unary call takes one frame each way.
 
-Frames are taken where their bytes arrive, without readers or tasks between: a host of a
-large site makes some hundred calls a second, and each turn of the loop costs.
+Frames are handled directly in ``data_received``, without stream readers or tasks, to save event
+loop iterations: a host of a large site makes hundreds of calls per second.
 """
 
 import asyncio
@@ -22,12 +21,12 @@
 logger = logging.getLogger(__name__)
 
 TCP_USER_TIMEOUT_S = 1.0
-"""Sent bytes that stay without an acknowledgement for so long end a connection. A lost packet is
-sent again after 0.2 s and 0.6 s, so two losses in a row do not end one."""
+"""TCP user timeout; longer than the first two retransmissions (after 0.2 s and 0.6 s), so that two
+consecutive packet losses do not end a connection."""
 
 
 class PeerLink(asyncio.Protocol, ABC):
-    """One connection: frames in, frames out."""
+    """One connection that sends and receives frames."""
 
     def __init__(self, clock: HybridClock) -> None:
         self._clock = clock
--- a/src/bayhinge/_internal/network/peer_server.py
+++ b/src/bayhinge/_internal/network/peer_server.py
@@ -1,4 +1,4 @@
-"""The serving side of the link between hosts."""
+"""The server side of the links between hosts."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,10 +13,9 @@
 
 
 class PeerServer(PeerListener):
-    """Listens for peers and serves their streams."""
+    """Accepts connections of peers and serves their streams."""
 
     def __init__(self, address: str, handler: PeerHandler, clock: HybridClock) -> None:
-        """Takes the address to listen on and what handles the streams."""
         self._address = address
         self._handler = handler
         self._clock = clock
@@ -24,7 +23,7 @@
         self._connections: set[_ServerConnection] = set()
 
     async def start(self) -> str:
-        """Listens, and returns the address with its real port."""
+        """Starts listening; returns the address with the actual port."""
         host, port = split_address(self._address)
         self._server = await asyncio.get_running_loop().create_server(self._accept, host, port)
         bound: int = self._server.sockets[0].getsockname()[1]
@@ -45,7 +44,7 @@
 
 
 class _ServerConnection(PeerLink):
-    """One peer's connection, on the serving side."""
+    """One connection of a peer, on the server side."""
 
     def __init__(
         self,
--- a/src/bayhinge/_internal/network/peers.py
+++ b/src/bayhinge/_internal/network/peers.py
@@ -1,4 +1,4 @@
-"""The ways between hosts, as services see them."""
+"""Interfaces for the communication between hosts."""
 
 from abc import ABC, abstractmethod
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -7,26 +7,26 @@
 
 
 class PeerHandler(ABC):
-    """What a host does for its peers."""
+    """Serves the requests of peers."""
 
     @abstractmethod
     def handle(self, method: str, payload: bytes) -> AsyncIterator[bytes]:
         """Yields the answer's messages.
 
         Raises:
-            RefusedError: goes to the peer as a failure.
+            RefusedError: sent to the peer as a failure.
         """
 
 
 class AnsweringHandler(PeerHandler):
-    """For hosts whose every method has one message for an answer."""
+    """A handler whose methods all answer with one message."""
 
     @abstractmethod
     async def answer(self, method: str, payload: bytes) -> bytes:
-        """Returns the answer.
+        """Returns the answer's message.
 
         Raises:
-            RefusedError: goes to the peer as a failure.
+            RefusedError: sent to the peer as a failure.
         """
 
     async def handle(self, method: str, payload: bytes) -> AsyncIterator[bytes]:
@@ -35,10 +35,10 @@
 
 
 class Peers(ABC):
-    """The way to all other hosts.
+    """The client for requests to all other hosts.
 
     Attributes:
-        left_silent: connections that were left because they brought nothing any more.
+        left_silent: number of connections that were replaced because they were unresponsive.
     """
 
     left_silent = 0
@@ -57,16 +57,22 @@
         """Closes every connection."""
 
     def doubt(self, address: str, began_s: float) -> bool:
-        """Leaves a connection that brings nothing, because a call over it waits for too long.
+        """Reports that a call has waited too long; its connection is replaced if unresponsive.
 
-        Returns whether a call goes over a newer connection now than one that began at ``began_s``
-        on the loop's clock. Calls that wait on the old one go on waiting. A connection that never
-        brought anything is not left: then the peer is silent, and a new one would say no more.
+        Calls in flight keep waiting on the old connection. A connection that never received
+        anything is not replaced, since then the peer itself is unresponsive.
+
+        Args:
+            address: the peer's address.
+            began_s: when the call began, on the loop's clock.
+
+        Returns:
+            Whether a new call would use a newer connection than the one that began then.
         """
         return False
 
     async def call(self, address: str, method: str, payload: bytes) -> bytes:
-        """Opens a stream that has one message for an answer, and returns it.
+        """Makes a unary call: returns the one message of the answer.
 
         Raises:
             PeerUnreachableError: there is no connection, or it broke before the end.
@@ -79,11 +85,11 @@
 
 
 class PeerListener(ABC):
-    """Where other hosts reach this one."""
+    """Accepts requests of other hosts."""
 
     @abstractmethod
     async def start(self) -> str:
-        """Listens, and returns the address with its real port."""
+        """Starts listening; returns the address with the actual port."""
 
     @abstractmethod
     async def stop(self) -> None:
@@ -91,12 +97,12 @@
 
 
 class PeerNetwork(ABC):
-    """What connects hosts; tests put one in that needs no sockets."""
+    """The network between hosts; tests substitute one without sockets."""
 
     @abstractmethod
     def connect(self, clock: HybridClock) -> Peers:
-        """Returns the way to all other hosts."""
+        """Returns a client for requests to all other hosts."""
 
     @abstractmethod
     def listen(self, address: str, handler: PeerHandler, clock: HybridClock) -> PeerListener:
-        """Returns a listener that is not started yet."""
+        """Returns a listener, not yet started."""
--- a/src/bayhinge/_internal/network/request_reading.py
+++ b/src/bayhinge/_internal/network/request_reading.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests: keys, headers and bodies."""
+"""Parses callers' requests: keys, headers and bodies."""
 
 import math
 
@@ -28,25 +28,25 @@
 
 
 def read_key(headers: Headers) -> str:
-    """Returns the bearer key, or an empty text."""
+    """Returns the bearer key, or an empty string."""
     scheme, _, key = headers.get("Authorization", "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
 
 
 def read_index(headers: Headers) -> int | None:
-    """Returns the call's index, or None where the header is missing.
+    """Returns the call's index, or None if the header is missing.
 
     Raises:
-        RefusedError: it is no index.
+        RefusedError: the header is not a whole number.
     """
     return _whole(headers, CALL_HEADER)
 
 
 def read_offset(headers: Headers) -> int:
-    """Returns the characters of the answer that the caller has.
+    """Returns how many characters of the answer the caller has already received.
 
     Raises:
-        RefusedError: the header is no number.
+        RefusedError: the header is not a whole number.
     """
     return _whole(headers, LAST_EVENT_HEADER) or 0
 
@@ -55,7 +55,7 @@
     """Returns the caller's patience in seconds, at most the account's.
 
     Raises:
-        RefusedError: it is no number of seconds.
+        RefusedError: the header is not a number of seconds.
     """
     text = headers.get(PATIENCE_HEADER)
     if text is None:
@@ -70,10 +70,10 @@
 
 
 def read_mode(headers: Headers) -> MessagesMode:
-    """Returns what the message list holds.
+    """Returns the mode of the message list.
 
     Raises:
-        RefusedError: the header has another word.
+        RefusedError: the header is not one of the modes.
     """
     word = headers.get(MESSAGES_HEADER, MessagesMode.WHOLE.value).strip().lower()
     if word not in list(MessagesMode):
@@ -86,7 +86,7 @@
     """Returns the idempotency key, or None.
 
     Raises:
-        RefusedError: it is too long.
+        RefusedError: the key is too long.
     """
     key = headers.get(IDEMPOTENCY_HEADER)
     if key is not None and len(key) > MAX_IDEMPOTENCY_KEY:
@@ -97,7 +97,7 @@
 
 
 def forbids_repeat(headers: Headers) -> bool:
-    """True where the caller says that its call must not be repeated."""
+    """Returns whether the caller forbids repeating its call."""
     return headers.get(REPEATABLE_HEADER, "").strip().lower() in {"no", "false"}
 
 
@@ -105,7 +105,7 @@
     """Reads the whole body.
 
     Raises:
-        RefusedError: it is too large, or ended early.
+        RefusedError: the body is too large.
     """
     try:
         return await request.read()
--- a/src/bayhinge/_internal/network/routed_front.py
+++ b/src/bayhinge/_internal/network/routed_front.py
@@ -1,7 +1,7 @@
-"""The HTTP side of requests that are passed on along routes: raw in, raw out.
+"""The HTTP server for requests that are forwarded along routes, with raw headers and bodies.
 
-Only aiohttp's low-level server is imported: its applications and routing would cost 1.3 MB and
-a tenth of the time to start.
+Only aiohttp's low-level server is imported; its application framework would cost memory and
+start-up time.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
 
 MAX_HEADER_BYTES = 65_536
-"""Longest header line that is taken; the configuration's own limit is lower."""
+"""Longest header line that is accepted; the configured limit is lower."""
 
 TCP_USER_TIMEOUT_S = 2.0
-"""Bytes of an answer that stay without an acknowledgement for so long end the connection, and
-with it the work for it: callers leave a silent stream after two seconds."""
+"""TCP user timeout of callers' connections; their requests are then cancelled. Callers give up on a
+silent stream after the same time."""
 
 KEEPALIVE_TIMEOUT_S = 75.0
-"""Seconds that callers' idle connections stay open; longer than callers keep them."""
+"""Keep-alive timeout of callers' connections; longer than callers keep idle ones."""
 
 
 class BodyTooLongError(Exception):
@@ -35,10 +35,10 @@
 
 
 class Exchange:
-    """One request and the way its answer goes back."""
+    """One request and the methods to answer it."""
 
     def __init__(self, request: BaseRequest, closes: bool) -> None:
-        """Takes aiohttp's request; ``closes`` ends the connection after the answer."""
+        """Wraps a request; ``closes`` ends the connection after the answer."""
         self._request = request
         self._closes = closes
         self._response: StreamResponse | None = None
@@ -56,12 +56,12 @@
 
     @property
     def headers(self) -> RawHeaders:
-        """Every header as it was sent."""
+        """All headers as received."""
         return self._request.raw_headers
 
     @property
     def has_begun(self) -> bool:
-        """Whether a part of the answer has gone out."""
+        """Whether part of the answer has been sent."""
         return self._response is not None
 
     def closes_connection(self) -> None:
@@ -84,29 +84,29 @@
         return b"".join(pieces)
 
     async def respond(self, status: int, headers: RawHeaders, body: bytes) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer."""
         response = Response(status=status, body=body)
         await self._send_head(response, headers)
         await response.write_eof()
 
     async def begin(self, status: int, headers: RawHeaders) -> None:
-        """Sends the head of an answer that comes in pieces."""
+        """Sends the status and headers of a chunked answer."""
         response = StreamResponse(status=status)
         response.enable_chunked_encoding()
         await self._send_head(response, headers)
 
     async def write(self, piece: bytes) -> None:
-        """Sends a piece of the answer."""
+        """Sends a chunk of the answer."""
         assert self._response is not None
         await self._response.write(piece)
 
     async def finish(self) -> None:
-        """Marks the answer as whole."""
+        """Ends a chunked answer."""
         assert self._response is not None
         await self._response.write_eof()
 
     def break_off(self) -> None:
-        """Ends the connection, so that what was sent can't look whole."""
+        """Aborts the connection, so that the caller sees that the answer is incomplete."""
         if self._request.transport is not None:
             self._request.transport.abort()
 
@@ -120,7 +120,7 @@
 
 
 class _ServerWithTcpTimeouts(Server):
-    """aiohttp's server, with a bound on silence for each connection."""
+    """aiohttp's server with TCP timeouts on each connection."""
 
     def connection_made(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
         super().connection_made(handler, transport)
@@ -130,20 +130,19 @@
 
 
 class ExchangeHandler(ABC):
-    """What serves requests."""
+    """Serves requests."""
 
     @abstractmethod
     async def handle(self, exchange: Exchange) -> None:
-        """Serves one request; it is cancelled when the caller leaves."""
+        """Serves one request; cancelled when the caller disconnects."""
 
 
 class RoutedFront:
-    """A listening address."""
+    """An HTTP server on one address."""
 
     def __init__(
         self, address: str, handler: ExchangeHandler, sockets: EarlySockets | None = None
     ) -> None:
-        """Takes the address, what serves its requests, and sockets that may listen already."""
         self._sockets = sockets or EarlySockets()
         self._address = address
         self._handler = handler
@@ -156,7 +155,7 @@
         self.closes_connections = False
 
     async def start(self) -> str:
-        """Listens, and returns the address with its real port."""
+        """Starts listening; returns the address with the actual port."""
         loop = asyncio.get_running_loop()
         host, port = split_address(self._address)
         self._server = _ServerWithTcpTimeouts(
@@ -178,7 +177,7 @@
         return self._address
 
     def close_idle(self) -> None:
-        """Takes no new connections, and closes those that wait for nothing."""
+        """Stops listening and closes idle connections; busy ones close after their answer."""
         if self._listener is not None:
             self._listener.close()
         if self._server is None:
@@ -187,16 +186,16 @@
             if connection in self._busy:
                 connection.close()
             else:
-                # Closing politely would leave it open with nobody to read what comes.
+                # close() would leave an idle connection open without a reader.
                 connection.force_close()
 
     async def wait_until_idle(self, limit_s: float) -> None:
-        """Returns when no request is under way, or when the time is over."""
+        """Waits until no request is in progress, at most ``limit_s`` seconds."""
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._idle.wait(), max(0.0, limit_s))
 
     async def stop(self) -> None:
-        """Closes everything."""
+        """Stops listening and closes all connections."""
         self.close_idle()
         if self._server is not None:
             await self._server.shutdown(0.1)
@@ -210,7 +209,7 @@
         try:
             await self._handler.handle(exchange)
         except ConnectionError:
-            # The caller left while its answer was written; its connection is closed already.
+            # The caller disconnected while its answer was being written.
             exchange.break_off()
         finally:
             self._busy.discard(connection)
--- a/src/bayhinge/_internal/network/stream_splice.py
+++ b/src/bayhinge/_internal/network/stream_splice.py
@@ -1,9 +1,8 @@
-"""Joins the runs of one stream: a run that broke off, and those that go on behind its last event.
+"""Splices an interrupted event stream with the runs that resume it into one stream.
 
-Only whole events are passed on, so what a run left of an event that was cut is dropped, and the
-next run gives that event whole. Events bear rising numbers; one that was passed on already is
-passed over, and where events between the last one and a run's first are missing, nothing of that
-run goes on.
+Only complete events are forwarded: a partial event at the end of a run is dropped, and the next
+run sends it again. Event numbers increase. Events that were already forwarded are skipped, and if
+a run starts after a gap, none of it is forwarded.
 """
 
 import attrs
@@ -13,10 +12,10 @@
 
 @attrs.frozen
 class Spliced:
-    """What one piece of a run adds to the stream: its events, and their bytes as they came.
+    """The events to forward for one piece of a run, and their raw bytes.
 
     Attributes:
-        gap: why nothing behind these events can go on, or None.
+        gap: the reason why no later event of the run can be forwarded, or None.
     """
 
     events: tuple[StreamEvent, ...] = ()
@@ -25,19 +24,18 @@
 
 
 class StreamSplice:
-    """One stream, made of one or more runs.
+    """One stream, spliced from one or more runs.
 
     Attributes:
-        last: the number of the newest event that was passed on or that the caller has, or None.
-        first_forwarded_by: the run that passed the answer's first event on, or None.
-        last_forwarded_by: the run whose event was the newest that was passed on, or None.
+        last: the number of the last event that was forwarded or that the caller has, or None.
+        first_forwarded_by: the run that forwarded the first event of the answer, or None.
+        last_forwarded_by: the run that forwarded the last event, or None.
         is_consecutive: whether each event's number is one more than the previous one's; None until
             two events have been seen.
-        all_numbered: every event so far bore a number.
+        all_numbered: whether every event so far had a number.
     """
 
     def __init__(self, resume_after: int | None = None) -> None:
-        """Takes the newest event that the caller has already."""
         self.last = resume_after
         self.first_forwarded_by: StreamRun | None = None
         self.last_forwarded_by: StreamRun | None = None
@@ -46,47 +44,45 @@
 
     @property
     def may_go_on(self) -> bool:
-        """Whether another run can be joined: every event so far bore a number."""
+        """Whether another run can resume the stream."""
         return self.all_numbered
 
     def begin_run(self) -> "StreamRun":
-        """Returns the next run, which knows nothing of the bytes of those before it."""
+        """Returns the next run."""
         return StreamRun(self)
 
 
 class StreamRun:
     """One run of a stream.
 
-    A run's bytes are read by a reader of its own, and its end ends the reader, whether or not
-    anything has gone out. Bytes that stay behind in a shared reader would stand in front of the
-    next run's first event.
+    Each run has its own event reader, so that a partial event of one run is not prepended to the
+    first event of the next.
     """
 
     def __init__(self, splice: StreamSplice) -> None:
-        """Takes the stream that it is a run of."""
         self._splice = splice
         self._reader = EventReader()
         self._deferred: list[tuple[bytes, StreamEvent | None]] = []
 
     @property
     def is_between_events(self) -> bool:
-        """Whether the last piece ended with an event's end."""
+        """Whether the last piece ended at the end of an event."""
         return self._reader.is_between_events
 
     @property
     def cut_bytes(self) -> int:
-        """Bytes of an event whose end has not come."""
+        """Bytes received of an incomplete event."""
         return self._reader.cut_bytes
 
     def feed(self, piece: bytes) -> Spliced:
-        """Takes a piece of the run, cut anywhere; returns what goes on to the caller."""
+        """Processes a piece of the run, split anywhere; returns what to forward to the caller."""
         forwarded: list[tuple[bytes, StreamEvent | None]] = []
         gap = None
         for text, event in self._reader.feed_blocks(piece):
             gap = self._process_block(text, event, forwarded)
             if gap is not None:
                 break
-        # What came in front of a gap counts as passed on, so it does go on.
+        # Events before a gap are recorded as forwarded, so they must be returned.
         return Spliced(
             tuple(event for _, event in forwarded if event is not None),
             b"".join(text for text, _ in forwarded),
@@ -94,7 +90,7 @@
         )
 
     def end(self) -> Spliced:
-        """Takes the run's whole end; an event that is still held back may have missing ones."""
+        """Processes the complete end of the run; a deferred event then counts as a gap."""
         deferred = self._deferred_event()
         if deferred is None:
             return Spliced()
@@ -106,7 +102,7 @@
         event: StreamEvent | None,
         forwarded: list[tuple[bytes, StreamEvent | None]],
     ) -> str | None:
-        """Adds to ``forwarded`` what goes on; returns why nothing more does, or None."""
+        """Adds a block to ``forwarded`` if it is due; returns the reason for a gap, or None."""
         if event is None:
             (self._deferred or forwarded).append((text, None))
             return None
@@ -123,7 +119,7 @@
     ) -> str | None:
         splice = self._splice
         if self._is_joined or self._deferred:
-            return "an event without a number behind a run that broke off"
+            return "an event without a number after an interrupted run"
         splice.all_numbered = False
         self._record_forwarded()
         forwarded.append((text, event))
@@ -138,12 +134,12 @@
     ) -> str | None:
         splice = self._splice
         if self._is_joined and not splice.all_numbered:
-            return f"event {number} behind one without a number"
+            return f"event {number} follows one without a number"
         if splice.last is not None and number <= splice.last:
             return None
         if splice.last is not None and number != splice.last + 1:
             if splice.first_forwarded_by is self:
-                # An endpoint that leaves numbers out by itself counts in another way.
+                # A gap within one run shows that this endpoint does not number consecutively.
                 splice.is_consecutive = False
             elif splice.is_consecutive:
                 return f"event {number} follows event {splice.last}"
@@ -162,7 +158,7 @@
         event: StreamEvent,
         forwarded: list[tuple[bytes, StreamEvent | None]],
     ) -> str | None:
-        """Decides on an event that was held back, by how the next one's number differs."""
+        """Decides whether a deferred event follows a gap, by the number of the next event."""
         splice = self._splice
         assert deferred.number is not None
         assert event.number is not None
@@ -195,7 +191,7 @@
 
     @property
     def _is_joined(self) -> bool:
-        """Whether events of another run of this answer went on before this one's."""
+        """Whether the last forwarded event came from another run."""
         return self._splice.last_forwarded_by not in {None, self}
 
     def _deferred_event(self) -> StreamEvent | None:
--- a/src/bayhinge/_internal/network/tcp_peers.py
+++ b/src/bayhinge/_internal/network/tcp_peers.py
@@ -1,4 +1,4 @@
-"""Hosts connected over TCP."""
+"""The network between hosts over TCP."""
 
 from bayhinge._internal.network.peer_client import PeerClient
 from bayhinge._internal.network.peer_server import PeerServer
@@ -7,10 +7,9 @@
 
 
 class TcpPeerNetwork(PeerNetwork):
-    """Hosts connected over TCP."""
+    """The :class:`PeerNetwork` over TCP."""
 
     def __init__(self, connect_s: float) -> None:
-        """Takes the time to connect, in seconds."""
         self._connect_s = connect_s
 
     def connect(self, clock: HybridClock) -> Peers:
--- a/src/bayhinge/_internal/platform/disk_program.py
+++ b/src/bayhinge/_internal/platform/disk_program.py
@@ -19,7 +19,6 @@
     """A disk host with the platform's requests to empty it."""
 
     def __init__(self, settings: SiteSettings) -> None:
-        """Takes the settings."""
         super().__init__()
         self._store = PlatformObjects(settings.store_address)
         self._disk = DiskHost(settings, self._store)
--- a/src/bayhinge/_internal/platform/entry_calls.py
+++ b/src/bayhinge/_internal/platform/entry_calls.py
@@ -21,7 +21,6 @@
     """Answers both calls, on whichever address they come."""
 
     def __init__(self, gateway: Gateway) -> None:
-        """Takes the host that is asked about."""
         self._gateway = gateway
 
     async def handle(self, exchange: Exchange) -> None:
--- a/src/bayhinge/_internal/platform/entry_program.py
+++ b/src/bayhinge/_internal/platform/entry_program.py
@@ -25,7 +25,6 @@
     """An entry host with the platform's calls to it."""
 
     def __init__(self, settings: SiteSettings, sockets: EarlySockets | None = None) -> None:
-        """Takes the settings, and sockets that listen already."""
         super().__init__()
         sockets = sockets or EarlySockets()
         store = PlatformObjects(settings.store_address)
--- a/src/bayhinge/_internal/platform/retirements.py
+++ b/src/bayhinge/_internal/platform/retirements.py
@@ -24,7 +24,6 @@
     """Passes requests for this host on to it, and reports how far it is."""
 
     def __init__(self, store: PlatformObjects, disk: DiskHost) -> None:
-        """Takes the store and the host."""
         self._store = store
         self._disk = disk
         self._task: asyncio.Task[None] | None = None
--- a/src/bayhinge/_internal/status_codes.py
+++ b/src/bayhinge/_internal/status_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of both programs, and HTTP status codes that are used by name."""
+"""Exit codes of the daemon and the tool, and HTTP status codes."""
 
 EXIT_OK = 0
 EXIT_FAILURE = 1
--- a/src/bayhinge/_internal/utils/__init__.py
+++ b/src/bayhinge/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers that know nothing of the rest."""
+"""General helpers that don't depend on other packages of the project."""
--- a/src/bayhinge/_internal/utils/durable_files.py
+++ b/src/bayhinge/_internal/utils/durable_files.py
@@ -1,14 +1,14 @@
-"""Small files on a disk that may lose its power at any moment."""
+"""Writes small files that survive a power loss."""
 
 import os
 from pathlib import Path
 
 
 def write_synced(path: Path, data: bytes) -> None:
-    """Writes a file that lasts; it is not whole if the power goes meanwhile.
+    """Writes and syncs a file; a power loss during the call may leave it incomplete.
 
     Raises:
-        OSError: the disk refused, or took a part of it.
+        OSError: the write failed or was partial.
     """
     file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
     try:
@@ -21,7 +21,7 @@
 
 
 def replace_synced(path: Path, data: bytes) -> None:
-    """Replaces a file so that after a power loss either the old or the new one is whole."""
+    """Replaces a file atomically: after a power loss either the old or the new one is intact."""
     temporary = path.with_suffix(".fresh")
     write_synced(temporary, data)
     temporary.replace(path)
--- a/src/bayhinge/_internal/utils/early_sockets.py
+++ b/src/bayhinge/_internal/utils/early_sockets.py
@@ -1,29 +1,28 @@
-"""Sockets that listen before their program is loaded. Imports nothing that takes time.
+"""Sockets that listen while their program is still loading.
 
-A host that starts needs most of its time for its imports. A caller that comes meanwhile to a port
-where nobody listens is refused, which costs it one of few tries; the queue of a listening socket
-keeps it until the host can serve.
+Imports take most of a host's start-up time. Meanwhile connections wait in the accept queue of
+these sockets; without them callers would be refused and use up retries. This module must
+therefore not import anything slow.
 """
 
 import socket
 
 BACKLOG = 512
-"""Connections that may wait: a caller that finds the queue full comes back after a second."""
+"""Accept queue length; if it is full, callers' connection attempts are retried after a second."""
 
 
 class EarlySockets:
-    """Listening sockets by address, until their servers take them over."""
+    """Listening sockets by address, until servers claim them."""
 
     def __init__(self) -> None:
-        """Starts with none."""
         self._socket_by_address: dict[str, socket.socket] = {}
 
     def open(self, address: str) -> None:
         """Listens at ``ip:port``.
 
         Raises:
-            OSError: the address can't be listened at.
-            ValueError: it is no address.
+            OSError: the address can't be bound.
+            ValueError: the port is not a number.
         """
         host, _, port = address.rpartition(":")
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -38,10 +37,10 @@
         self._socket_by_address[address] = listener
 
     def take(self, address: str) -> socket.socket | None:
-        """Returns the socket of an address to the server that goes on with it."""
+        """Removes and returns the socket of an address; its server now owns it."""
         return self._socket_by_address.pop(address, None)
 
     def close(self) -> None:
-        """Closes what nobody took over."""
+        """Closes the sockets that were not claimed."""
         while self._socket_by_address:
             self._socket_by_address.popitem()[1].close()
--- a/src/bayhinge/_internal/utils/http_session.py
+++ b/src/bayhinge/_internal/utils/http_session.py
@@ -1,8 +1,8 @@
-"""HTTP sessions that never send a request twice by themselves.
+"""HTTP sessions without aiohttp's automatic retries.
 
-aiohttp repeats GET, PUT, DELETE and their like once when a connection breaks before the
-answer. For bayhinge a repeat is a decision: an action would run twice, and a conditional
-write would find its own first copy and report a conflict.
+aiohttp retries idempotent methods once if a connection breaks before the answer. Here the caller
+decides on retries: an action could run twice, and a conditional write could conflict with its own
+first attempt.
 """
 
 import math
@@ -14,8 +14,8 @@
 from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
 
 TCP_USER_TIMEOUT_S = 2.0
-"""Sent bytes that stay without an acknowledgement for so long end a connection. Calls bound
-themselves; this is for those that wait for long, such as a watch."""
+"""TCP user timeout of connections; it matters for long waits such as watches, since ordinary calls
+have shorter timeouts."""
 
 
 def call_timeout(
@@ -24,11 +24,9 @@
     sock_connect_s: float | None = None,
     sock_read_s: float | None = None,
 ) -> aiohttp.ClientTimeout:
-    """Returns the bounds of a call, in seconds; None is no bound.
+    """Returns the timeouts of a call, in seconds; None means no timeout.
 
-    By itself aiohttp rounds the end of bounds above 5 s up to a whole second of the clock: calls
-    with a bound of 5.7 s took 5.87 to 6.67 s (six on loopback), and what began within one second
-    ended in one moment. A bound here ends when it says.
+    Disables aiohttp's rounding of timeouts above 5 s up to a whole second of the clock.
     """
     return aiohttp.ClientTimeout(
         total=total_s,
@@ -39,14 +37,14 @@
 
 
 class BrokenConnectionError(aiohttp.ClientError):
-    """A connection broke after the request may have been sent; aiohttp leaves this one alone."""
+    """A connection broke after the request may have been sent; aiohttp does not retry this type."""
 
 
 async def _disable_retries(request: ClientRequest, handler: ClientHandlerType) -> ClientResponse:
     try:
         return await handler(request)
     except aiohttp.ClientConnectorError:
-        # Nothing was sent, and aiohttp does not repeat these.
+        # Nothing was sent, and aiohttp does not retry these.
         raise
     except (aiohttp.ClientOSError, aiohttp.ServerDisconnectedError) as error:
         raise BrokenConnectionError(str(error) or type(error).__name__) from error
@@ -60,7 +58,7 @@
 
 
 def open_session() -> aiohttp.ClientSession:
-    """Opens a session without limits on connections: queueing is done elsewhere, and seen."""
+    """Opens a session without a connection limit, since requests are queued elsewhere."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, socket_factory=_open_socket),
         middlewares=(_disable_retries,),
--- a/src/bayhinge/_internal/utils/ini.py
+++ b/src/bayhinge/_internal/utils/ini.py
@@ -1,4 +1,4 @@
-"""INI texts with the line of each section and key, for findings with their place."""
+"""Parses INI texts and keeps the line number of each section and key for findings."""
 
 import configparser
 import re
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class IniProblem:
-    """A text that is no INI."""
+    """A syntax error in an INI text."""
 
     line: int
     problem: str
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class IniValue:
-    """A value with the line of its key."""
+    """A value and the line of its key."""
 
     text: str
     line: int
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class IniSection:
-    """A section: its line and its values by key."""
+    """A section with its line and its values by key."""
 
     name: str
     line: int
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class IniDocument:
-    """A whole text: its sections by name, in order."""
+    """A parsed text: sections by name, in order."""
 
     sections_by_name: dict[str, IniSection]
 
@@ -56,19 +56,19 @@
 
 
 def parse_ini(text: str) -> Result[IniDocument, IniProblem]:
-    """Reads an INI text with the standard library's parser; no interpolation."""
+    """Parses an INI text, without interpolation."""
     parser = configparser.ConfigParser(interpolation=None, default_section="\0")
     try:
         parser.read_string(text)
     except configparser.MissingSectionHeaderError as error:
-        return Error(IniProblem(error.lineno, "a value stands before the first section"))
+        return Error(IniProblem(error.lineno, "there is a value before the first section"))
     except configparser.ParsingError as error:
         line = error.errors[0][0] if error.errors else 0
         return Error(IniProblem(line, "this line is neither a section nor 'key = value'"))
     except configparser.DuplicateOptionError as error:
-        return Error(IniProblem(error.lineno or 0, f"key '{error.option}' stands twice"))
+        return Error(IniProblem(error.lineno or 0, f"key '{error.option}' occurs twice"))
     except configparser.DuplicateSectionError as error:
-        return Error(IniProblem(error.lineno or 0, f"section '{error.section}' stands twice"))
+        return Error(IniProblem(error.lineno or 0, f"section '{error.section}' occurs twice"))
     lines = _lines(text)
     sections = {
         name: IniSection(
--- a/src/bayhinge/_internal/utils/log_output.py
+++ b/src/bayhinge/_internal/utils/log_output.py
@@ -1,7 +1,7 @@
-"""Where log lines go: standard output, bounded, and never waited for.
+"""Non-blocking log output to standard output, with a bounded buffer.
 
-A reader that stalls must not hold a request up. Lines that find no room are counted, and
-the count is written as soon as there is room again.
+A stalled reader must not delay requests. Lines that don't fit into the buffer are dropped and
+counted, and the count is logged once there is room again.
 """
 
 import asyncio
@@ -14,31 +14,30 @@
 import orjson
 
 BUFFER_BYTES = 262_144
-"""Lines that wait for a stalled reader; about two seconds of a busy host."""
+"""Size of the buffer for a stalled reader."""
 
 
 ORDINARY_PER_SECOND = 100
-"""Lines of ordinary successes that are written in a second; further ones are counted."""
+"""Rate limit for log lines of ordinary successes; further lines are dropped and counted."""
 
 ORDINARY_TYPES = frozenset({"request.served"})
 
 
 _UNUSED = frozenset({"task_uuid", "task_level"})
-"""What eliot adds to nest actions; these lines stand alone."""
+"""Fields that eliot adds to nest actions; actions are not used here."""
 
 
 class LineBudget:
-    """How many ordinary lines may still be written in the second that runs."""
+    """Rate limit for log lines, per second."""
 
     def __init__(self, per_second: int) -> None:
-        """Takes the lines that one second may have."""
         self._per_second = per_second
         self._second = 0
         self._left = per_second
         self.thinned = 0
 
     def takes(self, now_s: float) -> bool:
-        """Tells whether one more line may be written, and counts it."""
+        """Counts a line and returns whether it may be written."""
         if int(now_s) != self._second:
             self._second = int(now_s)
             self._left = self._per_second
@@ -52,12 +51,12 @@
 class LogOutput:
     """An eliot destination on a file descriptor.
 
-    Ordinary successes are thinned first; refusals, failures and changes of belief stay as
-    long as there is room.
+    Lines of ordinary successes are rate limited and dropped first; other lines are dropped only if
+    the buffer is full.
     """
 
     def __init__(self, descriptor: int, host: str = "") -> None:
-        """Takes the descriptor, which becomes non-blocking where it can, and the host's name."""
+        """Makes the descriptor non-blocking; ``host`` is added to each line unless empty."""
         self._descriptor = descriptor
         self._host = {"host": host} if host else {}
         self.ordinary = LineBudget(ORDINARY_PER_SECOND)
@@ -70,7 +69,7 @@
         os.set_blocking(descriptor, False)
 
     def __call__(self, message: Mapping[str, Any]) -> None:
-        """Takes one message; see eliot's destinations."""
+        """Writes or buffers one eliot message."""
         if message.get("message_type") in ORDINARY_TYPES and not self._admits_ordinary():
             return
         fields = {name: value for name, value in message.items() if name not in _UNUSED}
@@ -88,7 +87,7 @@
             self.flush()
 
     def _admits_ordinary(self) -> bool:
-        # Half of the buffer is kept for what matters more.
+        # Half of the buffer is reserved for other lines.
         has_room = self._waiting_bytes < BUFFER_BYTES // 2
         if has_room and self.ordinary.takes(time.monotonic()):
             return True
@@ -97,7 +96,7 @@
         return False
 
     def flush(self) -> None:
-        """Writes what the reader takes now."""
+        """Writes as many buffered lines as possible without blocking."""
         while self._waiting:
             line = self._waiting[0]
             try:
@@ -106,7 +105,7 @@
                 self._watch()
                 return
             except OSError:
-                # Nobody reads any more: what waits can't be delivered, and is counted.
+                # The reader has closed the pipe.
                 self._drop_waiting()
                 break
             self._waiting_bytes -= written
@@ -122,7 +121,7 @@
         self._waiting.clear()
         self._waiting_bytes = 0
         if self._is_within_line:
-            # The next line must not stand behind the beginning of one that was dropped.
+            # Ends the partly written line, so that the next one starts on a line of its own.
             self._enqueue(b"\n")
 
     def _enqueue(self, line: bytes) -> None:
@@ -133,7 +132,7 @@
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
-            # Before and after the loop runs: the next line tries again.
+            # No loop is running; writing is retried with the next line.
             return
         if not self._is_watched():
             loop.add_writer(self._descriptor, self.flush)
@@ -145,5 +144,5 @@
         self._watching = None
 
     def _is_watched(self) -> bool:
-        """Whether a loop that still runs writes on as soon as there is room."""
+        """Whether an open event loop will flush once the descriptor is writable."""
         return self._watching is not None and not self._watching.is_closed()
--- a/src/bayhinge/_internal/utils/running_time.py
+++ b/src/bayhinge/_internal/utils/running_time.py
@@ -1,4 +1,4 @@
-"""Bounds that count only the time in which this process could have noticed an answer."""
+"""Timeouts that tolerate stalls of the event loop."""
 
 import asyncio
 from collections.abc import AsyncIterator, Iterable
@@ -10,21 +10,19 @@
 Result = TypeVar("Result")
 
 STEPS = 8
-"""Parts of a bound. However long the loop stands still, one part is used up by it, and the loop
-turns at least so often before the bound ends: an answer that waits in the socket is read and handed
-on within four turns."""
+"""Slices of a timeout. A stall of any length uses up at most one slice, and the loop runs at least
+this many iterations before the timeout; an answer in the socket is delivered within four."""
 
 
 @asynccontextmanager
 async def running_timeout(limit_s: float | None) -> AsyncIterator[None]:
-    """Bounds what runs inside to ``limit_s`` seconds of this loop's running time; None is no bound.
+    """Limits the body to ``limit_s`` seconds in which the loop was not stalled; None is no limit.
 
-    A timer that is overdue fires in the turn in which an answer is read, before the answer is
-    handed on. With an ordinary bound, a process that stood still for longer than the bound takes
-    its peer for silent, though the answer had come.
+    With an ordinary timeout, a process that stalls for longer than the timeout would report a
+    timeout although the answer has arrived, since overdue timers fire before the answer is read.
 
     Raises:
-        TimeoutError: the bound has ended.
+        TimeoutError: the time is up.
     """
     if limit_s is None:
         yield
@@ -40,7 +38,7 @@
 
 @attrs.define
 class _TimeoutSlices:
-    """What is left of a bound; a part begins when this loop has noticed the last one's end."""
+    """The remaining slices of a timeout; each starts when the loop sees the previous one end."""
 
     _bound: asyncio.Timeout
     _slice_s: float
@@ -61,21 +59,20 @@
 
 
 class RunningBound:
-    """A bound on several waits after each other, as that of :func:`running_timeout`.
+    """A time limit over several successive waits; see :func:`running_timeout`.
 
     Attributes:
-        left_s: what is left of it, in seconds of this loop's running time.
+        left_s: the remaining time in seconds, not counting stalls of the loop.
     """
 
     def __init__(self, limit_s: float) -> None:
-        """Takes the bound in seconds."""
         self.left_s = limit_s
         self._slice_s = limit_s / STEPS
 
     async def first_of(
         self, waiting: Iterable[asyncio.Task[Result]]
     ) -> tuple[set[asyncio.Task[Result]], set[asyncio.Task[Result]]]:
-        """Waits until one has finished or the bound ends; returns the finished, and the others."""
+        """Waits until a task finishes or the time is up; returns the done and the pending tasks."""
         loop = asyncio.get_running_loop()
         finished: set[asyncio.Task[Result]] = set()
         left = set(waiting)
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -59,7 +59,7 @@
         ("host.ini:18 [pool agent-llm] modles", "unknown key"),
         ("host.ini:17 [pool agent-llm] models", "missing"),
         ("host.ini:23 [service Bad Name]", "needs a name"),
-        ("host.ini:27 [membership] dead_after_seconds", "less than two beats"),
+        ("host.ini:27 [membership] dead_after_seconds", "less than two heartbeat intervals"),
     ]
     for place, problem in expected:
         assert any(line.startswith(place) and problem in line for line in findings), (
@@ -73,8 +73,8 @@
     ("text", "problem"),
     [
         ("name = x\n", "before the first section"),
-        ("[host]\nname = x\nname = y\n", "stands twice"),
-        ("[host]\n[host]\n", "stands twice"),
+        ("[host]\nname = x\nname = y\n", "occurs twice"),
+        ("[host]\n[host]\n", "occurs twice"),
         ("[host]\nwhat is this\n", "neither a section"),
     ],
 )
