--- a/src/bayhinge/_internal/network/endpoint_link.py
+++ b/src/bayhinge/_internal/network/endpoint_link.py
@@ -27,7 +27,7 @@
     UnreachableError,
 )
 from bayhinge._internal.utils.running_time import running_timeout
-from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
+from bayhinge._internal.utils.silence import set_tcp_timeouts
 
 READ_BUFFER_BYTES = 65_536
 """Buffer size of a body; beyond it reading from the endpoint is paused."""
--- a/src/bayhinge/_internal/network/peer_link.py
+++ b/src/bayhinge/_internal/network/peer_link.py
@@ -14,7 +14,7 @@
 
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.network.frames import FrameSplitter, encode_frame
-from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
+from bayhinge._internal.utils.silence import set_tcp_timeouts
 from bayhinge._internal.wire.frames.ttypes import Frame, FrameKind
 from bayhinge.coordination.clock import HybridClock
 
--- a/src/bayhinge/_internal/network/routed_front.py
+++ b/src/bayhinge/_internal/network/routed_front.py
@@ -17,7 +17,7 @@
 from bayhinge._internal.models.routed_requests import RawHeaders
 from bayhinge._internal.network.addresses import split_address
 from bayhinge._internal.utils.early_sockets import BACKLOG, EarlySockets
-from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
+from bayhinge._internal.utils.silence import set_tcp_timeouts
 
 MAX_HEADER_BYTES = 65_536
 """Longest header line that is accepted; the configured limit is lower."""
--- a/src/bayhinge/_internal/platform/__init__.py
+++ b/src/bayhinge/_internal/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translates between the users' platform and the product; it decides nothing.
+"""Adapters between the users' platform and the scheduler, without scheduling logic.
 
-Only this package knows the platform's names: fields of its settings file, kinds of objects,
-headers and paths. Nothing imports it but the programs that it starts.
+Only this package knows the platform's names: fields of its settings file, object kinds, headers
+and paths. It is imported only by its own entry point.
 """
--- a/src/bayhinge/_internal/platform/__main__.py
+++ b/src/bayhinge/_internal/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bayhinge._internal.platform entry|disk``: a host on the platform."""
+"""Entry point ``python -m bayhinge._internal.platform entry|disk`` of a host on the platform."""
 
 import gc
 import os
@@ -8,21 +8,20 @@
 
 
 def main() -> int:
-    """Starts one program with the settings file that the platform names."""
-    # aiohttp reads the machine's certificates when it is imported: 60 of the 320 ms that a host
-    # needs to start, and a megabyte. These programs speak plain HTTP alone.
+    """Runs the entry or disk program; returns its exit status."""
+    # aiohttp loads the CA certificates on import, which costs time and memory at start-up; these
+    # programs use plain HTTP only.
     os.environ.setdefault("SSL_CERT_FILE", EMPTY)
     os.environ.setdefault("SSL_CERT_DIR", EMPTY)
-    # What is imported stays; looking through it for garbage took 0.07 of 0.42 s of processor time
-    # (medians of 25 starts, taken by turns).
+    # Imported objects are never freed, so collecting garbage during imports only costs time.
     gc.disable()
     from bayhinge._internal.platform.unused_libraries import stub_unused_libraries
 
     stub_unused_libraries()
     from bayhinge._internal.platform.early_listening import listen_early
 
-    # 0.3 s before the host can serve: after a loss of all power, callers wait in place of being
-    # refused at every host that they try.
+    # Listens before the slow imports, so that callers wait instead of being refused while many
+    # hosts start at once, such as after a power loss.
     sockets = listen_early() if sys.argv[1:] == ["entry"] else None
     from bayhinge._internal.platform.programs import run
 
--- a/src/bayhinge/_internal/platform/call_format.py
+++ b/src/bayhinge/_internal/platform/call_format.py
@@ -1,4 +1,4 @@
-"""Headers of calls: decoded once into the product's types, and encoded again."""
+"""Conversion between the platform's HTTP headers and the types of the models package."""
 
 import math
 
@@ -29,8 +29,7 @@
 ACCOUNT = b"bayhinge-tenant"
 
 MAX_COUNT = 2**53
-"""Larger counts of tokens or events are taken as this many, so that their sums stay whole numbers
-of 64 bits on every host."""
+"""Larger counts of tokens or events are clamped to this, so that sums fit into 64 bits."""
 
 RESERVED_HEADERS = frozenset(
     {
@@ -47,7 +46,7 @@
         ACCOUNT,
     }
 )
-"""What a caller must not set: the system speaks to endpoints with these."""
+"""Headers that are removed from callers' requests because they are set here for endpoints."""
 
 HOP_BY_HOP_HEADERS = frozenset(
     {
@@ -62,7 +61,7 @@
         b"expect",
     }
 )
-"""What concerns one connection alone, and the length, which is written anew."""
+"""Hop-by-hop headers, and Content-Length, which is set anew."""
 
 _TURN = RequestField.TURN
 _RESUME = RequestField.RESUME
@@ -160,7 +159,7 @@
 
 
 def _key_sha256(credentials: RawHeaders) -> str | None:
-    """Returns the digest of the caller's key; None where it is not sure which one it means."""
+    """Returns the digest of the caller's bearer key, or None unless there is exactly one."""
     if len(credentials) != 1:
         return None
     scheme, _, key = credentials[0][1].strip().partition(b" ")
@@ -188,15 +187,15 @@
 def _count(
     value: bytes | None, name: str, field: RequestField, findings: list[HeaderFinding]
 ) -> int | None:
-    """Decodes a whole number; another value leaves None and a finding."""
+    """Parses a whole number; an invalid value yields None and adds a finding."""
     if value is None:
         return None
     text = value.strip()
     if text.isdigit():
-        # Longer ones are not decoded at all: the time for that grows with their square.
+        # Long digit strings are not parsed, since int() takes quadratic time.
         return MAX_COUNT if len(text) > _MAX_DIGITS else min(MAX_COUNT, int(text))
     shown = text[:_MAX_SHOWN_BYTES].decode("latin-1")
-    findings.append(HeaderFinding(field, f"{name}: '{shown}' is no whole number"))
+    findings.append(HeaderFinding(field, f"{name}: '{shown}' is not a whole number"))
     return None
 
 
@@ -209,7 +208,7 @@
     _, _, most = usage.partition(b",")
     most_tokens = _count(most or None, "Bayhinge-Token-Usage", _TURN, findings)
     if most_tokens is None and budget is not None and not findings:
-        why = "Bayhinge-Token-Usage: a turn with a budget must say how many tokens it emits at most"
+        why = "Bayhinge-Token-Usage: a turn with a token budget must state its output token limit"
         findings.append(HeaderFinding(_TURN, why))
     previous = value_by_name.get(PREVIOUS)
     return TurnContext(
--- a/src/bayhinge/_internal/platform/disk_program.py
+++ b/src/bayhinge/_internal/platform/disk_program.py
@@ -1,4 +1,4 @@
-"""The program of a disk host: the product's host with the platform's requests to empty it."""
+"""The disk program: a disk host that also follows the platform's retirement requests."""
 
 from mode import Service
 
@@ -10,13 +10,12 @@
 from bayhinge._internal.services.key_follower import KeyFollower
 
 RETIREMENT_WAIT_S = 6.0
-"""Wait of one watch call for retirements. A watch that hung through an outage that its disk did not
-notice is found at its end, and a disk is to be emptied within seconds. Against a wait of 20 s it
-costs 0.12 calls a second more for each disk."""
+"""Long-poll time of one watch call for retirements. Short, because a watch that hangs through an
+outage is only detected at its end, and retirements should start within seconds."""
 
 
 class DiskProgram(Service):
-    """A disk host with the platform's requests to empty it."""
+    """A disk host that follows the platform's retirement requests."""
 
     def __init__(self, settings: SiteSettings) -> None:
         super().__init__()
@@ -31,7 +30,7 @@
         )
 
     async def on_start(self) -> None:
-        """Starts the host and follows requests to empty it."""
+        """Starts the host and follows retirement requests."""
         await self._disk.start()
         self.add_future(keep_running("follow retirements", self._follower.run))
 
--- a/src/bayhinge/_internal/platform/early_listening.py
+++ b/src/bayhinge/_internal/platform/early_listening.py
@@ -1,4 +1,4 @@
-"""Listens for callers before the host's program is loaded."""
+"""Opens the listening sockets for callers before the host's program is loaded."""
 
 import os
 import sys
@@ -10,14 +10,13 @@
 SETTINGS_VARIABLE = "BAYHINGE_NODE_FILE"
 
 EARLY_LISTEN_KEYS = ("frontend", "directory")
-"""Not the address of readiness: a host that is loading must not count as ready."""
+"""Listening addresses to open early; not the readiness address, as a loading host is not ready."""
 
 
 def listen_early() -> EarlySockets:
-    """Listens at the addresses that the settings name.
+    """Listens at the addresses in the settings file.
 
-    Anything that is wrong is left to the program itself, which reads the settings with care and
-    says what to mend.
+    Errors are only printed, since the program itself validates the settings and reports findings.
     """
     sockets = EarlySockets()
     try:
--- a/src/bayhinge/_internal/platform/entry_calls.py
+++ b/src/bayhinge/_internal/platform/entry_calls.py
@@ -1,4 +1,4 @@
-"""The platform's own calls to an entry host: readiness, and where callers should go."""
+"""HTTP endpoints of an entry host for the platform: readiness, address lookup and metrics."""
 
 from urllib.parse import parse_qs
 
@@ -18,7 +18,7 @@
 
 
 class EntryCalls(ExchangeHandler):
-    """Answers both calls, on whichever address they come."""
+    """Serves readiness, address lookup and metrics, on any of their addresses."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
@@ -31,7 +31,7 @@
             status = status_codes.HTTP_OK if ready else status_codes.HTTP_UNAVAILABLE
             await exchange.respond(status, (), b"")
         elif path == METRICS_PATH:
-            # Loaded when first asked for: most hosts are looked at rarely, memory is paid for.
+            # Imported on first use, to save memory on hosts whose metrics are not scraped.
             from bayhinge._internal.services.gateway.figures import entry_metrics
 
             await exchange.respond(status_codes.HTTP_OK, _TEXT, entry_metrics(self._gateway))
--- a/src/bayhinge/_internal/platform/entry_program.py
+++ b/src/bayhinge/_internal/platform/entry_program.py
@@ -1,4 +1,4 @@
-"""The program of an entry host: the product's host with the platform's calls to it."""
+"""The entry program: a gateway that also serves the platform's requests."""
 
 from mode import Service
 
@@ -18,11 +18,11 @@
 from bayhinge._internal.utils.early_sockets import EarlySockets
 
 METRICS_PORT = 9464
-"""Where the metrics page is, as the deploy file names it; outside the ports that days draw."""
+"""Port of the metrics page, as in the deploy file; outside the port ranges used by tests."""
 
 
 class EntryProgram(Service):
-    """An entry host with the platform's calls to it."""
+    """An entry host: a gateway and the HTTP endpoints for the platform."""
 
     def __init__(self, settings: SiteSettings, sockets: EarlySockets | None = None) -> None:
         super().__init__()
@@ -46,13 +46,13 @@
         self._fronts = [RoutedFront(address, calls, sockets) for address in sorted(addresses)]
 
     async def on_start(self) -> None:
-        """Listens for the platform, then starts the host."""
+        """Starts the HTTP endpoints for the platform, then the gateway."""
         for front in self._fronts:
             await front.start()
         await self._gateway.start()
 
     async def on_stop(self) -> None:
-        """Stops the host, then the platform's calls: it says that it leaves to the last."""
+        """Stops the gateway first, so that the host reports its departure until the end."""
         await self._gateway.stop()
         for front in self._fronts:
             await front.stop()
--- a/src/bayhinge/_internal/platform/object_forms.py
+++ b/src/bayhinge/_internal/platform/object_forms.py
@@ -1,7 +1,6 @@
 """The forms of the platform's objects, with the type and range of each field.
 
-The classes have no more methods than they need: making all of them takes 8.6 ms of a start in place
-of 13.8 ms with the usual ones (medians of seven imports each).
+attrs generates neither ``__eq__`` nor ``__repr__`` nor slots for them, to reduce start-up time.
 """
 
 from typing import Any
@@ -34,7 +33,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class EntryForm:
-    """An endpoint's entry. ``born`` is the Unix millisecond of its start, 0 where it isn't said."""
+    """An endpoint's entry; ``born`` is its start time in Unix milliseconds, 0 if unknown."""
 
     service: str = attrs.field(validator=text())
     address: str = attrs.field(validator=ipv4_with_port)
@@ -49,7 +48,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class ConfigurationForm:
-    """The configuration as a whole; ``limits`` is checked by itself."""
+    """The whole configuration; ``limits`` is validated separately."""
 
     version: int = attrs.field(validator=whole_number(0))
     routes: list[Any] = attrs.field(validator=_list)
@@ -60,7 +59,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class RouteKeyForm:
-    """Where a route stands. Every prefix begins and ends with a slash."""
+    """The host and path prefix of a route; a prefix begins and ends with a slash."""
 
     host: str = attrs.field(validator=text())
     path_prefix: str = attrs.field(
@@ -70,7 +69,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class RouteForm:
-    """What a route says besides its place; null is as if the field were not there."""
+    """The other fields of a route; null means absent."""
 
     route_kind: str = attrs.field(validator=text())
     timeout_ms: float = attrs.field(validator=number(0, is_exclusive=True))
@@ -92,7 +91,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class AccountForm:
-    """What a client account says besides its keys; null is as if the field were not there."""
+    """The fields of a client account except its keys; null means absent."""
 
     name: str = attrs.field(validator=validators.and_(text(), validators.matches_re(r"[!-~]+")))
     rate_per_s: float | None = attrs.field(default=None, validator=validators.optional(number(0)))
@@ -109,7 +108,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class ServiceForm:
-    """A service of the configuration; null is as if the field were not there."""
+    """A service of the configuration; null means absent."""
 
     max_conns: int | None = attrs.field(
         default=None, validator=validators.optional(whole_number(0))
@@ -119,7 +118,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class EngineForm:
-    """What the engines of a service have in common."""
+    """Properties shared by all engines of a service."""
 
     slots: int = attrs.field(validator=whole_number(1))
     kv_capacity: float = attrs.field(validator=number(0))
@@ -128,7 +127,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class LimitsForm:
-    """What callers may send."""
+    """Limits on callers' requests."""
 
     max_body_bytes: int | None = attrs.field(
         default=None, validator=validators.optional(whole_number(0))
--- a/src/bayhinge/_internal/platform/object_reader.py
+++ b/src/bayhinge/_internal/platform/object_reader.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's objects: the configuration, and the entries of endpoints."""
+"""Decodes the platform's objects: the configuration and the endpoint entries."""
 
 import re
 from typing import Any
@@ -40,13 +40,13 @@
     RouteKind.AT_MOST_ONCE: 1,
     RouteKind.STREAMING: 1,
 }
-"""Endpoints that a request may be sent to where its route names no number."""
+"""Default number of endpoints that a request may be sent to."""
 
 DEFAULT_URGENCY = 5
-"""Urgency of a route that names none: the middle of 0 to 9, as engines take it."""
+"""Default urgency of a route: the middle of the engines' range of 0 to 9."""
 
 _ID = re.compile(r"[\x21-\x7e]{1,256}")
-"""An endpoint's id: it goes out in a header, so it has no blank, no line feed and ASCII alone."""
+"""An endpoint's id: printable ASCII without spaces, since it is sent in a header."""
 
 
 class PlatformObjectReader(ObjectReader):
@@ -65,7 +65,7 @@
         """See :class:`ObjectReader`."""
         instance = key.partition("/")[2]
         if _ID.fullmatch(instance) is None:
-            raise UnreadableObjectError(key, ("its name can't be an endpoint's id",))
+            raise UnreadableObjectError(key, ("its name is not a valid endpoint id",))
         try:
             form = parse_form(forms.EntryForm, orjson.loads(value))
         except ValueError as error:
@@ -82,7 +82,7 @@
 
 
 class _ConfigurationReader:
-    """One configuration under way: what can be read of it, and what is wrong with the rest."""
+    """Decodes one configuration; invalid parts become findings."""
 
     def __init__(self, whole: forms.ConfigurationForm) -> None:
         self._whole = whole
@@ -91,10 +91,10 @@
         self._invalid_services: set[str] = set()
 
     def table(self) -> RoutingTable:
-        """Returns the table.
+        """Returns the routing table.
 
         Raises:
-            InvalidTableError: the place of a route can't be read, so nobody may say what it covers.
+            InvalidTableError: a route's host or prefix is invalid, so its coverage is unknown.
         """
         for item in self._whole.services:
             self._add_service(item)
@@ -110,15 +110,15 @@
         )
 
     def _accounts(self) -> AccountTable | None:
-        """Returns the client accounts; None where the configuration knows of none."""
+        """Returns the client accounts, or None if the configuration defines none."""
         if self._whole.tenants is None:
             return None
         return AccountTable(tuple(self._account(item) for item in self._whole.tenants))
 
     def _account(self, item: Any) -> RoutedAccount | ClosedAccount:
-        """Reads one account; an odd one keeps its keys, and what bears them is refused for now.
+        """Decodes an account; requests with the keys of an invalid one are refused.
 
-        An odd urgency alone closes nothing: the route's counts then.
+        An invalid urgency alone is ignored, and the route's urgency applies.
         """
         table = item if isinstance(item, dict) else {}
         name = str(table.get("name", "?"))[:SHOWN]
@@ -138,14 +138,14 @@
         texts = [key for key in known if isinstance(key, str) and key]
         odd = len(known) - len(texts) if isinstance(keys, list) else keys is not None
         if odd:
-            # Never the odd value itself: it may hold a key.
-            self._findings.append(f"account '{name}': 'api_keys' must be a list of texts")
+            # The value is not shown because it may contain a key.
+            self._findings.append(f"account '{name}': 'api_keys' must be a list of strings")
         return tuple(hash_key(key) for key in texts)
 
     def _account_urgency(self, name: str, priority: Any) -> int | None:
         is_whole = isinstance(priority, int) and not isinstance(priority, bool)
         if priority is not None and not (is_whole and priority >= 0):
-            why = "'priority' must be a whole number from 0 on; the routes' count"
+            why = "'priority' must be a whole number of at least 0; the routes' priorities apply"
             self._findings.append(f"account '{name}': {why}")
             return None
         return priority
@@ -179,9 +179,11 @@
         form = parse_form(forms.RouteForm, item)
         kind = KIND_BY_NAME.get(form.route_kind)
         if kind is None:
-            # Running once at most is safe for every kind, and better than no answer.
+            # Running at most once is safe for every kind.
             kind = RouteKind.AT_MOST_ONCE
-            self._findings.append(f"route '{name}': '{form.route_kind[:SHOWN]}' is taken as {kind}")
+            self._findings.append(
+                f"route '{name}': unknown kind '{form.route_kind[:SHOWN]}', using {kind}"
+            )
         slo_ms = form.timeout_ms if form.slo_ms is None else form.slo_ms
         return Route(
             name=name,
@@ -204,10 +206,10 @@
         split = form.split or [{"service": form.service, "weight": 1}]
         read = [parse_form(forms.ShareForm, share) for share in split]
         if not any(share.weight for share in read):
-            raise InvalidTableError("no share of 'split' has a weight")
+            raise InvalidTableError("all weights of 'split' are zero")
         odd = sorted(self._invalid_services.intersection(share.service for share in read))
         if odd:
-            raise InvalidTableError(f"its service '{odd[0]}' can't be read")
+            raise InvalidTableError(f"its service '{odd[0]}' is invalid")
         return tuple(ServiceShare(share.service, float(share.weight)) for share in read)
 
     def _limits(self) -> RequestLimits:
--- a/src/bayhinge/_internal/platform/objects_api.py
+++ b/src/bayhinge/_internal/platform/objects_api.py
@@ -1,10 +1,10 @@
-"""The platform's store as a :class:`PollingStore`: one client for all of a process.
+"""The platform's store as a :class:`PollingStore`; a process uses one client.
 
-A key is ``kind/name``. Objects of kinds that others write carry their ``spec`` as JSON;
-objects of the product's own kinds carry bytes, in base64.
+A key is ``kind/name``. The ``spec`` of an object is JSON for kinds that other programs write, and
+base64 for the scheduler's own kinds.
 
-Others write objects too. One that can't be read is an object without bytes, so that its reader
-says so with its key; the objects beside it hold.
+An object whose ``spec`` is invalid is returned with an empty value, so that its reader reports it
+by key and the other objects stay usable.
 """
 
 import base64
@@ -38,13 +38,13 @@
 from bayhinge.coordination.store_contact import StoreContact
 
 CALL_TIMEOUT_S = 1.0
-"""Time for one call; the store answers within milliseconds when it is well."""
+"""Timeout of one call; a healthy store answers within milliseconds."""
 
 WAIT_MARGIN_S = 0.7
-"""Time beyond its wait that a watch call may take."""
+"""Timeout of a watch call, beyond its long-poll time."""
 
 RATE_LIMIT_RETRY_S = 0.5
-"""When to come back after the store's rate was passed; the store names no time."""
+"""Retry delay after a 429; the store sends no Retry-After."""
 
 CONFIGURATION_KIND = "config"
 CONFIGURATION_KEY = f"{CONFIGURATION_KIND}/main"
@@ -53,11 +53,11 @@
 FOREIGN_KINDS = frozenset({CONFIGURATION_KIND, ENDPOINTS_KIND, RETIREMENTS_KIND})
 
 UNREADABLE = b""
-"""What stands for the bytes of an object that can't be read; no object of ours is empty."""
+"""Value of an object whose ``spec`` is invalid; valid objects are never empty."""
 
 MAX_ENTRY_BYTES = 16_384
-"""Longest entry of an endpoint that is kept. They have some 250 bytes, the store takes 1 MB of any
-writer, and each host holds all of them."""
+"""Longest endpoint entry that is accepted, to limit memory: the store allows 1 MB per object, and
+each host holds all entries."""
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
     """A client of the platform's store."""
 
     def __init__(self, address: str) -> None:
-        """Takes ``ip:port`` of the store."""
+        """Makes a client of the store at ``ip:port``."""
         self._base_url = f"http://{address}/-/objects"
         self._session: aiohttp.ClientSession | None = None
         self._contact = StoreContact()
@@ -141,7 +141,7 @@
         path = f"/{kind}?watch={after_revision}&wait_ms={int(wait_s * 1000)}"
         answer = await self._call("GET", path, what, time_s=wait_s + WAIT_MARGIN_S)
         if answer.status == status_codes.HTTP_GONE:
-            raise HistoryLostError(prefix, f"changes behind revision {after_revision} are gone")
+            raise HistoryLostError(prefix, f"changes after revision {after_revision} were removed")
         try:
             revision = int(answer.body["timestamp"])
             changes = _changes(kind, answer.body["events"])
@@ -153,7 +153,7 @@
         """Replaces an object's status.
 
         Raises:
-            StoreError: the store did not take it.
+            StoreError: the write failed.
         """
         _, _, name = key.partition("/")
         body = {"metadata": {"name": name}, "status": status}
@@ -206,21 +206,21 @@
 
 
 def _invalid_answer_error(what: str, error: Exception) -> StoreUnavailableError:
-    return StoreUnavailableError(what, f"an answer of unknown form: {error!r}")
+    return StoreUnavailableError(what, f"invalid answer: {error!r}")
 
 
 def _decoded(text: bytes) -> Any:
-    """Decodes an answer, also where the text of one object in it is no text.
+    """Decodes an answer, even if a string in it contains unpaired surrogates.
 
     Raises:
-        ValueError: it is no JSON.
-        RecursionError: it is nested too deep.
+        ValueError: it is not valid JSON.
+        RecursionError: it is nested too deeply.
     """
     try:
         return orjson.loads(text)
     except orjson.JSONDecodeError:
-        # The standard library also takes halves of surrogate pairs; so text that is none stays what
-        # can't be written again, and its object is one that can't be read.
+        # The standard library accepts unpaired surrogates. Such a string can't be encoded again,
+        # so only the object that contains it counts as invalid.
         return json.loads(text.decode("utf-8", "surrogateescape"))
 
 
@@ -236,16 +236,16 @@
 
 
 def _log_nameless_objects(kind: str, count: int) -> None:
-    """Logs objects that were passed over: without a name there is nothing to keep them under."""
+    """Logs the number of objects that were skipped because they have no valid name or revision."""
     if count:
         eliot.log_message("store.nameless_objects", kind=kind, count=count)
 
 
 def _object(kind: str, item: Any) -> StoredObject | None:
-    """Returns an object, or None where it has no name or no revision."""
+    """Returns an object, or None if it has no valid name or revision."""
     try:
         name, revision = item["metadata"]["name"], int(item["metadata"]["revision"])
-        # Half of a surrogate pair can't be written again.
+        # Encoding fails for unpaired surrogates.
         key = f"{kind}/{name.encode().decode()}"
     except (AttributeError, LookupError, TypeError, ValueError, OverflowError):
         return None
@@ -275,7 +275,7 @@
 
 
 def _from_spec(kind: str, spec: Any) -> bytes:
-    """Returns an object's bytes; :data:`UNREADABLE` where there are none."""
+    """Returns an object's value, or :data:`UNREADABLE` if its ``spec`` is invalid or too long."""
     try:
         if kind not in FOREIGN_KINDS:
             return base64.b64decode(spec, validate=True)
--- a/src/bayhinge/_internal/platform/programs.py
+++ b/src/bayhinge/_internal/platform/programs.py
@@ -1,4 +1,4 @@
-"""The two programs of a platform's hosts, and how one is started."""
+"""Starts the entry or disk program of a host on the platform."""
 
 import asyncio
 import gc
@@ -19,11 +19,8 @@
 from bayhinge._internal.utils.log_output import LogOutput
 
 
-# Each program loads what it needs alone: an entry host has no use for the log of turns, a disk
-# host none for the HTTP server. With that, lazy parts of the coordination library and no garbage
-# collection meanwhile, imports take 0.350 s of processor time in an entry host and 0.340 s in a
-# disk host, in place of 0.445 s (medians of 25 starts, taken by turns); a disk host's peak memory
-# fell from 46 to 43 MB.
+# Each program is imported only when it is started, to save start-up time and memory: an entry host
+# does not need the turn log, and a disk host does not need the HTTP server.
 def _entry(settings: SiteSettings, sockets: EarlySockets) -> Service:
     from bayhinge._internal.platform.entry_program import EntryProgram
 
@@ -56,16 +53,16 @@
 
 
 def _reload(path: Path) -> None:
-    """Reads the settings again; addresses stay those of the start, as the platform says."""
+    """Validates the changed settings file and logs findings; running services are not changed."""
     read = read_settings(path)
     findings = [str(finding) for finding in read.error] if read.is_error() else []
     eliot.log_message("settings.reloaded", findings=findings)
 
 
 def run(arguments: list[str], sockets: EarlySockets | None = None) -> int:
-    """Runs the program that the first argument names; returns its exit status.
+    """Runs the program named by the first argument; returns its exit status.
 
-    ``sockets`` listen for it already.
+    ``sockets`` are sockets that already listen for the program.
     """
     program = PROGRAM_BY_NAME.get(arguments[0]) if arguments else None
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
--- a/src/bayhinge/_internal/platform/retirements.py
+++ b/src/bayhinge/_internal/platform/retirements.py
@@ -1,4 +1,4 @@
-"""The platform's requests to empty a disk host, and what it is told of them."""
+"""Follows the platform's requests to retire a disk host, and reports their status."""
 
 import asyncio
 from functools import partial
@@ -14,14 +14,14 @@
 from bayhinge.coordination.store import Change
 
 MAX_ALLOWED_S = 60.0
-"""A longer time is taken as this one: a disk that waits for others does so within a minute."""
+"""Upper bound on a request's time limit; a disk waits for others for less than a minute."""
 
 RETRY_S = 0.4
-"""Pause after the store did not take a status."""
+"""Retry delay after a failed status write."""
 
 
 class RetirementListener(FollowListener):
-    """Passes requests for this host on to it, and reports how far it is."""
+    """Starts the retirement of this disk host on request, and reports its status."""
 
     def __init__(self, store: PlatformObjects, disk: DiskHost) -> None:
         self._store = store
@@ -40,14 +40,13 @@
             self._handle_request(change.value)
 
     def _handle_request(self, value: bytes) -> None:
-        """Begins where the operator asks for it: any table does, whatever it says of the time.
+        """Starts the retirement if the request is a table, even if its time limit is invalid.
 
-        A ``duration_s`` that can't be read allows no waiting. What is no table was written by
-        nobody who asks for anything: the disk stays.
+        An invalid ``duration_s`` counts as 0. A value that is not a table is ignored.
         """
         allowed_s = _allowed_s(value)
         if allowed_s is None:
-            eliot.log_message("retirement.unreadable", key=self._key, why="it is no table")
+            eliot.log_message("retirement.unreadable", key=self._key, why="it is not a table")
             return
         if self._task is None:
             self._task = asyncio.ensure_future(
@@ -70,7 +69,7 @@
 
 
 def _allowed_s(value: bytes) -> float | None:
-    """Returns the time that a request allows, 0 where it says none; None where it is no request."""
+    """Returns the time limit in seconds, 0 if it is invalid; None if the value is not a table."""
     try:
         spec = orjson.loads(value)
     except orjson.JSONDecodeError:
--- a/src/bayhinge/_internal/platform/settings_file.py
+++ b/src/bayhinge/_internal/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads a process's settings file (TOML) into :class:`SiteSettings`."""
+"""Reads and validates the platform's settings file (TOML) into :class:`SiteSettings`."""
 
 import tomllib
 from collections.abc import Mapping
@@ -25,26 +25,26 @@
 UNUSED_ADDRESS = ""
 
 PORTS = 2
-"""Ports that the settings name: the first and the last of a range."""
+"""Length of the setting ``port_range``: the first and the last port."""
 
 
 @attrs.frozen
 class _FieldName:
-    """What a check calls a value by."""
+    """Stands for the attrs attribute that checks take the name from."""
 
     name: str
 
 
 @attrs.define
 class _Fields:
-    """Takes fields out of nested tables, and collects what is wrong with them."""
+    """Reads fields from nested tables and collects findings."""
 
     file: str
     table: Mapping[str, Any]
     findings: list[Finding] = attrs.field(factory=list)
 
     def read(self, path: str, check: Check, fallback: Any = None) -> Any:
-        """Returns a field by its dotted path; without a fallback it must be there."""
+        """Returns the field at a dotted path; it is required if ``fallback`` is None."""
         value: Any = self.table
         for name in path.split("."):
             value = value.get(name) if isinstance(value, Mapping) else None
@@ -58,7 +58,7 @@
             check(None, _FieldName(key), value)
         except (TypeError, ValueError) as error:
             shown = repr(value)[:SHOWN]
-            self.findings.append(Finding(place, f"{shown} can't be used: {error.args[0]}"))
+            self.findings.append(Finding(place, f"{shown} is invalid: {error.args[0]}"))
             return fallback
         return value
 
@@ -75,7 +75,7 @@
     for port in value:
         check(None, field, port)
     if not value[0] < value[1] <= MAX_PORT:
-        raise ValueError("two ports are needed, one for each kind of link")
+        raise ValueError("two ports are needed, one for UDP heartbeats and one for peer links")
 
 
 _ADDRESS_OR_NONE = validators.or_(ipv4_with_port, validators.in_((UNUSED_ADDRESS,)))
@@ -85,7 +85,7 @@
 
 
 def read_settings(path: Path) -> Result[SiteSettings, tuple[Finding, ...]]:
-    """Returns the settings, or everything that is wrong with the file."""
+    """Returns the settings, or all findings on the file."""
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
--- a/src/bayhinge/_internal/platform/unused_libraries.py
+++ b/src/bayhinge/_internal/platform/unused_libraries.py
@@ -1,21 +1,20 @@
-"""Leaves out libraries that others load and that no host here uses."""
+"""Replaces unused transitive imports by stubs, to save start-up time and memory."""
 
 import sys
 from types import ModuleType
 from typing import Any
 
 UNUSED = ("croniter", "croniter.croniter")
-"""mode loads tables of dates for services that run by the calendar; none here does. Without them
-and the time zones that they load, imports of an entry host take 0.49 s of processor time in place
-of 0.61, and 1.6 MB less at the peak (medians of three, taken by turns, beside other work)."""
+"""Libraries that mode imports for cron-like services, which are not used here; they load time zone
+data."""
 
 
 class UnusedLibraryError(AttributeError):
-    """Something uses a library that was left out."""
+    """A stubbed library was used."""
 
 
 class _StubModule(ModuleType):
-    """Stands for a library; whoever uses it learns why it is not there."""
+    """Stub for a library; calling any of its names raises an error."""
 
     def __getattr__(self, name: str) -> Any:
         if name.startswith("__"):
@@ -24,18 +23,18 @@
 
 
 class _StubName:
-    """Stands for one name of a library."""
+    """Stub for one name of a library."""
 
     def __init__(self, name: str) -> None:
         self._name = name
 
     def __call__(self, *_: object, **__: object) -> object:
         raise UnusedLibraryError(
-            f"'{self._name}' is left out of hosts on a platform; see unused_libraries.py"
+            f"'{self._name}' is a stub in hosts on a platform; see unused_libraries.py"
         )
 
 
 def stub_unused_libraries() -> None:
-    """Puts stand-ins for them where imports look; must come before anything loads them."""
+    """Registers the stubs in ``sys.modules``; must be called before anything imports mode."""
     for name in UNUSED:
         sys.modules.setdefault(name, _StubModule(name))
--- a/src/bayhinge/_internal/utils/http_session.py
+++ b/src/bayhinge/_internal/utils/http_session.py
@@ -11,7 +11,7 @@
 import aiohttp
 from aiohttp import AddrInfoType, ClientHandlerType, ClientRequest, ClientResponse
 
-from bayhinge._internal.utils.tcp_timeouts import set_tcp_timeouts
+from bayhinge._internal.utils.silence import set_tcp_timeouts
 
 TCP_USER_TIMEOUT_S = 2.0
 """TCP user timeout of connections; it matters for long waits such as watches, since ordinary calls
--- a/tests/unit/test_unused_libraries.py
+++ b/tests/unit/test_unused_libraries.py
@@ -29,5 +29,5 @@
 
 
 def test_what_is_left_out_says_so_when_it_is_used() -> None:
-    with pytest.raises(AttributeError, match="left out of hosts"):
+    with pytest.raises(AttributeError, match="is a stub in hosts"):
         _StubModule("croniter").croniter("* * * * *")
