--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -53,12 +53,12 @@
     text += "\n[service Bad Name]\n\n[membership]\nbeat_seconds = 3\ndead_after_seconds = 4\n"
     findings = [str(finding) for finding in read_settings(text, "host.ini").error]
     expected = [
-        ("host.ini:4 [host] public_address", "no IP number"),
-        ("host.ini:8 [store] url", "no HTTP address"),
-        ("host.ini:9 [store] write_burst", "no whole number"),
+        ("host.ini:4 [host] public_address", "not an IP address"),
+        ("host.ini:8 [store] url", "not an HTTP URL"),
+        ("host.ini:9 [store] write_burst", "not a whole number"),
         ("host.ini:18 [pool agent-llm] modles", "unknown key"),
         ("host.ini:17 [pool agent-llm] models", "missing"),
-        ("host.ini:23 [service Bad Name]", "needs a name"),
+        ("host.ini:23 [service Bad Name]", "needs a valid name"),
         ("host.ini:27 [membership] dead_after_seconds", "less than two heartbeat intervals"),
     ]
     for place, problem in expected:
