--- a/src/bayhinge/_internal/commands/accept_call.py
+++ b/src/bayhinge/_internal/commands/accept_call.py
@@ -183,10 +183,10 @@
         digest = extend_digest(EMPTY_DIGEST, work.messages)
         return Ok(NewMessages(work.messages, True, digest))
     if work.mode is MessagesMode.NEW:
-        return Ok(_extension(state, work.messages))
+        return Ok(_extend_history(state, work.messages))
     count = state.message_count
     if extend_digest(EMPTY_DIGEST, work.messages[:count]) == state.history_digest:
-        return Ok(_extension(state, work.messages[count:]))
+        return Ok(_extend_history(state, work.messages[count:]))
     why = (
         "the message list does not extend the program's recorded history; send only the new "
         "messages (Bayhinge-Messages: new) or replace the history (Bayhinge-Messages: rewrite)"
@@ -198,7 +198,7 @@
     return Error(refuse_unaccepted(RefusalCode.HISTORY_DIFFERS, why, *figures))
 
 
-def _extension(state: ProgramState, messages: tuple[bytes, ...]) -> NewMessages:
+def _extend_history(state: ProgramState, messages: tuple[bytes, ...]) -> NewMessages:
     digest = extend_digest(state.history_digest, messages)
     return NewMessages(messages, False, digest)
 
--- a/src/bayhinge/_internal/commands/parse_call.py
+++ b/src/bayhinge/_internal/commands/parse_call.py
@@ -41,7 +41,7 @@
         incoming.account,
         program,
         incoming.index,
-        _digest(incoming),
+        _call_digest(incoming),
         incoming.idempotency_key,
         incoming.patience_s,
         work.ok,
@@ -108,7 +108,7 @@
     )
 
 
-def _digest(incoming: IncomingCall) -> str:
+def _call_digest(incoming: IncomingCall) -> str:
     """Returns a digest of what identifies a call; patience and resume offset are left out."""
     digest = xxhash.xxh3_128()
     parts = (incoming.kind, incoming.target, incoming.http_method, incoming.path, incoming.mode)
--- a/src/bayhinge/_internal/models/accounts.py
+++ b/src/bayhinge/_internal/models/accounts.py
@@ -106,10 +106,10 @@
     parsed = parse_ini(text)
     if parsed.is_error():
         return (Finding(Place(file, parsed.error.line), parsed.error.problem),)
-    return tuple(_check(kind, parsed.ok, file))
+    return tuple(_check_document(kind, parsed.ok, file))
 
 
-def _check(kind: ConfigKind, document: IniDocument, file: str) -> Iterator[Finding]:
+def _check_document(kind: ConfigKind, document: IniDocument, file: str) -> Iterator[Finding]:
     schema = SCHEMA_BY_KIND[kind]
     for name, section in document.sections_by_name.items():
         if name != schema.title:
@@ -124,13 +124,13 @@
 
 def resolve_account(account: ConfigText, template: ConfigText | None) -> Result[ClientAccount, str]:
     """Resolves each parameter: the account overrides its template, which overrides the default."""
-    own = _read(account)
+    own = _parse_config_text(account)
     if own.is_error():
         return Error(own.error)
     template_name = str(own.ok.values_by_key["template"])
     if template is None:
         return Error(f"template '{template_name}' does not exist")
-    base = _read(template)
+    base = _parse_config_text(template)
     if base.is_error():
         return Error(base.error)
     values: dict[str, Any] = {}
@@ -156,11 +156,11 @@
     )
 
 
-def _read(item: ConfigText) -> Result[Any, str]:
+def _parse_config_text(item: ConfigText) -> Result[Any, str]:
     parsed = parse_ini(item.text)
     if parsed.is_error():
         return Error(f"{item.kind} '{item.name}': {parsed.error.problem}")
-    findings = list(_check(item.kind, parsed.ok, f"{item.kind} {item.name}"))
+    findings = list(_check_document(item.kind, parsed.ok, f"{item.kind} {item.name}"))
     if findings:
         return Error("; ".join(str(finding) for finding in findings))
     schema = SCHEMA_BY_KIND[item.kind]
--- a/src/bayhinge/_internal/network/endpoint_client.py
+++ b/src/bayhinge/_internal/network/endpoint_client.py
@@ -139,7 +139,7 @@
                         whole = True
                         break
                     if line.startswith(b"data: "):
-                        yield _read_piece(endpoint, line[len(b"data: ") :])
+                        yield _parse_chunk(endpoint, line[len(b"data: ") :])
         except aiohttp.ClientConnectorError as error:
             raise EndpointError(endpoint, str(error), may_have_run=False) from error
         except (aiohttp.ClientError, TimeoutError, ConnectionError) as error:
@@ -225,7 +225,7 @@
     raise EndpointError(endpoint, f"status {response.status} {text}", ran, draining)
 
 
-def _read_piece(endpoint: str, line: bytes) -> EnginePiece:
+def _parse_chunk(endpoint: str, line: bytes) -> EnginePiece:
     try:
         chunk = orjson.loads(line)
         choice = chunk["choices"][0] if chunk.get("choices") else {}
@@ -235,13 +235,13 @@
             delta.get("content") or "",
             orjson.dumps(calls) if calls else None,
             choice.get("finish_reason"),
-            _read_usage(chunk.get("usage")),
+            _parse_usage(chunk.get("usage")),
         )
     except (orjson.JSONDecodeError, KeyError, TypeError, AttributeError) as error:
         raise EndpointError(endpoint, f"invalid chunk: {error}", True) from error
 
 
-def _read_usage(usage: dict[str, Any] | None) -> Usage | None:
+def _parse_usage(usage: dict[str, Any] | None) -> Usage | None:
     if not usage:
         return None
     details = usage.get("prompt_tokens_details") or {}
--- a/src/bayhinge/_internal/network/endpoint_link.py
+++ b/src/bayhinge/_internal/network/endpoint_link.py
@@ -49,10 +49,10 @@
 """TCP user timeout for non-retryable requests, which gain nothing from a shorter one."""
 
 RETRYABLE_TCP_USER_TIMEOUT_S = 0.6
-"""TCP user timeout for requests that may be retried elsewhere; short enough that a retry still fits
-into the 1.2 s or more for which callers wait."""
+"""TCP user timeout for requests that may be retried at another endpoint; the connection ends while
+callers, who wait for 1.2 s or more, are still waiting."""
 
-_INTERIM_STATUS = 200
+_FIRST_FINAL_STATUS = 200
 
 _PROBE_STATUS = 299
 _PROBE = b"HTTP/1.1 299 probe\r\nContent-Length: 0\r\n\r\n"
@@ -121,7 +121,7 @@
             return
         for message, body in messages:
             self._body = body
-            if message.code >= _INTERIM_STATUS:
+            if message.code >= _FIRST_FINAL_STATUS:
                 self._answers.append(Answer(message, body))
         self._wake()
 
@@ -162,8 +162,8 @@
         if not self.is_open or self.transport is None or self.transport.is_closing():
             raise UnreachableError(self._why_closed or "the connection is closed")
         self.is_busy = True
-        bound_s = RETRYABLE_TCP_USER_TIMEOUT_S if is_retryable else TCP_USER_TIMEOUT_S
-        self._set_tcp_timeouts(bound_s)
+        timeout_s = RETRYABLE_TCP_USER_TIMEOUT_S if is_retryable else TCP_USER_TIMEOUT_S
+        self._set_tcp_timeouts(timeout_s)
         self.transport.write(head + body)
 
     async def next_answer(self) -> Answer:
@@ -287,9 +287,9 @@
             connection: the connection, which is closed instead if it can't be reused.
             idle_s: the endpoint's keep-alive timeout in seconds, or None.
         """
-        has_unread_answer = connection.has_unread_answer or not connection.is_between_answers()
-        if has_unread_answer or connection.is_sending or not connection.is_open:
-            self.counts.dropped_with_surplus += has_unread_answer
+        has_leftover_data = connection.has_unread_answer or not connection.is_between_answers()
+        if has_leftover_data or connection.is_sending or not connection.is_open:
+            self.counts.dropped_with_surplus += has_leftover_data
             connection.abort("data left over after the answer")
             return
         keep_s = DEFAULT_KEEPALIVE_S if idle_s is None else idle_s * KEEPALIVE_FRACTION
--- a/src/bayhinge/_internal/network/endpoint_list.py
+++ b/src/bayhinge/_internal/network/endpoint_list.py
@@ -54,7 +54,7 @@
                 items = (await response.json())["endpoints"]
         except (aiohttp.ClientError, TimeoutError, ValueError, LookupError, TypeError):
             return None
-        return _read(items) if isinstance(items, list) else None
+        return _parse_entries(items) if isinstance(items, list) else None
 
     async def close(self) -> None:
         """See :class:`EndpointList`."""
@@ -62,7 +62,7 @@
             await self._session.close()
 
 
-def _read(items: list[Any]) -> list[Endpoint]:
+def _parse_entries(items: list[Any]) -> list[Endpoint]:
     """Returns the valid entries; invalid ones are logged and skipped."""
     found: list[Endpoint] = []
     findings: list[str] = []
--- a/src/bayhinge/_internal/network/event_stream.py
+++ b/src/bayhinge/_internal/network/event_stream.py
@@ -46,7 +46,7 @@
         start = 0
         for end in _BLOCK_END.finditer(text):
             block = text[start : end.end()]
-            blocks.append((block, _read(block.replace(b"\r\n", b"\n").strip(b"\n"))))
+            blocks.append((block, _parse_block(block.replace(b"\r\n", b"\n").strip(b"\n"))))
             start = end.end()
         self._buffer = text[start:]
         return blocks
@@ -62,7 +62,7 @@
         return len(self._buffer)
 
 
-def _read(block: bytes) -> StreamEvent | None:
+def _parse_block(block: bytes) -> StreamEvent | None:
     data: list[bytes] = []
     event_id: bytes | None = None
     for line in block.split(b"\n"):
--- a/src/bayhinge/_internal/network/http_store.py
+++ b/src/bayhinge/_internal/network/http_store.py
@@ -114,13 +114,13 @@
         what: str,
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
-    ) -> "_Answer":
+    ) -> "_Response":
         session = self._open_session()
         try:
             async with session.request(
                 method, url, headers=headers, data=body, timeout=self._timeout
             ) as response:
-                answer = _Answer(response.status, _version(response), await response.read())
+                answer = _Response(response.status, _etag_version(response), await response.read())
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             raise StoreUnavailableError(what, str(error) or type(error).__name__) from error
         if answer.status == status_codes.HTTP_TOO_MANY_REQUESTS:
@@ -130,7 +130,7 @@
         return answer
 
 
-class _Answer:
+class _Response:
     """The used parts of an HTTP response."""
 
     __slots__ = ("body", "status", "version")
@@ -141,6 +141,6 @@
         self.body = body
 
 
-def _version(response: aiohttp.ClientResponse) -> int:
+def _etag_version(response: aiohttp.ClientResponse) -> int:
     tag = response.headers.get("ETag", "").strip('"')
     return int(tag) if tag.isdigit() else 0
--- a/src/bayhinge/_internal/network/peer_client.py
+++ b/src/bayhinge/_internal/network/peer_client.py
@@ -31,7 +31,7 @@
         self, address: str, method: str, payload: bytes
     ) -> AsyncGenerator[bytes, None]:
         """See :class:`Peers`."""
-        link = await self._link(address)
+        link = await self._get_link(address)
         stream = link.open(method, payload)
         try:
             while True:
@@ -45,7 +45,7 @@
 
     async def call(self, address: str, method: str, payload: bytes) -> bytes:
         """See :class:`Peers`; overridden to avoid the cost of a generator."""
-        link = await self._link(address)
+        link = await self._get_link(address)
         stream = link.open(method, payload)
         answer = b""
         try:
@@ -72,7 +72,7 @@
         for link in list(self._links_by_address.values()):
             link.abort()
 
-    async def _link(self, address: str) -> "_ClientLink":
+    async def _get_link(self, address: str) -> "_ClientLink":
         link = self._links_by_address.get(address)
         if link is not None and link.is_usable:
             return link
--- a/src/bayhinge/_internal/network/request_reading.py
+++ b/src/bayhinge/_internal/network/request_reading.py
@@ -39,7 +39,7 @@
     Raises:
         RefusedError: the header is not a whole number.
     """
-    return _whole(headers, CALL_HEADER)
+    return _parse_whole_number(headers, CALL_HEADER)
 
 
 def read_offset(headers: Headers) -> int:
@@ -48,10 +48,10 @@
     Raises:
         RefusedError: the header is not a whole number.
     """
-    return _whole(headers, LAST_EVENT_HEADER) or 0
+    return _parse_whole_number(headers, LAST_EVENT_HEADER) or 0
 
 
-def read_patience(headers: Headers, longest_s: float) -> float:
+def read_patience(headers: Headers, max_s: float) -> float:
     """Returns the caller's patience in seconds, at most the account's.
 
     Raises:
@@ -59,14 +59,14 @@
     """
     text = headers.get(PATIENCE_HEADER)
     if text is None:
-        return longest_s
+        return max_s
     try:
         patience_s = float(text)
     except ValueError:
         patience_s = math.nan
     if not 0 <= patience_s < math.inf:
         raise RefusedError(_bad(f"header {PATIENCE_HEADER} must be a number of seconds"))
-    return min(patience_s, longest_s)
+    return min(patience_s, max_s)
 
 
 def read_mode(headers: Headers) -> MessagesMode:
@@ -114,7 +114,7 @@
         raise RefusedError(refuse_unaccepted(RefusalCode.TOO_LARGE, why)) from error
 
 
-def _whole(headers: Headers, name: str) -> int | None:
+def _parse_whole_number(headers: Headers, name: str) -> int | None:
     text = headers.get(name)
     if text is None or not text.strip():
         return None
--- a/src/bayhinge/_internal/platform/call_format.py
+++ b/src/bayhinge/_internal/platform/call_format.py
@@ -81,10 +81,10 @@
         attempt = value_by_name.get(ATTEMPT, b"").decode("latin-1")
         if not attempt:
             return None
-        dropped = HOP_BY_HOP_HEADERS | RESERVED_HEADERS | _named_by_connection(value_by_name)
+        dropped = HOP_BY_HOP_HEADERS | RESERVED_HEADERS | _connection_header_names(value_by_name)
         kept = tuple(header for header in headers if header[0].lower() not in dropped)
         credentials = tuple(header for header in headers if header[0].lower() == CREDENTIALS)
-        deadline_ms = _number(value_by_name.get(DEADLINE))
+        deadline_ms = _parse_number(value_by_name.get(DEADLINE))
         host = value_by_name.get(b"host", b"").decode("latin-1")
         findings: list[HeaderFinding] = []
         return RoutedRequest(
@@ -94,13 +94,15 @@
             headers=tuple(header for header in kept if header[0].lower() != CREDENTIALS),
             attempt=attempt,
             patience_s=None if deadline_ms is None else deadline_ms / 1000,
-            turn=_turn(value_by_name, findings),
-            parts=_parts(value_by_name.get(PARTS, b"")),
+            turn=_parse_turn(value_by_name, findings),
+            parts=_parse_prompt_parts(value_by_name.get(PARTS, b"")),
             affinity=value_by_name.get(AFFINITY, b"").decode("latin-1") or None,
-            resume_after=_count(value_by_name.get(RESUME), "Last-Event-Id", _RESUME, findings),
+            resume_after=_parse_count(
+                value_by_name.get(RESUME), "Last-Event-Id", _RESUME, findings
+            ),
             findings=tuple(findings),
             credentials=credentials if CREDENTIALS not in dropped else (),
-            key_sha256=_key_sha256(credentials),
+            key_sha256=_key_digest(credentials),
         )
 
     def request_head(
@@ -140,7 +142,7 @@
             not_run=NOT_RUN in value_by_name,
             wrong_instance=status == MISDIRECTED,
             is_encoded=b"content-encoding" in value_by_name,
-            idle_s=_idle_s(value_by_name.get(b"keep-alive")),
+            idle_s=_parse_keepalive_timeout(value_by_name.get(b"keep-alive")),
         )
 
     def answer_headers(self, headers: RawHeaders) -> RawHeaders:
@@ -158,7 +160,7 @@
         return tuple(headers)
 
 
-def _key_sha256(credentials: RawHeaders) -> str | None:
+def _key_digest(credentials: RawHeaders) -> str | None:
     """Returns the digest of the caller's bearer key, or None unless there is exactly one."""
     if len(credentials) != 1:
         return None
@@ -169,12 +171,12 @@
     return hash_key(key.decode("utf-8", "surrogateescape"))
 
 
-def _named_by_connection(value_by_name: dict[bytes, bytes]) -> frozenset[bytes]:
+def _connection_header_names(value_by_name: dict[bytes, bytes]) -> frozenset[bytes]:
     names = value_by_name.get(b"connection", b"").split(b",")
     return frozenset(name.strip().lower() for name in names)
 
 
-def _number(value: bytes | None) -> float | None:
+def _parse_number(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -184,7 +186,7 @@
     return number if math.isfinite(number) else None
 
 
-def _count(
+def _parse_count(
     value: bytes | None, name: str, field: RequestField, findings: list[HeaderFinding]
 ) -> int | None:
     """Parses a whole number; an invalid value yields None and adds a finding."""
@@ -199,14 +201,16 @@
     return None
 
 
-def _turn(value_by_name: dict[bytes, bytes], findings: list[HeaderFinding]) -> TurnContext | None:
+def _parse_turn(
+    value_by_name: dict[bytes, bytes], findings: list[HeaderFinding]
+) -> TurnContext | None:
     program = value_by_name.get(PROGRAM)
     if program is None:
         return None
-    budget = _count(value_by_name.get(BUDGET), "Bayhinge-Token-Budget", _TURN, findings)
+    budget = _parse_count(value_by_name.get(BUDGET), "Bayhinge-Token-Budget", _TURN, findings)
     usage = value_by_name.get(USAGE, b"")
     _, _, most = usage.partition(b",")
-    most_tokens = _count(most or None, "Bayhinge-Token-Usage", _TURN, findings)
+    most_tokens = _parse_count(most or None, "Bayhinge-Token-Usage", _TURN, findings)
     if most_tokens is None and budget is not None and not findings:
         why = "Bayhinge-Token-Usage: a turn with a token budget must state its output token limit"
         findings.append(HeaderFinding(_TURN, why))
@@ -219,7 +223,7 @@
     )
 
 
-def _parts(value: bytes) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: bytes) -> tuple[PromptPart, ...]:
     parts: list[PromptPart] = []
     for item in value.decode("latin-1").split(","):
         name, _, tokens = item.strip().partition(":")
@@ -228,7 +232,7 @@
     return tuple(parts)
 
 
-def _idle_s(value: bytes | None) -> float | None:
+def _parse_keepalive_timeout(value: bytes | None) -> float | None:
     if value is None:
         return None
     for item in value.decode("latin-1").split(","):
--- a/src/bayhinge/_internal/platform/object_forms.py
+++ b/src/bayhinge/_internal/platform/object_forms.py
@@ -18,15 +18,15 @@
 READY = "ready"
 DRAINING = "draining"
 
-_FLAG = validators.optional(validators.instance_of(bool))
+_OPTIONAL_BOOL = validators.optional(validators.instance_of(bool))
 
 
-def _optional_table(_: Any, field: Any, value: Any) -> None:
+def _check_optional_table(_: Any, field: Any, value: Any) -> None:
     if value is not None and not isinstance(value, dict):
         raise TypeError(f"'{field.name}' must be a table")
 
 
-def _list(_: Any, field: Any, value: Any) -> None:
+def _check_list(_: Any, field: Any, value: Any) -> None:
     if not isinstance(value, list):
         raise TypeError(f"'{field.name}' must be a list")
 
@@ -51,10 +51,12 @@
     """The whole configuration; ``limits`` is validated separately."""
 
     version: int = attrs.field(validator=whole_number(0))
-    routes: list[Any] = attrs.field(validator=_list)
-    services: list[Any] = attrs.field(validator=_list)
+    routes: list[Any] = attrs.field(validator=_check_list)
+    services: list[Any] = attrs.field(validator=_check_list)
     limits: Any = None
-    tenants: list[Any] | None = attrs.field(default=None, validator=validators.optional(_list))
+    tenants: list[Any] | None = attrs.field(
+        default=None, validator=validators.optional(_check_list)
+    )
 
 
 @attrs.frozen(slots=False, eq=False, repr=False)
@@ -78,15 +80,15 @@
     )
     priority: int | None = attrs.field(default=None, validator=validators.optional(whole_number(0)))
     attempts: int | None = attrs.field(default=None, validator=validators.optional(whole_number(0)))
-    retained: bool | None = attrs.field(default=None, validator=_FLAG)
+    retained: bool | None = attrs.field(default=None, validator=_OPTIONAL_BOOL)
     retention_s: float | None = attrs.field(default=None, validator=validators.optional(number(0)))
-    resumable: bool | None = attrs.field(default=None, validator=_FLAG)
+    resumable: bool | None = attrs.field(default=None, validator=_OPTIONAL_BOOL)
     gap_slo_ms: float | None = attrs.field(
         default=None, validator=validators.optional(number(0, is_exclusive=True))
     )
     service: str | None = attrs.field(default=None, validator=validators.optional(text()))
-    split: list[Any] | None = attrs.field(default=None, validator=validators.optional(_list))
-    public: bool | None = attrs.field(default=None, validator=_FLAG)
+    split: list[Any] | None = attrs.field(default=None, validator=validators.optional(_check_list))
+    public: bool | None = attrs.field(default=None, validator=_OPTIONAL_BOOL)
 
 
 @attrs.frozen(slots=False, eq=False, repr=False)
@@ -113,7 +115,7 @@
     max_conns: int | None = attrs.field(
         default=None, validator=validators.optional(whole_number(0))
     )
-    engine_kind: dict[str, Any] | None = attrs.field(default=None, validator=_optional_table)
+    engine_kind: dict[str, Any] | None = attrs.field(default=None, validator=_check_optional_table)
 
 
 @attrs.frozen(slots=False, eq=False, repr=False)
--- a/src/bayhinge/_internal/platform/object_reader.py
+++ b/src/bayhinge/_internal/platform/object_reader.py
@@ -98,31 +98,31 @@
         """
         for item in self._whole.services:
             self._add_service(item)
-        routes = tuple(self._route(item) for item in self._whole.routes)
-        accounts = self._accounts()
+        routes = tuple(self._decode_route(item) for item in self._whole.routes)
+        accounts = self._decode_accounts()
         return RoutingTable(
             self._whole.version,
             routes,
             self._services_by_name,
-            self._limits(),
+            self._decode_limits(),
             tuple(self._findings),
             accounts,
         )
 
-    def _accounts(self) -> AccountTable | None:
+    def _decode_accounts(self) -> AccountTable | None:
         """Returns the client accounts, or None if the configuration defines none."""
         if self._whole.tenants is None:
             return None
-        return AccountTable(tuple(self._account(item) for item in self._whole.tenants))
+        return AccountTable(tuple(self._decode_account(item) for item in self._whole.tenants))
 
-    def _account(self, item: Any) -> RoutedAccount | ClosedAccount:
+    def _decode_account(self, item: Any) -> RoutedAccount | ClosedAccount:
         """Decodes an account; requests with the keys of an invalid one are refused.
 
         An invalid urgency alone is ignored, and the route's urgency applies.
         """
         table = item if isinstance(item, dict) else {}
         name = str(table.get("name", "?"))[:SHOWN]
-        digests = self._digests(name, table.get("api_keys"))
+        digests = self._decode_digests(name, table.get("api_keys"))
         try:
             form = parse_form(forms.AccountForm, item)
         except InvalidTableError as error:
@@ -130,19 +130,19 @@
             return ClosedAccount(name, digests, str(error))
         quota = Quota(float(form.rate_per_s), float(form.burst or 0)) if form.rate_per_s else None
         return RoutedAccount(
-            form.name, digests, self._account_urgency(name, table.get("priority")), quota
+            form.name, digests, self._decode_account_urgency(name, table.get("priority")), quota
         )
 
-    def _digests(self, name: str, keys: Any) -> tuple[str, ...]:
+    def _decode_digests(self, name: str, keys: Any) -> tuple[str, ...]:
         known = keys if isinstance(keys, list) else []
         texts = [key for key in known if isinstance(key, str) and key]
-        odd = len(known) - len(texts) if isinstance(keys, list) else keys is not None
-        if odd:
+        invalid = len(known) - len(texts) if isinstance(keys, list) else keys is not None
+        if invalid:
             # The value is not shown because it may contain a key.
             self._findings.append(f"account '{name}': 'api_keys' must be a list of strings")
         return tuple(hash_key(key) for key in texts)
 
-    def _account_urgency(self, name: str, priority: Any) -> int | None:
+    def _decode_account_urgency(self, name: str, priority: Any) -> int | None:
         is_whole = isinstance(priority, int) and not isinstance(priority, bool)
         if priority is not None and not (is_whole and priority >= 0):
             why = "'priority' must be a whole number of at least 0; the routes' priorities apply"
@@ -156,12 +156,12 @@
             self._findings.append("a service without a name")
             return
         try:
-            self._services_by_name[name] = _service(name, item)
+            self._services_by_name[name] = _decode_service(name, item)
         except InvalidTableError as error:
             self._findings.append(f"service '{name[:SHOWN]}': {error}")
             self._invalid_services.add(name)
 
-    def _route(self, item: Any) -> Route | ClosedRoute:
+    def _decode_route(self, item: Any) -> Route | ClosedRoute:
         name = str(item.get("name", "?"))[:SHOWN] if isinstance(item, dict) else "?"
         try:
             place = parse_form(forms.RouteKeyForm, item)
@@ -169,13 +169,13 @@
             raise InvalidTableError(f"route '{name}': {error}") from error
         host = place.host.lower()
         try:
-            route = self._read_route(name, host, place.path_prefix, item)
+            route = self._decode_checked_route(name, host, place.path_prefix, item)
         except InvalidTableError as error:
             self._findings.append(f"route '{name}': {error}")
             return ClosedRoute(name, host, place.path_prefix, str(error))
         return route
 
-    def _read_route(self, name: str, host: str, path_prefix: str, item: Any) -> Route:
+    def _decode_checked_route(self, name: str, host: str, path_prefix: str, item: Any) -> Route:
         form = parse_form(forms.RouteForm, item)
         kind = KIND_BY_NAME.get(form.route_kind)
         if kind is None:
@@ -190,7 +190,7 @@
             host=host,
             path_prefix=path_prefix,
             kind=kind,
-            shares=self._shares(form),
+            shares=self._decode_shares(form),
             timeout_s=form.timeout_ms / 1000,
             objective_s=slo_ms / 1000,
             urgency=DEFAULT_URGENCY if form.priority is None else form.priority,
@@ -202,17 +202,17 @@
             is_public=bool(form.public),
         )
 
-    def _shares(self, form: forms.RouteForm) -> tuple[ServiceShare, ...]:
+    def _decode_shares(self, form: forms.RouteForm) -> tuple[ServiceShare, ...]:
         split = form.split or [{"service": form.service, "weight": 1}]
         read = [parse_form(forms.ShareForm, share) for share in split]
         if not any(share.weight for share in read):
             raise InvalidTableError("all weights of 'split' are zero")
-        odd = sorted(self._invalid_services.intersection(share.service for share in read))
-        if odd:
-            raise InvalidTableError(f"its service '{odd[0]}' is invalid")
+        invalid = sorted(self._invalid_services.intersection(share.service for share in read))
+        if invalid:
+            raise InvalidTableError(f"its service '{invalid[0]}' is invalid")
         return tuple(ServiceShare(share.service, float(share.weight)) for share in read)
 
-    def _limits(self) -> RequestLimits:
+    def _decode_limits(self) -> RequestLimits:
         if self._whole.limits is None:
             return RequestLimits()
         try:
@@ -225,7 +225,7 @@
         )
 
 
-def _service(name: str, item: Any) -> ServiceSpec:
+def _decode_service(name: str, item: Any) -> ServiceSpec:
     form = parse_form(forms.ServiceForm, item)
     traits = None
     if form.engine_kind:
--- a/src/bayhinge/_internal/platform/objects_api.py
+++ b/src/bayhinge/_internal/platform/objects_api.py
@@ -50,7 +50,7 @@
 CONFIGURATION_KEY = f"{CONFIGURATION_KIND}/main"
 ENDPOINTS_KIND = "servers"
 RETIREMENTS_KIND = "retirements"
-FOREIGN_KINDS = frozenset({CONFIGURATION_KIND, ENDPOINTS_KIND, RETIREMENTS_KIND})
+EXTERNAL_KINDS = frozenset({CONFIGURATION_KIND, ENDPOINTS_KIND, RETIREMENTS_KIND})
 
 UNREADABLE = b""
 """Value of an object whose ``spec`` is invalid; valid objects are never empty."""
@@ -88,8 +88,12 @@
 
     async def get(self, key: str) -> StoredObject | None:
         """See :class:`ObjectStore`."""
-        answer = await self._call("GET", _path(key), f"get {key}")
-        return None if answer.status == status_codes.HTTP_NOT_FOUND else _stored(key, answer.body)
+        answer = await self._call("GET", _object_path(key), f"get {key}")
+        return (
+            None
+            if answer.status == status_codes.HTTP_NOT_FOUND
+            else _stored_object(key, answer.body)
+        )
 
     async def create(self, key: str, value: bytes) -> StoredObject:
         """See :class:`ObjectStore`."""
@@ -99,7 +103,9 @@
         if answer.status == status_codes.HTTP_CONFLICT:
             raise AlreadyExistsError(key)
         return (
-            _stored(key, answer.body) if "metadata" in answer.body else StoredObject(key, value, 0)
+            _stored_object(key, answer.body)
+            if "metadata" in answer.body
+            else StoredObject(key, value, 0)
         )
 
     async def update(self, key: str, value: bytes, version: int) -> StoredObject:
@@ -109,16 +115,20 @@
             "metadata": {"name": name, "revision": version},
             "spec": _to_spec(kind, value),
         }
-        answer = await self._call("PUT", _path(key), f"update {key}", body)
+        answer = await self._call("PUT", _object_path(key), f"update {key}", body)
         if answer.status in {status_codes.HTTP_CONFLICT, status_codes.HTTP_NOT_FOUND}:
             raise VersionConflictError(key, version)
         return (
-            _stored(key, answer.body) if "metadata" in answer.body else StoredObject(key, value, 0)
+            _stored_object(key, answer.body)
+            if "metadata" in answer.body
+            else StoredObject(key, value, 0)
         )
 
     async def delete(self, key: str, version: int) -> None:
         """See :class:`ObjectStore`."""
-        answer = await self._call("DELETE", f"{_path(key)}?revision={version}", f"delete {key}")
+        answer = await self._call(
+            "DELETE", f"{_object_path(key)}?revision={version}", f"delete {key}"
+        )
         if answer.status in {status_codes.HTTP_CONFLICT, status_codes.HTTP_NOT_FOUND}:
             raise VersionConflictError(key, version)
 
@@ -129,7 +139,7 @@
         answer = await self._call("GET", f"/{kind}{query}", f"list {prefix}")
         body = answer.body
         try:
-            objects = _objects(kind, body["items"])
+            objects = _parse_objects(kind, body["items"])
             return Listing(objects, int(body["timestamp"]), bool(body["has_more"]))
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise _invalid_answer_error(f"list {prefix}", error) from error
@@ -144,7 +154,7 @@
             raise HistoryLostError(prefix, f"changes after revision {after_revision} were removed")
         try:
             revision = int(answer.body["timestamp"])
-            changes = _changes(kind, answer.body["events"])
+            changes = _parse_changes(kind, answer.body["events"])
         except (KeyError, TypeError, ValueError, OverflowError) as error:
             raise _invalid_answer_error(what, error) from error
         return ChangePage(changes, revision)
@@ -157,7 +167,7 @@
         """
         _, _, name = key.partition("/")
         body = {"metadata": {"name": name}, "status": status}
-        await self._call("PUT", f"{_path(key)}/status", f"status of {key}", body)
+        await self._call("PUT", f"{_object_path(key)}/status", f"status of {key}", body)
 
     async def _call(
         self,
@@ -179,14 +189,14 @@
             ) as response:
                 status = response.status
                 text = await response.read()
-            content = _decoded(text) if text else {}
+            content = _decode_json(text) if text else {}
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             self._contact.note_failure(is_silent=isinstance(error, TimeoutError))
             raise StoreUnavailableError(what, str(error) or type(error).__name__) from error
         except (ValueError, RecursionError) as error:
             raise _invalid_answer_error(what, error) from error
         self._record_status(status)
-        return _checked(what, status, content)
+        return _check_status(what, status, content)
 
     def _record_status(self, status: int) -> None:
         is_rate_limited = status == status_codes.HTTP_TOO_MANY_REQUESTS
@@ -196,7 +206,7 @@
             self._contact.note_answer()
 
 
-def _checked(what: str, status: int, content: Any) -> _Answer:
+def _check_status(what: str, status: int, content: Any) -> _Answer:
     if status == status_codes.HTTP_TOO_MANY_REQUESTS:
         raise StoreRateLimitedError(what, RATE_LIMIT_RETRY_S)
     known = {status_codes.HTTP_NOT_FOUND, status_codes.HTTP_CONFLICT, status_codes.HTTP_GONE}
@@ -209,7 +219,7 @@
     return StoreUnavailableError(what, f"invalid answer: {error!r}")
 
 
-def _decoded(text: bytes) -> Any:
+def _decode_json(text: bytes) -> Any:
     """Decodes an answer, even if a string in it contains unpaired surrogates.
 
     Raises:
@@ -224,13 +234,13 @@
         return json.loads(text.decode("utf-8", "surrogateescape"))
 
 
-def _path(key: str) -> str:
+def _object_path(key: str) -> str:
     kind, _, name = key.partition("/")
     return f"/{kind}/{quote(name, safe='')}"
 
 
-def _objects(kind: str, items: Iterable[Any]) -> tuple[StoredObject, ...]:
-    found = [_object(kind, item) for item in items]
+def _parse_objects(kind: str, items: Iterable[Any]) -> tuple[StoredObject, ...]:
+    found = [_parse_object(kind, item) for item in items]
     _log_nameless_objects(kind, found.count(None))
     return tuple(stored for stored in found if stored is not None)
 
@@ -241,7 +251,7 @@
         eliot.log_message("store.nameless_objects", kind=kind, count=count)
 
 
-def _object(kind: str, item: Any) -> StoredObject | None:
+def _parse_object(kind: str, item: Any) -> StoredObject | None:
     """Returns an object, or None if it has no valid name or revision."""
     try:
         name, revision = item["metadata"]["name"], int(item["metadata"]["revision"])
@@ -252,16 +262,18 @@
     return StoredObject(key, _from_spec(kind, item.get("spec")), revision)
 
 
-def _stored(key: str, item: dict[str, Any]) -> StoredObject:
-    found = _object(key.partition("/")[0], item)
+def _stored_object(key: str, item: dict[str, Any]) -> StoredObject:
+    found = _parse_object(key.partition("/")[0], item)
     if found is None:
         raise _invalid_answer_error(f"read {key}", KeyError("metadata"))
     return attrs.evolve(found, key=key)
 
 
-def _changes(kind: str, events: Iterable[Any]) -> tuple[Change, ...]:
+def _parse_changes(kind: str, events: Iterable[Any]) -> tuple[Change, ...]:
     tables = [event if isinstance(event, dict) else {} for event in events]
-    found = [(_object(kind, table.get("object")), bool(table.get("deleted"))) for table in tables]
+    found = [
+        (_parse_object(kind, table.get("object")), bool(table.get("deleted"))) for table in tables
+    ]
     _log_nameless_objects(kind, sum(stored is None for stored, _ in found))
     return tuple(
         Change(stored.key, None if is_gone else stored.value, stored.version, stored.version)
@@ -271,13 +283,13 @@
 
 
 def _to_spec(kind: str, value: bytes) -> Any:
-    return orjson.loads(value) if kind in FOREIGN_KINDS else base64.b64encode(value).decode()
+    return orjson.loads(value) if kind in EXTERNAL_KINDS else base64.b64encode(value).decode()
 
 
 def _from_spec(kind: str, spec: Any) -> bytes:
     """Returns an object's value, or :data:`UNREADABLE` if its ``spec`` is invalid or too long."""
     try:
-        if kind not in FOREIGN_KINDS:
+        if kind not in EXTERNAL_KINDS:
             return base64.b64decode(spec, validate=True)
         value = orjson.dumps(spec)
     except (TypeError, ValueError, binascii.Error):
--- a/src/bayhinge/_internal/platform/settings_file.py
+++ b/src/bayhinge/_internal/platform/settings_file.py
@@ -22,9 +22,9 @@
     whole_number,
 )
 
-UNUSED_ADDRESS = ""
+NO_ADDRESS = ""
 
-PORTS = 2
+PORT_RANGE_LENGTH = 2
 """Length of the setting ``port_range``: the first and the last port."""
 
 
@@ -63,14 +63,14 @@
         return value
 
 
-def _ipv4(_: Any, field: Any, value: Any) -> None:
+def _check_ipv4(_: Any, field: Any, value: Any) -> None:
     if not isinstance(value, str) or not is_ipv4(value):
         raise TypeError(f"'{field.name}' must be an IPv4 address")
 
 
-def _ports(_: Any, field: Any, value: Any) -> None:
+def _check_port_range(_: Any, field: Any, value: Any) -> None:
     check = whole_number(1)
-    if not isinstance(value, list) or len(value) != PORTS:
+    if not isinstance(value, list) or len(value) != PORT_RANGE_LENGTH:
         raise TypeError(f"'{field.name}' must be the first and the last port")
     for port in value:
         check(None, field, port)
@@ -78,9 +78,9 @@
         raise ValueError("two ports are needed, one for UDP heartbeats and one for peer links")
 
 
-_ADDRESS_OR_NONE = validators.or_(ipv4_with_port, validators.in_((UNUSED_ADDRESS,)))
-_TEXTS = validators.deep_iterable(text(0), validators.instance_of(list))
-_REGIONS = validators.deep_mapping(text(), text(0), validators.instance_of(dict))
+_OPTIONAL_ADDRESS = validators.or_(ipv4_with_port, validators.in_((NO_ADDRESS,)))
+_STRING_LIST = validators.deep_iterable(text(0), validators.instance_of(list))
+_STRING_DICT = validators.deep_mapping(text(), text(0), validators.instance_of(dict))
 _FLAG = validators.instance_of(bool)
 
 
@@ -97,19 +97,19 @@
 
 def _read(fields: _Fields) -> SiteSettings:
     read = fields.read
-    first_port = (read("port_range", _ports) or [0])[0]
-    seeds = read("seeds", _TEXTS, [])
+    first_port = (read("port_range", _check_port_range) or [0])[0]
+    seeds = read("seeds", _STRING_LIST, [])
     is_strict = read("bounds.revoke_strict", _FLAG, False)
     revoke_ms = read("bounds.revoke_ms", number(0, is_exclusive=True), 0) if is_strict else 0
     return SiteSettings(
         host=read("node_name", text()),
         hall=read("zone", text()),
         region=read("region", text()),
-        ip=read("ip", _ipv4),
-        region_by_hall=read("zones", _REGIONS, {}),
-        front_address=read("listen.frontend", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
-        ready_address=read("listen.ready", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
-        directory_address=read("listen.directory", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
+        ip=read("ip", _check_ipv4),
+        region_by_hall=read("zones", _STRING_DICT, {}),
+        front_address=read("listen.frontend", _OPTIONAL_ADDRESS, NO_ADDRESS),
+        ready_address=read("listen.ready", _OPTIONAL_ADDRESS, NO_ADDRESS),
+        directory_address=read("listen.directory", _OPTIONAL_ADDRESS, NO_ADDRESS),
         gossip_port=first_port,
         peer_port=first_port + 1,
         seeds=tuple(seed.rpartition(":")[0] for seed in seeds),
--- a/src/bayhinge/_internal/utils/ini.py
+++ b/src/bayhinge/_internal/utils/ini.py
@@ -42,7 +42,7 @@
     sections_by_name: dict[str, IniSection]
 
 
-def _lines(text: str) -> dict[tuple[str, str], int]:
+def _line_numbers(text: str) -> dict[tuple[str, str], int]:
     """Returns the line of each section (key ``""``) and of each key."""
     lines: dict[tuple[str, str], int] = {}
     section = ""
@@ -69,7 +69,7 @@
         return Error(IniProblem(error.lineno or 0, f"key '{error.option}' occurs twice"))
     except configparser.DuplicateSectionError as error:
         return Error(IniProblem(error.lineno or 0, f"section '{error.section}' occurs twice"))
-    lines = _lines(text)
+    lines = _line_numbers(text)
     sections = {
         name: IniSection(
             name,
--- a/src/bayhinge/_internal/utils/log_output.py
+++ b/src/bayhinge/_internal/utils/log_output.py
@@ -23,7 +23,7 @@
 ORDINARY_TYPES = frozenset({"request.served"})
 
 
-_UNUSED = frozenset({"task_uuid", "task_level"})
+_EXCLUDED_FIELDS = frozenset({"task_uuid", "task_level"})
 """Fields that eliot adds to nest actions; actions are not used here."""
 
 
@@ -60,8 +60,8 @@
         self._descriptor = descriptor
         self._host = {"host": host} if host else {}
         self.ordinary = LineBudget(ORDINARY_PER_SECOND)
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._watching: asyncio.AbstractEventLoop | None = None
         self._is_within_line = False
         self.dropped = 0
@@ -72,9 +72,9 @@
         """Writes or buffers one eliot message."""
         if message.get("message_type") in ORDINARY_TYPES and not self._admits_ordinary():
             return
-        fields = {name: value for name, value in message.items() if name not in _UNUSED}
+        fields = {name: value for name, value in message.items() if name not in _EXCLUDED_FIELDS}
         line = orjson.dumps(self._host | fields, default=str, option=orjson.OPT_APPEND_NEWLINE)
-        if self._waiting_bytes + len(line) > BUFFER_BYTES:
+        if self._buffered_bytes + len(line) > BUFFER_BYTES:
             self.dropped += 1
             self._unreported += 1
             return
@@ -88,7 +88,7 @@
 
     def _admits_ordinary(self) -> bool:
         # Half of the buffer is reserved for other lines.
-        has_room = self._waiting_bytes < BUFFER_BYTES // 2
+        has_room = self._buffered_bytes < BUFFER_BYTES // 2
         if has_room and self.ordinary.takes(time.monotonic()):
             return True
         if not has_room:
@@ -97,8 +97,8 @@
 
     def flush(self) -> None:
         """Writes as many buffered lines as possible without blocking."""
-        while self._waiting:
-            line = self._waiting[0]
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
@@ -106,27 +106,27 @@
                 return
             except OSError:
                 # The reader has closed the pipe.
-                self._drop_waiting()
+                self._drop_buffer()
                 break
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             self._is_within_line = written < len(line)
             if written < len(line):
-                self._waiting[0] = line[written:]
+                self._buffer[0] = line[written:]
             else:
-                self._waiting.popleft()
+                self._buffer.popleft()
         self._unwatch()
 
-    def _drop_waiting(self) -> None:
-        self.dropped += len(self._waiting)
-        self._waiting.clear()
-        self._waiting_bytes = 0
+    def _drop_buffer(self) -> None:
+        self.dropped += len(self._buffer)
+        self._buffer.clear()
+        self._buffered_bytes = 0
         if self._is_within_line:
             # Ends the partly written line, so that the next one starts on a line of its own.
             self._enqueue(b"\n")
 
     def _enqueue(self, line: bytes) -> None:
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
 
     def _watch(self) -> None:
         try:
--- a/src/bayhinge/_internal/utils/running_time.py
+++ b/src/bayhinge/_internal/utils/running_time.py
@@ -9,7 +9,7 @@
 
 Result = TypeVar("Result")
 
-STEPS = 8
+SLICES = 8
 """Slices of a timeout. A stall of any length uses up at most one slice, and the loop runs at least
 this many iterations before the timeout; an answer in the socket is delivered within four."""
 
@@ -27,22 +27,22 @@
     if limit_s is None:
         yield
         return
-    async with asyncio.timeout(None) as bound:
-        parts = _TimeoutSlices(bound, limit_s / STEPS)
-        parts.start_next()
+    async with asyncio.timeout(None) as deadline:
+        slices = _TimeoutSlices(deadline, limit_s / SLICES)
+        slices.start_next()
         try:
             yield
         finally:
-            parts.stop()
+            slices.stop()
 
 
 @attrs.define
 class _TimeoutSlices:
     """The remaining slices of a timeout; each starts when the loop sees the previous one end."""
 
-    _bound: asyncio.Timeout
+    _deadline: asyncio.Timeout
     _slice_s: float
-    _slices_left: int = STEPS
+    _slices_left: int = SLICES
     _timer: asyncio.TimerHandle | None = None
 
     def start_next(self) -> None:
@@ -51,7 +51,7 @@
             self._slices_left -= 1
             self._timer = loop.call_later(self._slice_s, self.start_next)
         else:
-            self._bound.reschedule(loop.time())
+            self._deadline.reschedule(loop.time())
 
     def stop(self) -> None:
         if self._timer is not None:
@@ -67,21 +67,21 @@
 
     def __init__(self, limit_s: float) -> None:
         self.left_s = limit_s
-        self._slice_s = limit_s / STEPS
+        self._slice_s = limit_s / SLICES
 
     async def first_of(
         self, waiting: Iterable[asyncio.Task[Result]]
     ) -> tuple[set[asyncio.Task[Result]], set[asyncio.Task[Result]]]:
         """Waits until a task finishes or the time is up; returns the done and the pending tasks."""
         loop = asyncio.get_running_loop()
-        finished: set[asyncio.Task[Result]] = set()
-        left = set(waiting)
-        while self.left_s > 0 and not finished:
+        done: set[asyncio.Task[Result]] = set()
+        pending = set(waiting)
+        while self.left_s > 0 and not done:
             began_s = loop.time()
-            finished, left = await asyncio.wait(
-                left,
+            done, pending = await asyncio.wait(
+                pending,
                 timeout=min(self._slice_s, self.left_s),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             self.left_s -= min(loop.time() - began_s, self._slice_s)
-        return finished, left
+        return done, pending
--- a/tests/unit/test_left_behind_elsewhere.py
+++ b/tests/unit/test_left_behind_elsewhere.py
@@ -158,7 +158,7 @@
     log = LogOutput(writing)
 
     async def main() -> None:
-        while not log._waiting:
+        while not log._buffer:
             log({"message_type": "request.refused", "text": "x" * 900})
 
     asyncio.run(main())
--- a/tests/unit/test_log_output.py
+++ b/tests/unit/test_log_output.py
@@ -36,13 +36,13 @@
         for number in range(20_000):
             log({"message_type": "request.refused", "number": number, "text": "x" * 40})
         assert time.perf_counter() - began < 2.0
-        assert log._waiting_bytes <= BUFFER_BYTES
+        assert log._buffered_bytes <= BUFFER_BYTES
         assert log.dropped > 0
         lines = read_lines(reading)
         for _ in range(50):
             await asyncio.sleep(0.005)
             lines += read_lines(reading)
-        assert not log._waiting
+        assert not log._buffer
         log({"message_type": "request.refused", "number": -1})
         lines += read_lines(reading)
         said = sum(int(str(line["lines"])) for line in lines if "lines" in line)
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -257,10 +257,10 @@
     kind = "hosts" if is_own else "servers"
     good = {"metadata": {"name": "i-well", "revision": 3}, "spec": "d2VsbA=="}
     mixed = [*items, good, {"metadata": {"name": "x", "revision": 1}, "spec": items}]
-    found = objects_api._objects(kind, mixed)
+    found = objects_api._parse_objects(kind, mixed)
     assert f"{kind}/i-well" in {stored.key for stored in found}
     events = [*items, *({"object": item, "deleted": False} for item in mixed)]
-    changes = objects_api._changes(kind, events)
+    changes = objects_api._parse_changes(kind, events)
     assert f"{kind}/i-well" in {change.key for change in changes}
 
 
@@ -270,8 +270,8 @@
     raw = bytes(byte for byte in data if byte >= 0x20 and byte not in b'"\\')
     odd = b'{"metadata":{"name":"i-odd","revision":1},"spec":{"service":"%s"}}' % raw
     well = b'{"metadata":{"name":"i-well","revision":2},"spec":{"slots":4}}'
-    content = objects_api._decoded(b'{"items":[%s,%s]}' % (odd, well))
-    found = objects_api._objects("servers", content["items"])
+    content = objects_api._decode_json(b'{"items":[%s,%s]}' % (odd, well))
+    found = objects_api._parse_objects("servers", content["items"])
     assert [stored.key for stored in found] == ["servers/i-odd", "servers/i-well"]
     assert found[1].value == b'{"slots":4}'
     try:
--- a/tests/unit/test_running_time.py
+++ b/tests/unit/test_running_time.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from bayhinge._internal.utils.running_time import STEPS, RunningBound, running_timeout
+from bayhinge._internal.utils.running_time import SLICES, RunningBound, running_timeout
 
 LIMIT_S = 0.04
 STANDS_STILL_S = 0.1
@@ -72,7 +72,7 @@
         return loop.time() - began_s
 
     took_s = asyncio.run(scenario())
-    assert took_s >= STANDS_STILL_S + LIMIT_S * (STEPS - 2) / STEPS
+    assert took_s >= STANDS_STILL_S + LIMIT_S * (SLICES - 2) / SLICES
 
 
 def test_standing_still_uses_up_one_part_of_the_bound() -> None:
