--- a/src/bayhinge/_internal/network/peer_client.py
+++ b/src/bayhinge/_internal/network/peer_client.py
@@ -82,11 +82,11 @@
             if link is None or not link.is_usable:
                 fresh = await self._connect(address)
                 if link is not None:
-                    self._replace(link, address)
+                    self._retire_link(link, address)
                 self._links_by_address[address] = link = fresh
         return link
 
-    def _replace(self, link: "_ClientLink", address: str) -> None:
+    def _retire_link(self, link: "_ClientLink", address: str) -> None:
         """Retires a suspected connection; open streams on it may still be answered."""
         if link.is_open:
             self.left_silent += 1
