--- a/src/bayhinge/_internal/models/schema.py
+++ b/src/bayhinge/_internal/models/schema.py
@@ -1,6 +1,6 @@
 """Schemas of INI sections: each key with its type, default, bounds and meaning.
 
-The same tables check a text, fill the classes and print the reference pages.
+The same schemas validate a text, fill the settings classes and print the reference pages.
 """
 
 import re
@@ -21,97 +21,97 @@
 _MAX_PORT = 65_535
 
 
-class Kind(ABC, Generic[Value]):
-    """A type of value: reads a text, or says what is wrong with it."""
+class ValueType(ABC, Generic[Value]):
+    """The type of a value: parses and validates its text."""
 
     @abstractmethod
     def read(self, text: str) -> Result[Value, str]:
-        """Returns the value, or the problem."""
+        """Returns the parsed value, or the problem."""
 
     @abstractmethod
     def describe(self) -> str:
-        """Returns the type for the reference page."""
+        """Returns the type's description for the reference page."""
 
 
 @attrs.frozen
-class Text(Kind[str]):
+class Text(ValueType[str]):
     """Any text."""
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return Ok(text.strip())
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "text"
 
 
 @attrs.frozen
-class Name(Kind[str]):
-    """A name of small letters, digits and hyphens."""
+class Name(ValueType[str]):
+    """A name of lowercase letters, digits and hyphens."""
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         name = text.strip()
         if NAME_PATTERN.fullmatch(name) is None:
-            return Error(f"'{name}' is no name: use small letters, digits and hyphens")
+            return Error(f"'{name}' is not a valid name: use lowercase letters, digits and hyphens")
         return Ok(name)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "name"
 
 
 @attrs.frozen
-class Number(Kind[float]):
-    """A number between bounds."""
+class Number(ValueType[float]):
+    """A number between bounds, inclusive."""
 
     least: float
     most: float
 
     def read(self, text: str) -> Result[float, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         try:
             value = float(text)
         except ValueError:
-            return Error(f"'{text}' is no number")
+            return Error(f"'{text}' is not a number")
         if not self.least <= value <= self.most:
             return Error(f"{text} is not between {self.least:g} and {self.most:g}")
         return Ok(value)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return f"number, {self.least:g} to {self.most:g}"
 
 
 @attrs.frozen
-class Whole(Kind[int]):
-    """A whole number between bounds."""
+class Integer(ValueType[int]):
+    """An integer between bounds, inclusive."""
 
     least: int
     most: int
 
     def read(self, text: str) -> Result[int, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         try:
             value = int(text.replace("_", ""))
         except ValueError:
-            return Error(f"'{text}' is no whole number")
+            return Error(f"'{text}' is not a whole number")
         if not self.least <= value <= self.most:
             return Error(f"{text} is not between {self.least} and {self.most}")
         return Ok(value)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return f"whole number, {self.least} to {self.most}"
 
 
 @attrs.frozen
-class Flag(Kind[bool]):
+class Flag(ValueType[bool]):
     """Yes or no."""
 
     def read(self, text: str) -> Result[bool, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         word = text.strip().lower()
         if word in {"yes", "true", "on"}:
             return Ok(True)
@@ -120,123 +120,125 @@
         return Error(f"'{text}' is neither yes nor no")
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "yes or no"
 
 
 @attrs.frozen
-class Choice(Kind[str]):
-    """One of some words."""
+class Choice(ValueType[str]):
+    """One of a fixed set of words."""
 
     words: tuple[str, ...]
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         word = text.strip()
         if word not in self.words:
-            return Error(f"'{word}' is none of {', '.join(self.words)}")
+            return Error(f"'{word}' is not one of {', '.join(self.words)}")
         return Ok(word)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return " or ".join(self.words)
 
 
 @attrs.frozen
-class Names(Kind[tuple[str, ...]]):
+class Names(ValueType[tuple[str, ...]]):
     """Names separated by commas."""
 
     def read(self, text: str) -> Result[tuple[str, ...], str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         names = tuple(part.strip() for part in text.split(",") if part.strip())
         for name in names:
             if NAME_PATTERN.fullmatch(name) is None:
-                return Error(f"'{name}' is no name: use small letters, digits and hyphens")
+                return Error(
+                    f"'{name}' is not a valid name: use lowercase letters, digits and hyphens"
+                )
         return Ok(names)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "names, separated by commas"
 
 
 @attrs.frozen
-class Words(Kind[tuple[str, ...]]):
+class Words(ValueType[tuple[str, ...]]):
     """Words separated by commas."""
 
     def read(self, text: str) -> Result[tuple[str, ...], str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return Ok(tuple(part.strip() for part in text.split(",") if part.strip()))
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "words, separated by commas"
 
 
 @attrs.frozen
-class Digests(Kind[tuple[str, ...]]):
+class Digests(ValueType[tuple[str, ...]]):
     """SHA-256 digests in hexadecimal, separated by commas."""
 
     def read(self, text: str) -> Result[tuple[str, ...], str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         digests = tuple(part.strip().lower() for part in text.split(",") if part.strip())
         for position, digest in enumerate(digests, start=1):
             if _DIGEST.fullmatch(digest) is None:
-                # The text is not repeated: somebody may have put the key itself here.
+                # The value is not shown: it may be the key itself, entered by mistake.
                 return Error(f"digest {position} is not 64 hexadecimal digits")
         return Ok(digests)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "SHA-256 digests in hexadecimal, separated by commas"
 
 
 @attrs.frozen
-class Address(Kind[str]):
-    """An IP number with a port."""
+class Address(ValueType[str]):
+    """An IP address and port."""
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         host, separator, port = text.strip().rpartition(":")
         if not separator or not port.isdigit() or int(port) > _MAX_PORT:
-            return Error(f"'{text}' is no address: write an IP number and a port, 10.0.0.5:8100")
+            return Error(f"'{text}' is not an IP address and port, such as 10.0.0.5:8100")
         if not re.fullmatch(r"[0-9.]+|\[[0-9a-f:]+\]", host):
-            return Error(f"'{host}' is no IP number")
+            return Error(f"'{host}' is not an IP address")
         return Ok(text.strip())
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "IP number and port"
 
 
 @attrs.frozen
-class Url(Kind[str]):
-    """An HTTP address."""
+class Url(ValueType[str]):
+    """An HTTP or HTTPS URL."""
 
     def read(self, text: str) -> Result[str, str]:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         url = text.strip().rstrip("/")
         if not re.match(r"https?://[^/]+", url):
-            return Error(f"'{url}' is no HTTP address")
+            return Error(f"'{url}' is not an HTTP URL")
         return Ok(url)
 
     def describe(self) -> str:
-        """See :class:`Kind`."""
+        """See :class:`ValueType`."""
         return "HTTP address"
 
 
 @attrs.frozen
 class Field:
-    """One key of a section. ``default`` is a text as in the file; None: the key is required."""
+    """One key of a section; ``default`` is INI text, or None if the key is required."""
 
     key: str
-    kind: Kind[Any]
+    kind: ValueType[Any]
     default: str | None
     meaning: str
 
 
 @attrs.frozen
 class SectionSchema:
-    """The keys that a section may have."""
+    """The keys of a section."""
 
     title: str
     fields: tuple[Field, ...]
@@ -247,8 +249,8 @@
 
 
 @attrs.frozen
-class ReadSection:
-    """A section's values by key, defaults included, and which keys stood in the text."""
+class ParsedSection:
+    """A section's parsed values including defaults; ``given`` holds the keys set in the text."""
 
     values_by_key: dict[str, object]
     given: frozenset[str]
@@ -257,7 +259,7 @@
 def check_section(
     schema: SectionSchema, section: IniSection | None, file: str
 ) -> Iterator[Finding]:
-    """Yields what is wrong with a section; None stands for a section that is missing."""
+    """Yields the findings on a section; None stands for a missing section."""
     if section is None:
         missing = [field.key for field in schema.fields if field.default is None]
         if missing:
@@ -280,11 +282,11 @@
             yield Finding(place, "the key is missing", field.meaning)
 
 
-def read_section(schema: SectionSchema, section: IniSection | None) -> ReadSection:
-    """Reads a section that :func:`check_section` found nothing wrong with."""
+def read_section(schema: SectionSchema, section: IniSection | None) -> ParsedSection:
+    """Parses a section that :func:`check_section` has found valid."""
     texts = {} if section is None else section.values_by_key
     values: dict[str, object] = {}
     for field in schema.fields:
         text = texts[field.key].text if field.key in texts else field.default
         values[field.key] = field.kind.read(text or "").ok
-    return ReadSection(values, frozenset(texts))
+    return ParsedSection(values, frozenset(texts))
--- a/src/bayhinge/_internal/models/settings.py
+++ b/src/bayhinge/_internal/models/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: read from INI, checked as a whole."""
+"""The daemon's settings, parsed from an INI file and validated."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -14,12 +14,12 @@
     Digests,
     Field,
     Flag,
+    Integer,
     Name,
     Number,
     SectionSchema,
     Text,
     Url,
-    Whole,
     Words,
     check_section,
     read_section,
@@ -52,8 +52,8 @@
             "240",
             "journal writes of all hosts; a host takes its share, if that is less",
         ),
-        Field("write_burst", Whole(1, 50), "4", "journal writes that may go back to back"),
-        Field("spool_bytes", Whole(100_000, 10**9), "16000000", "records that may wait"),
+        Field("write_burst", Integer(1, 50), "4", "journal writes that may go back to back"),
+        Field("spool_bytes", Integer(100_000, 10**9), "16000000", "records that may wait"),
     ),
 )
 MEMBERSHIP = SectionSchema(
@@ -77,10 +77,10 @@
 LIMITS = SectionSchema(
     "limits",
     (
-        Field("body_bytes", Whole(1_000, 10**8), "16000000", "largest request body"),
-        Field("connections", Whole(1, 100_000), "2000", "callers' connections at once"),
-        Field("history_bytes", Whole(0, 10**10), "64000000", "histories kept in memory"),
-        Field("default_max_tokens", Whole(1, 10**6), "1024", "answer length where none is asked"),
+        Field("body_bytes", Integer(1_000, 10**8), "16000000", "largest request body"),
+        Field("connections", Integer(1, 100_000), "2000", "callers' connections at once"),
+        Field("history_bytes", Integer(0, 10**10), "64000000", "histories kept in memory"),
+        Field("default_max_tokens", Integer(1, 10**6), "1024", "answer length where none is asked"),
         Field("connect_seconds", Number(0.05, 60), "1", "time to connect to an endpoint or host"),
         Field("first_byte_seconds", Number(0.05, 3600), "60", "time to an endpoint's first byte"),
         Field("between_bytes_seconds", Number(0.05, 3600), "20", "silence inside an answer"),
@@ -101,8 +101,8 @@
     "pool",
     (
         Field("models", Words(), None, "models that this pool of engines serves"),
-        Field("cache_tokens", Whole(1_000, 10**9), "1500000", "prefix cache of one engine"),
-        Field("max_running", Whole(1, 10_000), "96", "calls at once on one engine"),
+        Field("cache_tokens", Integer(1_000, 10**9), "1500000", "prefix cache of one engine"),
+        Field("max_running", Integer(1, 10_000), "96", "calls at once on one engine"),
         Field("prefill_tokens_per_second", Number(1, 10**9), "20000", "first guess, then learned"),
         Field("token_seconds", Number(1e-6, 10), "0.02", "time between tokens; first guess"),
         Field("token_target_seconds", Number(1e-6, 60), "0.048", "time between tokens to keep to"),
@@ -121,7 +121,7 @@
     "service",
     (
         Field("repeatable_methods", Words(), "GET, HEAD", "methods that may be run again"),
-        Field("max_running", Whole(1, 10_000), "32", "calls at once on one endpoint"),
+        Field("max_running", Integer(1, 10_000), "32", "calls at once on one endpoint"),
         Field("timeout_seconds", Number(0.05, 3600), "30", "time for one call"),
         Field("hall_local", Flag(), "yes", "prefer endpoints of this hall"),
     ),
@@ -218,7 +218,7 @@
 
 @attrs.frozen
 class ServiceSettings:
-    """A section ``service NAME``: a plain service."""
+    """A section ``service NAME``."""
 
     name: str
     repeatable_methods: tuple[str, ...] = ("GET", "HEAD")
@@ -248,7 +248,7 @@
 
 
 def read_settings_file(path: Path) -> Result[Settings, tuple[Finding, ...]]:
-    """Reads and checks a settings file."""
+    """Reads and validates a settings file."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -257,7 +257,7 @@
 
 
 def read_settings(text: str, file: str) -> Result[Settings, tuple[Finding, ...]]:
-    """Reads and checks settings; all findings are reported together."""
+    """Parses and validates settings; all findings are reported together."""
     parsed = parse_ini(text)
     if parsed.is_error():
         problem = parsed.error
@@ -282,14 +282,14 @@
         if schema_found is None:
             yield Finding(place, "unknown section", "see docs/settings.md")
         elif Name().read(own_name).is_error():
-            yield Finding(place, "the section needs a name", f"write [{title} some-name]")
+            yield Finding(place, "the section needs a valid name", f"write [{title} some-name]")
         else:
             yield from check_section(schema_found, section, file)
     yield from _check_together(document, file)
 
 
 def _check_together(document: IniDocument, file: str) -> Iterator[Finding]:
-    """Checks what only several keys together show."""
+    """Validates constraints that span several keys."""
     membership = document.sections_by_name.get("membership")
     if membership is not None and not any(check_section(MEMBERSHIP, membership, file)):
         values: dict[str, Any] = read_section(MEMBERSHIP, membership).values_by_key
@@ -298,8 +298,8 @@
             line = membership.values_by_key[key].line if key in membership.values_by_key else 0
             yield Finding(
                 Place(file, line, "membership", key),
-                "is less than two beats, so that living hosts would be held dead",
-                "make it three times beat_seconds or more",
+                "is less than two heartbeat intervals, so live hosts would be declared dead",
+                "set it to at least three times beat_seconds",
             )
 
 
--- a/src/bayhinge/_internal/network/event_stream.py
+++ b/src/bayhinge/_internal/network/event_stream.py
@@ -1,4 +1,4 @@
-"""Reads a stream of events (``text/event-stream``) as it passes by."""
+"""Incremental parser of server-sent events (``text/event-stream``)."""
 
 import re
 
@@ -7,63 +7,62 @@
 _BLOCK_END = re.compile(rb"\r?\n\r?\n")
 _FIELD_DATA = b"data"
 _FIELD_ID = b"id"
-_MOST_DIGITS = 18
+_MAX_DIGITS = 18
 
 
 @attrs.frozen
 class StreamEvent:
-    """One event: its id where it has one, and its data without the field's name."""
+    """One event: its id, or None, and its data without field names."""
 
     event_id: bytes | None
     data: bytes
 
     @property
     def number(self) -> int | None:
-        """The id as a number, where it is one."""
+        """The id as a number, or None if it is not one."""
         event_id = self.event_id
-        if event_id is None or not event_id.isdigit() or len(event_id) > _MOST_DIGITS:
+        if event_id is None or not event_id.isdigit() or len(event_id) > _MAX_DIGITS:
             return None
         return int(event_id)
 
 
 class EventReader:
-    """Cuts pieces of a stream into events, wherever the pieces are cut."""
+    """Splits a stream into events, however it is split into pieces."""
 
     def __init__(self) -> None:
-        """Starts before the first byte."""
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, piece: bytes) -> list[StreamEvent]:
-        """Returns the events that end in this piece."""
+        """Returns the events that are completed by this piece."""
         return [event for _, event in self.feed_blocks(piece) if event is not None]
 
     def feed_blocks(self, piece: bytes) -> list[tuple[bytes, StreamEvent | None]]:
-        """Returns the blocks that end in this piece, as they came, each with its event.
+        """Returns the raw blocks that are completed by this piece, each with its event.
 
-        A block without data, such as a comment, has no event.
+        The event is None for a block without data, such as a comment.
         """
-        text = self._rest + piece
+        text = self._buffer + piece
         blocks: list[tuple[bytes, StreamEvent | None]] = []
         start = 0
         for end in _BLOCK_END.finditer(text):
             block = text[start : end.end()]
-            blocks.append((block, _read(block.replace(b"\r\n", b"\n").strip(b"\n"))))
+            blocks.append((block, _parse_block(block.replace(b"\r\n", b"\n").strip(b"\n"))))
             start = end.end()
-        self._rest = text[start:]
+        self._buffer = text[start:]
         return blocks
 
     @property
     def is_between_events(self) -> bool:
-        """Whether the last piece ended with an event's end."""
-        return not self._rest.strip()
+        """Whether the last piece ended at the end of an event."""
+        return not self._buffer.strip()
 
     @property
     def cut_bytes(self) -> int:
-        """Bytes of an event whose end has not come."""
-        return len(self._rest)
+        """Bytes received of an incomplete event."""
+        return len(self._buffer)
 
 
-def _read(block: bytes) -> StreamEvent | None:
+def _parse_block(block: bytes) -> StreamEvent | None:
     data: list[bytes] = []
     event_id: bytes | None = None
     for line in block.split(b"\n"):
--- a/src/bayhinge/_internal/network/peer_client.py
+++ b/src/bayhinge/_internal/network/peer_client.py
@@ -1,4 +1,4 @@
-"""The asking side of the link between hosts, and how it leaves connections that fell silent."""
+"""The client side of the links between hosts, which replaces unresponsive connections."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -13,16 +13,15 @@
 from bayhinge._internal.wire.frames.ttypes import Frame, FrameKind
 from bayhinge.coordination.clock import HybridClock
 
-UNHEARD_S = 0.03
-"""A call that waits for so long, with nothing heard over its connection meanwhile, makes the
-connection doubtful once it is given up or hedged: ten times the way between halls and back."""
+SUSPECT_AFTER_S = 0.03
+"""If a call is cancelled or hedged after waiting this long without any data on its connection, the
+connection is suspected. Ten times the round trip between halls."""
 
 
 class PeerClient(Peers):
-    """The connections to all peers, opened when first needed."""
+    """Connections to all peers, opened on first use."""
 
     def __init__(self, clock: HybridClock, connect_s: float) -> None:
-        """Takes the clock whose stamps go with each frame, and the time to connect."""
         self._clock = clock
         self._connect_s = connect_s
         self._links_by_address: dict[str, _ClientLink] = {}
@@ -31,13 +30,8 @@
     async def stream(
         self, address: str, method: str, payload: bytes
     ) -> AsyncGenerator[bytes, None]:
-        """Opens a stream and yields the answer's messages.
-
-        Raises:
-            PeerUnreachableError: there is no connection, or it broke before the end.
-            PeerFailureError: the peer answered with a failure.
-        """
-        link = await self._link(address)
+        """See :class:`Peers`."""
+        link = await self._get_link(address)
         stream = link.open(method, payload)
         try:
             while True:
@@ -50,8 +44,8 @@
             link.close_stream(stream)
 
     async def call(self, address: str, method: str, payload: bytes) -> bytes:
-        """See :class:`Peers`; without the cost of a generator."""
-        link = await self._link(address)
+        """See :class:`Peers`; overridden to avoid the cost of a generator."""
+        link = await self._get_link(address)
         stream = link.open(method, payload)
         answer = b""
         try:
@@ -70,15 +64,15 @@
         if link is None or not link.is_open:
             return True
         link.doubt()
-        # Another call may have had it replaced a moment ago.
-        return link.is_doubtful or link.made_s > began_s
+        # Another call may have replaced the connection already.
+        return link.is_suspected or link.connected_at_s > began_s
 
     async def close(self) -> None:
         """Closes every connection."""
         for link in list(self._links_by_address.values()):
             link.abort()
 
-    async def _link(self, address: str) -> "_ClientLink":
+    async def _get_link(self, address: str) -> "_ClientLink":
         link = self._links_by_address.get(address)
         if link is not None and link.is_usable:
             return link
@@ -88,12 +82,12 @@
             if link is None or not link.is_usable:
                 fresh = await self._connect(address)
                 if link is not None:
-                    self._leave(link, address)
+                    self._retire_link(link, address)
                 self._links_by_address[address] = link = fresh
         return link
 
-    def _leave(self, link: "_ClientLink", address: str) -> None:
-        """Gives a doubtful connection up; what waits on it may still get its answer."""
+    def _retire_link(self, link: "_ClientLink", address: str) -> None:
+        """Retires a suspected connection; open streams on it may still be answered."""
         if link.is_open:
             self.left_silent += 1
             eliot.log_message("peer.left_silent_connection", address=address)
@@ -113,7 +107,7 @@
 
 
 class _Stream:
-    """One stream on the asking side; None among its frames means that the connection broke."""
+    """One stream on the client side; a None frame means that the connection broke."""
 
     def __init__(self, number: int, opened_s: float) -> None:
         self.number = number
@@ -131,37 +125,41 @@
 
 
 class _ClientLink(PeerLink):
-    """One connection to a peer, on the asking side."""
+    """One connection to a peer, on the client side."""
 
     def __init__(self, clock: HybridClock) -> None:
         super().__init__(clock)
         self._stream_by_number: dict[int, _Stream] = {}
-        self._newest = 0
+        self._last_stream_number = 0
         self._is_retired = False
-        self.is_doubtful = False
+        self.is_suspected = False
 
     @property
     def is_usable(self) -> bool:
-        return self.is_open and not self.is_doubtful
+        return self.is_open and not self.is_suspected
 
     def doubt(self) -> None:
-        """Marks the connection where it worked once, and leaves a call alone for too long."""
+        """Suspects the connection if it has worked before and a call has waited too long."""
         for stream in self._stream_by_number.values():
-            self._doubt_by(stream)
+            self._suspect_if_silent(stream)
 
-    def _doubt_by(self, stream: _Stream) -> None:
+    def _suspect_if_silent(self, stream: _Stream) -> None:
         now = asyncio.get_running_loop().time()
-        has_waited = now - stream.opened_s >= UNHEARD_S
-        if has_waited and self.heard_s is not None and self.heard_s <= stream.opened_s:
-            self.is_doubtful = True
+        has_waited = now - stream.opened_s >= SUSPECT_AFTER_S
+        if (
+            has_waited
+            and self.last_received_s is not None
+            and self.last_received_s <= stream.opened_s
+        ):
+            self.is_suspected = True
 
     def retire(self) -> None:
-        """Takes no more streams; closes once those that are open have ended."""
+        """Closes the connection once its open streams have ended."""
         self._is_retired = True
         self._close_if_done()
 
     def data_received(self, data: bytes) -> None:
-        self.is_doubtful = False
+        self.is_suspected = False
         super().data_received(data)
         self._close_if_done()
 
@@ -170,9 +168,11 @@
             self.abort()
 
     def open(self, method: str, payload: bytes) -> _Stream:
-        self._newest += 1
+        self._last_stream_number += 1
         opened_s = asyncio.get_running_loop().time()
-        stream = self._stream_by_number[self._newest] = _Stream(self._newest, opened_s)
+        stream = self._stream_by_number[self._last_stream_number] = _Stream(
+            self._last_stream_number, opened_s
+        )
         self._send(stream.number, FrameKind.OPEN, method, payload)
         return stream
 
@@ -180,14 +180,14 @@
         if self._stream_by_number.pop(stream.number, None) is None:
             return
         self._send(stream.number, FrameKind.CANCEL, None, None)
-        self._doubt_by(stream)
+        self._suspect_if_silent(stream)
         self._close_if_done()
 
     def abort(self) -> None:
         super().abort()
-        self._lost()
+        self._on_connection_lost()
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         stream = self._stream_by_number.get(frame.stream)
         if stream is None:
             return
@@ -195,7 +195,7 @@
             del self._stream_by_number[frame.stream]
         stream.frames.put_nowait(frame)
 
-    def _lost(self) -> None:
+    def _on_connection_lost(self) -> None:
         for stream in self._stream_by_number.values():
             stream.frames.put_nowait(None)
         self._stream_by_number.clear()
--- a/src/bayhinge/_internal/network/peer_link.py
+++ b/src/bayhinge/_internal/network/peer_link.py
@@ -1,12 +1,11 @@
-"""The link between hosts: many streams over one TCP connection to each peer.
+"""The link between hosts: many streams multiplexed over one TCP connection to each peer.
 
-A stream is opened with a method and a message. The peer answers with any number
-of data messages and one end or failure. Either side may break: a client that goes
-cancels its streams, and a lost connection fails all of them. An end may carry the last
-message, so that a call with one answer takes one frame each way.
+A stream is opened with a method and a message. The peer answers with any number of data messages
+and one END or FAIL frame. A client can cancel its streams, and a lost connection fails all of
+them. An END frame may carry the last message, so that a unary call takes one frame each way.
 
-Frames are taken where their bytes arrive, without readers or tasks between: a host of a
-large site makes some hundred calls a second, and each turn of the loop costs.
+Frames are handled directly in ``data_received``, without stream readers or tasks, to save event
+loop iterations: a host of a large site makes hundreds of calls per second.
 """
 
 import asyncio
@@ -15,19 +14,19 @@
 
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.network.frames import FrameSplitter, encode_frame
-from bayhinge._internal.utils.silence import bound_silence
+from bayhinge._internal.utils.silence import set_tcp_timeouts
 from bayhinge._internal.wire.frames.ttypes import Frame, FrameKind
 from bayhinge.coordination.clock import HybridClock
 
 logger = logging.getLogger(__name__)
 
-UNACKNOWLEDGED_S = 1.0
-"""Sent bytes that stay without an acknowledgement for so long end a connection. A lost packet is
-sent again after 0.2 s and 0.6 s, so two losses in a row do not end one."""
+TCP_USER_TIMEOUT_S = 1.0
+"""TCP user timeout; longer than the first two retransmissions (after 0.2 s and 0.6 s), so that two
+consecutive packet losses do not end a connection."""
 
 
 class PeerLink(asyncio.Protocol, ABC):
-    """One connection: frames in, frames out."""
+    """One connection that sends and receives frames."""
 
     def __init__(self, clock: HybridClock) -> None:
         self._clock = clock
@@ -36,25 +35,25 @@
         self._may_write = asyncio.Event()
         self._may_write.set()
         self.is_open = True
-        self.made_s = 0.0
-        self.heard_s: float | None = None
+        self.connected_at_s = 0.0
+        self.last_received_s: float | None = None
 
     # ---- called by the transport ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self.made_s = asyncio.get_running_loop().time()
+        self.connected_at_s = asyncio.get_running_loop().time()
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            bound_silence(sock, UNACKNOWLEDGED_S)
+            set_tcp_timeouts(sock, TCP_USER_TIMEOUT_S)
 
     def data_received(self, data: bytes) -> None:
-        self.heard_s = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
         try:
             for frame in self._splitter.feed(data):
                 self._clock.observe(frame.clock)
-                self._take(frame)
+                self._handle_frame(frame)
         except FrameError as error:
             logger.warning("%s", error)
             self.abort()
@@ -68,7 +67,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.is_open = False
         self._may_write.set()
-        self._lost()
+        self._on_connection_lost()
 
     # ---- for both sides ----
 
@@ -84,8 +83,8 @@
             frame = Frame(stream, kind, self._clock.tick(), method, payload)
             self._transport.write(encode_frame(frame))
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         raise NotImplementedError
 
-    def _lost(self) -> None:
+    def _on_connection_lost(self) -> None:
         raise NotImplementedError
--- a/src/bayhinge/_internal/platform/call_format.py
+++ b/src/bayhinge/_internal/platform/call_format.py
@@ -1,11 +1,11 @@
-"""Headers of calls: decoded once into the product's types, and encoded again."""
+"""Conversion between the platform's HTTP headers and the types of the models package."""
 
 import math
 
 from bayhinge._internal.models.account_keys import hash_key
 from bayhinge._internal.models.routed_requests import (
     AnswerMarks,
-    HeadFinding,
+    HeaderFinding,
     PromptPart,
     RawHeaders,
     RequestField,
@@ -28,11 +28,10 @@
 CREDENTIALS = b"authorization"
 ACCOUNT = b"bayhinge-tenant"
 
-MOST_COUNTED = 2**53
-"""Larger counts of tokens or events are taken as this many, so that their sums stay whole numbers
-of 64 bits on every host."""
+MAX_COUNT = 2**53
+"""Larger counts of tokens or events are clamped to this, so that sums fit into 64 bits."""
 
-SET_BY_US = frozenset(
+RESERVED_HEADERS = frozenset(
     {
         DEADLINE,
         b"bayhinge-expect-instance",
@@ -47,9 +46,9 @@
         ACCOUNT,
     }
 )
-"""What a caller must not set: the system speaks to endpoints with these."""
+"""Headers that are removed from callers' requests because they are set here for endpoints."""
 
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -62,12 +61,12 @@
         b"expect",
     }
 )
-"""What concerns one connection alone, and the length, which is written anew."""
+"""Hop-by-hop headers, and Content-Length, which is set anew."""
 
 _TURN = RequestField.TURN
 _RESUME = RequestField.RESUME
-_MOST_DIGITS = 18
-_SHOWN_BYTES = 40
+_MAX_DIGITS = 18
+_MAX_SHOWN_BYTES = 40
 
 MISDIRECTED = 421
 LOWEST_URGENCY = 9
@@ -82,12 +81,12 @@
         attempt = value_by_name.get(ATTEMPT, b"").decode("latin-1")
         if not attempt:
             return None
-        dropped = ONE_CONNECTION | SET_BY_US | _named_by_connection(value_by_name)
+        dropped = HOP_BY_HOP_HEADERS | RESERVED_HEADERS | _connection_header_names(value_by_name)
         kept = tuple(header for header in headers if header[0].lower() not in dropped)
         credentials = tuple(header for header in headers if header[0].lower() == CREDENTIALS)
-        deadline_ms = _number(value_by_name.get(DEADLINE))
+        deadline_ms = _parse_number(value_by_name.get(DEADLINE))
         host = value_by_name.get(b"host", b"").decode("latin-1")
-        findings: list[HeadFinding] = []
+        findings: list[HeaderFinding] = []
         return RoutedRequest(
             method=method,
             target=target,
@@ -95,13 +94,15 @@
             headers=tuple(header for header in kept if header[0].lower() != CREDENTIALS),
             attempt=attempt,
             patience_s=None if deadline_ms is None else deadline_ms / 1000,
-            turn=_turn(value_by_name, findings),
-            parts=_parts(value_by_name.get(PARTS, b"")),
+            turn=_parse_turn(value_by_name, findings),
+            parts=_parse_prompt_parts(value_by_name.get(PARTS, b"")),
             affinity=value_by_name.get(AFFINITY, b"").decode("latin-1") or None,
-            resume_after=_count(value_by_name.get(RESUME), "Last-Event-Id", _RESUME, findings),
+            resume_after=_parse_count(
+                value_by_name.get(RESUME), "Last-Event-Id", _RESUME, findings
+            ),
             findings=tuple(findings),
             credentials=credentials if CREDENTIALS not in dropped else (),
-            key_sha256=_key_sha256(credentials),
+            key_sha256=_key_digest(credentials),
         )
 
     def request_head(
@@ -141,12 +142,12 @@
             not_run=NOT_RUN in value_by_name,
             wrong_instance=status == MISDIRECTED,
             is_encoded=b"content-encoding" in value_by_name,
-            idle_s=_idle_s(value_by_name.get(b"keep-alive")),
+            idle_s=_parse_keepalive_timeout(value_by_name.get(b"keep-alive")),
         )
 
     def answer_headers(self, headers: RawHeaders) -> RawHeaders:
         """See :class:`CallFormat`."""
-        dropped = ONE_CONNECTION | {b"date", b"server"}
+        dropped = HOP_BY_HOP_HEADERS | {b"date", b"server"}
         return tuple(header for header in headers if header[0].lower() not in dropped)
 
     def refusal_headers(self, attempt: str | None, retry_after_s: float | None) -> RawHeaders:
@@ -159,8 +160,8 @@
         return tuple(headers)
 
 
-def _key_sha256(credentials: RawHeaders) -> str | None:
-    """Returns the digest of the caller's key; None where it is not sure which one it means."""
+def _key_digest(credentials: RawHeaders) -> str | None:
+    """Returns the digest of the caller's bearer key, or None unless there is exactly one."""
     if len(credentials) != 1:
         return None
     scheme, _, key = credentials[0][1].strip().partition(b" ")
@@ -170,12 +171,12 @@
     return hash_key(key.decode("utf-8", "surrogateescape"))
 
 
-def _named_by_connection(value_by_name: dict[bytes, bytes]) -> frozenset[bytes]:
+def _connection_header_names(value_by_name: dict[bytes, bytes]) -> frozenset[bytes]:
     names = value_by_name.get(b"connection", b"").split(b",")
     return frozenset(name.strip().lower() for name in names)
 
 
-def _number(value: bytes | None) -> float | None:
+def _parse_number(value: bytes | None) -> float | None:
     if value is None:
         return None
     try:
@@ -185,32 +186,34 @@
     return number if math.isfinite(number) else None
 
 
-def _count(
-    value: bytes | None, name: str, field: RequestField, findings: list[HeadFinding]
+def _parse_count(
+    value: bytes | None, name: str, field: RequestField, findings: list[HeaderFinding]
 ) -> int | None:
-    """Decodes a whole number; another value leaves None and a finding."""
+    """Parses a whole number; an invalid value yields None and adds a finding."""
     if value is None:
         return None
     text = value.strip()
     if text.isdigit():
-        # Longer ones are not decoded at all: the time for that grows with their square.
-        return MOST_COUNTED if len(text) > _MOST_DIGITS else min(MOST_COUNTED, int(text))
-    shown = text[:_SHOWN_BYTES].decode("latin-1")
-    findings.append(HeadFinding(field, f"{name}: '{shown}' is no whole number"))
+        # Long digit strings are not parsed, since int() takes quadratic time.
+        return MAX_COUNT if len(text) > _MAX_DIGITS else min(MAX_COUNT, int(text))
+    shown = text[:_MAX_SHOWN_BYTES].decode("latin-1")
+    findings.append(HeaderFinding(field, f"{name}: '{shown}' is not a whole number"))
     return None
 
 
-def _turn(value_by_name: dict[bytes, bytes], findings: list[HeadFinding]) -> TurnContext | None:
+def _parse_turn(
+    value_by_name: dict[bytes, bytes], findings: list[HeaderFinding]
+) -> TurnContext | None:
     program = value_by_name.get(PROGRAM)
     if program is None:
         return None
-    budget = _count(value_by_name.get(BUDGET), "Bayhinge-Token-Budget", _TURN, findings)
+    budget = _parse_count(value_by_name.get(BUDGET), "Bayhinge-Token-Budget", _TURN, findings)
     usage = value_by_name.get(USAGE, b"")
     _, _, most = usage.partition(b",")
-    most_tokens = _count(most or None, "Bayhinge-Token-Usage", _TURN, findings)
+    most_tokens = _parse_count(most or None, "Bayhinge-Token-Usage", _TURN, findings)
     if most_tokens is None and budget is not None and not findings:
-        why = "Bayhinge-Token-Usage: a turn with a budget must say how many tokens it emits at most"
-        findings.append(HeadFinding(_TURN, why))
+        why = "Bayhinge-Token-Usage: a turn with a token budget must state its output token limit"
+        findings.append(HeaderFinding(_TURN, why))
     previous = value_by_name.get(PREVIOUS)
     return TurnContext(
         program=program.decode("latin-1"),
@@ -220,16 +223,16 @@
     )
 
 
-def _parts(value: bytes) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: bytes) -> tuple[PromptPart, ...]:
     parts: list[PromptPart] = []
     for item in value.decode("latin-1").split(","):
         name, _, tokens = item.strip().partition(":")
-        if name and tokens.isdecimal() and len(tokens) <= _MOST_DIGITS:
+        if name and tokens.isdecimal() and len(tokens) <= _MAX_DIGITS:
             parts.append(PromptPart(name, int(tokens)))
     return tuple(parts)
 
 
-def _idle_s(value: bytes | None) -> float | None:
+def _parse_keepalive_timeout(value: bytes | None) -> float | None:
     if value is None:
         return None
     for item in value.decode("latin-1").split(","):
--- a/src/bayhinge/_internal/platform/disk_program.py
+++ b/src/bayhinge/_internal/platform/disk_program.py
@@ -1,25 +1,23 @@
-"""The program of a disk host: the product's host with the platform's requests to empty it."""
+"""The disk program: a disk host that also follows the platform's retirement requests."""
 
 from mode import Service
 
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.platform.objects_api import RETIREMENTS_KIND, PlatformObjects
-from bayhinge._internal.platform.retirements import RetirementDesk
+from bayhinge._internal.platform.retirements import RetirementListener
 from bayhinge._internal.services.disks.disk_host import DiskHost
 from bayhinge._internal.services.keep_running import keep_running
 from bayhinge._internal.services.key_follower import KeyFollower
 
 RETIREMENT_WAIT_S = 6.0
-"""Wait of one watch call for retirements. A watch that hung through an outage that its disk did not
-notice is found at its end, and a disk is to be emptied within seconds. Against a wait of 20 s it
-costs 0.12 calls a second more for each disk."""
+"""Long-poll time of one watch call for retirements. Short, because a watch that hangs through an
+outage is only detected at its end, and retirements should start within seconds."""
 
 
 class DiskProgram(Service):
-    """A disk host with the platform's requests to empty it."""
+    """A disk host that follows the platform's retirement requests."""
 
     def __init__(self, settings: SiteSettings) -> None:
-        """Takes the settings."""
         super().__init__()
         self._store = PlatformObjects(settings.store_address)
         self._disk = DiskHost(settings, self._store)
@@ -27,12 +25,12 @@
             self._store,
             f"{RETIREMENTS_KIND}/",
             lambda: RETIREMENT_WAIT_S,
-            RetirementDesk(self._store, self._disk),
+            RetirementListener(self._store, self._disk),
             self._disk.peers,
         )
 
     async def on_start(self) -> None:
-        """Starts the host and follows requests to empty it."""
+        """Starts the host and follows retirement requests."""
         await self._disk.start()
         self.add_future(keep_running("follow retirements", self._follower.run))
 
--- a/src/bayhinge/_internal/platform/early_listening.py
+++ b/src/bayhinge/_internal/platform/early_listening.py
@@ -1,4 +1,4 @@
-"""Listens for callers before the host's program is loaded."""
+"""Opens the listening sockets for callers before the host's program is loaded."""
 
 import os
 import sys
@@ -9,21 +9,20 @@
 
 SETTINGS_VARIABLE = "BAYHINGE_NODE_FILE"
 
-LISTENED = ("frontend", "directory")
-"""Not the address of readiness: a host that is loading must not count as ready."""
+EARLY_LISTEN_KEYS = ("frontend", "directory")
+"""Listening addresses to open early; not the readiness address, as a loading host is not ready."""
 
 
 def listen_early() -> EarlySockets:
-    """Listens at the addresses that the settings name.
+    """Listens at the addresses in the settings file.
 
-    Anything that is wrong is left to the program itself, which reads the settings with care and
-    says what to mend.
+    Errors are only printed, since the program itself validates the settings and reports findings.
     """
     sockets = EarlySockets()
     try:
         with Path(os.environ.get(SETTINGS_VARIABLE, "")).open("rb") as file:
             addresses = tomllib.load(file)["listen"]
-        for name in LISTENED:
+        for name in EARLY_LISTEN_KEYS:
             if addresses.get(name):
                 sockets.open(addresses[name])
     except (OSError, ArithmeticError, LookupError, ValueError, TypeError, AttributeError) as error:
--- a/src/bayhinge/_internal/platform/entry_calls.py
+++ b/src/bayhinge/_internal/platform/entry_calls.py
@@ -1,4 +1,4 @@
-"""The platform's own calls to an entry host: readiness, and where callers should go."""
+"""HTTP endpoints of an entry host for the platform: readiness, address lookup and metrics."""
 
 from urllib.parse import parse_qs
 
@@ -11,17 +11,16 @@
 METRICS_PATH = "/metrics"
 READY_PATH = "/-/readyz"
 RESOLVE_PATH = "/-/resolve"
-MOST_ADDRESSES = 64
+MAX_ADDRESSES = 64
 
 _TEXT = ((b"Content-Type", b"text/plain; version=0.0.4"),)
 _JSON = ((b"Content-Type", b"application/json"),)
 
 
 class EntryCalls(ExchangeHandler):
-    """Answers both calls, on whichever address they come."""
+    """Serves readiness, address lookup and metrics, on any of their addresses."""
 
     def __init__(self, gateway: Gateway) -> None:
-        """Takes the host that is asked about."""
         self._gateway = gateway
 
     async def handle(self, exchange: Exchange) -> None:
@@ -32,7 +31,7 @@
             status = status_codes.HTTP_OK if ready else status_codes.HTTP_UNAVAILABLE
             await exchange.respond(status, (), b"")
         elif path == METRICS_PATH:
-            # Loaded when first asked for: most hosts are looked at rarely, memory is paid for.
+            # Imported on first use, to save memory on hosts whose metrics are not scraped.
             from bayhinge._internal.services.gateway.figures import entry_metrics
 
             await exchange.respond(status_codes.HTTP_OK, _TEXT, entry_metrics(self._gateway))
@@ -45,7 +44,7 @@
         values = parse_qs(query)
         hall = values.get("zone", [""])[0]
         region = values.get("region", [""])[0]
-        addresses = self._gateway.addresses(hall, region)[:MOST_ADDRESSES]
+        addresses = self._gateway.addresses(hall, region)[:MAX_ADDRESSES]
         if not addresses:
             await exchange.respond(status_codes.HTTP_UNAVAILABLE, (), b"")
             return
--- a/src/bayhinge/_internal/platform/object_forms.py
+++ b/src/bayhinge/_internal/platform/object_forms.py
@@ -1,7 +1,6 @@
 """The forms of the platform's objects, with the type and range of each field.
 
-The classes have no more methods than they need: making all of them takes 8.6 ms of a start in place
-of 13.8 ms with the usual ones (medians of seven imports each).
+attrs generates neither ``__eq__`` nor ``__repr__`` nor slots for them, to reduce start-up time.
 """
 
 from typing import Any
@@ -19,22 +18,22 @@
 READY = "ready"
 DRAINING = "draining"
 
-_FLAG = validators.optional(validators.instance_of(bool))
+_OPTIONAL_BOOL = validators.optional(validators.instance_of(bool))
 
 
-def _optional_table(_: Any, field: Any, value: Any) -> None:
+def _check_optional_table(_: Any, field: Any, value: Any) -> None:
     if value is not None and not isinstance(value, dict):
         raise TypeError(f"'{field.name}' must be a table")
 
 
-def _list(_: Any, field: Any, value: Any) -> None:
+def _check_list(_: Any, field: Any, value: Any) -> None:
     if not isinstance(value, list):
         raise TypeError(f"'{field.name}' must be a list")
 
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class EntryForm:
-    """An endpoint's entry. ``born`` is the Unix millisecond of its start, 0 where it isn't said."""
+    """An endpoint's entry; ``born`` is its start time in Unix milliseconds, 0 if unknown."""
 
     service: str = attrs.field(validator=text())
     address: str = attrs.field(validator=ipv4_with_port)
@@ -49,18 +48,20 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class ConfigurationForm:
-    """The configuration as a whole; ``limits`` is checked by itself."""
+    """The whole configuration; ``limits`` is validated separately."""
 
     version: int = attrs.field(validator=whole_number(0))
-    routes: list[Any] = attrs.field(validator=_list)
-    services: list[Any] = attrs.field(validator=_list)
+    routes: list[Any] = attrs.field(validator=_check_list)
+    services: list[Any] = attrs.field(validator=_check_list)
     limits: Any = None
-    tenants: list[Any] | None = attrs.field(default=None, validator=validators.optional(_list))
+    tenants: list[Any] | None = attrs.field(
+        default=None, validator=validators.optional(_check_list)
+    )
 
 
 @attrs.frozen(slots=False, eq=False, repr=False)
-class PlaceForm:
-    """Where a route stands. Every prefix begins and ends with a slash."""
+class RouteKeyForm:
+    """The host and path prefix of a route; a prefix begins and ends with a slash."""
 
     host: str = attrs.field(validator=text())
     path_prefix: str = attrs.field(
@@ -70,29 +71,29 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class RouteForm:
-    """What a route says besides its place; null is as if the field were not there."""
+    """The other fields of a route; null means absent."""
 
     route_kind: str = attrs.field(validator=text())
-    timeout_ms: float = attrs.field(validator=number(0, is_above=True))
+    timeout_ms: float = attrs.field(validator=number(0, is_exclusive=True))
     slo_ms: float | None = attrs.field(
-        default=None, validator=validators.optional(number(0, is_above=True))
+        default=None, validator=validators.optional(number(0, is_exclusive=True))
     )
     priority: int | None = attrs.field(default=None, validator=validators.optional(whole_number(0)))
     attempts: int | None = attrs.field(default=None, validator=validators.optional(whole_number(0)))
-    retained: bool | None = attrs.field(default=None, validator=_FLAG)
+    retained: bool | None = attrs.field(default=None, validator=_OPTIONAL_BOOL)
     retention_s: float | None = attrs.field(default=None, validator=validators.optional(number(0)))
-    resumable: bool | None = attrs.field(default=None, validator=_FLAG)
+    resumable: bool | None = attrs.field(default=None, validator=_OPTIONAL_BOOL)
     gap_slo_ms: float | None = attrs.field(
-        default=None, validator=validators.optional(number(0, is_above=True))
+        default=None, validator=validators.optional(number(0, is_exclusive=True))
     )
     service: str | None = attrs.field(default=None, validator=validators.optional(text()))
-    split: list[Any] | None = attrs.field(default=None, validator=validators.optional(_list))
-    public: bool | None = attrs.field(default=None, validator=_FLAG)
+    split: list[Any] | None = attrs.field(default=None, validator=validators.optional(_check_list))
+    public: bool | None = attrs.field(default=None, validator=_OPTIONAL_BOOL)
 
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class AccountForm:
-    """What a client account says besides its keys; null is as if the field were not there."""
+    """The fields of a client account except its keys; null means absent."""
 
     name: str = attrs.field(validator=validators.and_(text(), validators.matches_re(r"[!-~]+")))
     rate_per_s: float | None = attrs.field(default=None, validator=validators.optional(number(0)))
@@ -109,17 +110,17 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class ServiceForm:
-    """A service of the configuration; null is as if the field were not there."""
+    """A service of the configuration; null means absent."""
 
     max_conns: int | None = attrs.field(
         default=None, validator=validators.optional(whole_number(0))
     )
-    engine_kind: dict[str, Any] | None = attrs.field(default=None, validator=_optional_table)
+    engine_kind: dict[str, Any] | None = attrs.field(default=None, validator=_check_optional_table)
 
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class EngineForm:
-    """What the engines of a service have in common."""
+    """Properties shared by all engines of a service."""
 
     slots: int = attrs.field(validator=whole_number(1))
     kv_capacity: float = attrs.field(validator=number(0))
@@ -128,7 +129,7 @@
 
 @attrs.frozen(slots=False, eq=False, repr=False)
 class LimitsForm:
-    """What callers may send."""
+    """Limits on callers' requests."""
 
     max_body_bytes: int | None = attrs.field(
         default=None, validator=validators.optional(whole_number(0))
--- a/src/bayhinge/_internal/platform/object_reader.py
+++ b/src/bayhinge/_internal/platform/object_reader.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's objects: the configuration, and the entries of endpoints."""
+"""Decodes the platform's objects: the configuration and the endpoint entries."""
 
 import re
 from typing import Any
@@ -16,8 +16,8 @@
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.routing import (
     ClosedRoute,
-    EngineTraits,
-    FrontLimits,
+    EngineSpec,
+    RequestLimits,
     Route,
     RouteKind,
     RoutingTable,
@@ -27,7 +27,7 @@
 from bayhinge._internal.platform import object_forms as forms
 from bayhinge._internal.platform.objects_api import CONFIGURATION_KEY
 from bayhinge._internal.services.gateway.outside import ObjectReader
-from bayhinge._internal.utils.checked_fields import SHOWN, OddTableError, read_form
+from bayhinge._internal.utils.checked_fields import SHOWN, InvalidTableError, parse_form
 
 KIND_BY_NAME = {
     "idempotent": RouteKind.IDEMPOTENT,
@@ -40,13 +40,13 @@
     RouteKind.AT_MOST_ONCE: 1,
     RouteKind.STREAMING: 1,
 }
-"""Endpoints that a request may be sent to where its route names no number."""
+"""Default number of endpoints that a request may be sent to."""
 
-USUAL_URGENCY = 5
-"""Urgency of a route that names none: the middle of 0 to 9, as engines take it."""
+DEFAULT_URGENCY = 5
+"""Default urgency of a route: the middle of the engines' range of 0 to 9."""
 
 _ID = re.compile(r"[\x21-\x7e]{1,256}")
-"""An endpoint's id: it goes out in a header, so it has no blank, no line feed and ASCII alone."""
+"""An endpoint's id: printable ASCII without spaces, since it is sent in a header."""
 
 
 class PlatformObjectReader(ObjectReader):
@@ -56,8 +56,8 @@
         """See :class:`ObjectReader`."""
         key = CONFIGURATION_KEY
         try:
-            whole = read_form(forms.ConfigurationForm, orjson.loads(value))
-            return _ConfigurationReading(whole).table()
+            whole = parse_form(forms.ConfigurationForm, orjson.loads(value))
+            return _ConfigurationReader(whole).table()
         except ValueError as error:
             raise UnreadableObjectError(key, (f"{key}: {error}",)) from error
 
@@ -65,9 +65,9 @@
         """See :class:`ObjectReader`."""
         instance = key.partition("/")[2]
         if _ID.fullmatch(instance) is None:
-            raise UnreadableObjectError(key, ("its name can't be an endpoint's id",))
+            raise UnreadableObjectError(key, ("its name is not a valid endpoint id",))
         try:
-            form = read_form(forms.EntryForm, orjson.loads(value))
+            form = parse_form(forms.EntryForm, orjson.loads(value))
         except ValueError as error:
             raise UnreadableObjectError(key, (str(error),)) from error
         return EndpointEntry(
@@ -81,117 +81,119 @@
         )
 
 
-class _ConfigurationReading:
-    """One configuration under way: what can be read of it, and what is wrong with the rest."""
+class _ConfigurationReader:
+    """Decodes one configuration; invalid parts become findings."""
 
     def __init__(self, whole: forms.ConfigurationForm) -> None:
         self._whole = whole
         self._findings: list[str] = []
         self._services_by_name: dict[str, ServiceSpec] = {}
-        self._odd_services: set[str] = set()
+        self._invalid_services: set[str] = set()
 
     def table(self) -> RoutingTable:
-        """Returns the table.
+        """Returns the routing table.
 
         Raises:
-            OddTableError: the place of a route can't be read, so nobody may say what it covers.
+            InvalidTableError: a route's host or prefix is invalid, so its coverage is unknown.
         """
         for item in self._whole.services:
-            self._take_service(item)
-        routes = tuple(self._route(item) for item in self._whole.routes)
-        accounts = self._accounts()
+            self._add_service(item)
+        routes = tuple(self._decode_route(item) for item in self._whole.routes)
+        accounts = self._decode_accounts()
         return RoutingTable(
             self._whole.version,
             routes,
             self._services_by_name,
-            self._limits(),
+            self._decode_limits(),
             tuple(self._findings),
             accounts,
         )
 
-    def _accounts(self) -> AccountTable | None:
-        """Returns the client accounts; None where the configuration knows of none."""
+    def _decode_accounts(self) -> AccountTable | None:
+        """Returns the client accounts, or None if the configuration defines none."""
         if self._whole.tenants is None:
             return None
-        return AccountTable(tuple(self._account(item) for item in self._whole.tenants))
+        return AccountTable(tuple(self._decode_account(item) for item in self._whole.tenants))
 
-    def _account(self, item: Any) -> RoutedAccount | ClosedAccount:
-        """Reads one account; an odd one keeps its keys, and what bears them is refused for now.
+    def _decode_account(self, item: Any) -> RoutedAccount | ClosedAccount:
+        """Decodes an account; requests with the keys of an invalid one are refused.
 
-        An odd urgency alone closes nothing: the route's counts then.
+        An invalid urgency alone is ignored, and the route's urgency applies.
         """
         table = item if isinstance(item, dict) else {}
         name = str(table.get("name", "?"))[:SHOWN]
-        digests = self._digests(name, table.get("api_keys"))
+        digests = self._decode_digests(name, table.get("api_keys"))
         try:
-            form = read_form(forms.AccountForm, item)
-        except OddTableError as error:
+            form = parse_form(forms.AccountForm, item)
+        except InvalidTableError as error:
             self._findings.append(f"account '{name}': {error}")
             return ClosedAccount(name, digests, str(error))
         quota = Quota(float(form.rate_per_s), float(form.burst or 0)) if form.rate_per_s else None
         return RoutedAccount(
-            form.name, digests, self._account_urgency(name, table.get("priority")), quota
+            form.name, digests, self._decode_account_urgency(name, table.get("priority")), quota
         )
 
-    def _digests(self, name: str, keys: Any) -> tuple[str, ...]:
+    def _decode_digests(self, name: str, keys: Any) -> tuple[str, ...]:
         known = keys if isinstance(keys, list) else []
         texts = [key for key in known if isinstance(key, str) and key]
-        odd = len(known) - len(texts) if isinstance(keys, list) else keys is not None
-        if odd:
-            # Never the odd value itself: it may hold a key.
-            self._findings.append(f"account '{name}': 'api_keys' must be a list of texts")
+        invalid = len(known) - len(texts) if isinstance(keys, list) else keys is not None
+        if invalid:
+            # The value is not shown because it may contain a key.
+            self._findings.append(f"account '{name}': 'api_keys' must be a list of strings")
         return tuple(hash_key(key) for key in texts)
 
-    def _account_urgency(self, name: str, priority: Any) -> int | None:
+    def _decode_account_urgency(self, name: str, priority: Any) -> int | None:
         is_whole = isinstance(priority, int) and not isinstance(priority, bool)
         if priority is not None and not (is_whole and priority >= 0):
-            why = "'priority' must be a whole number from 0 on; the routes' count"
+            why = "'priority' must be a whole number of at least 0; the routes' priorities apply"
             self._findings.append(f"account '{name}': {why}")
             return None
         return priority
 
-    def _take_service(self, item: Any) -> None:
+    def _add_service(self, item: Any) -> None:
         name = item.get("name") if isinstance(item, dict) else None
         if not isinstance(name, str) or not name:
             self._findings.append("a service without a name")
             return
         try:
-            self._services_by_name[name] = _service(name, item)
-        except OddTableError as error:
+            self._services_by_name[name] = _decode_service(name, item)
+        except InvalidTableError as error:
             self._findings.append(f"service '{name[:SHOWN]}': {error}")
-            self._odd_services.add(name)
+            self._invalid_services.add(name)
 
-    def _route(self, item: Any) -> Route | ClosedRoute:
+    def _decode_route(self, item: Any) -> Route | ClosedRoute:
         name = str(item.get("name", "?"))[:SHOWN] if isinstance(item, dict) else "?"
         try:
-            place = read_form(forms.PlaceForm, item)
-        except OddTableError as error:
-            raise OddTableError(f"route '{name}': {error}") from error
+            place = parse_form(forms.RouteKeyForm, item)
+        except InvalidTableError as error:
+            raise InvalidTableError(f"route '{name}': {error}") from error
         host = place.host.lower()
         try:
-            route = self._read_route(name, host, place.path_prefix, item)
-        except OddTableError as error:
+            route = self._decode_checked_route(name, host, place.path_prefix, item)
+        except InvalidTableError as error:
             self._findings.append(f"route '{name}': {error}")
             return ClosedRoute(name, host, place.path_prefix, str(error))
         return route
 
-    def _read_route(self, name: str, host: str, path_prefix: str, item: Any) -> Route:
-        form = read_form(forms.RouteForm, item)
+    def _decode_checked_route(self, name: str, host: str, path_prefix: str, item: Any) -> Route:
+        form = parse_form(forms.RouteForm, item)
         kind = KIND_BY_NAME.get(form.route_kind)
         if kind is None:
-            # Running once at most is safe for every kind, and better than no answer.
+            # Running at most once is safe for every kind.
             kind = RouteKind.AT_MOST_ONCE
-            self._findings.append(f"route '{name}': '{form.route_kind[:SHOWN]}' is taken as {kind}")
+            self._findings.append(
+                f"route '{name}': unknown kind '{form.route_kind[:SHOWN]}', using {kind}"
+            )
         slo_ms = form.timeout_ms if form.slo_ms is None else form.slo_ms
         return Route(
             name=name,
             host=host,
             path_prefix=path_prefix,
             kind=kind,
-            shares=self._shares(form),
+            shares=self._decode_shares(form),
             timeout_s=form.timeout_ms / 1000,
             objective_s=slo_ms / 1000,
-            urgency=USUAL_URGENCY if form.priority is None else form.priority,
+            urgency=DEFAULT_URGENCY if form.priority is None else form.priority,
             max_endpoints=form.attempts or DEFAULT_ATTEMPTS_BY_KIND[kind],
             keeps_turns=bool(form.retained),
             keep_turns_s=float(form.retention_s or 0.0),
@@ -200,31 +202,33 @@
             is_public=bool(form.public),
         )
 
-    def _shares(self, form: forms.RouteForm) -> tuple[ServiceShare, ...]:
+    def _decode_shares(self, form: forms.RouteForm) -> tuple[ServiceShare, ...]:
         split = form.split or [{"service": form.service, "weight": 1}]
-        read = [read_form(forms.ShareForm, share) for share in split]
+        read = [parse_form(forms.ShareForm, share) for share in split]
         if not any(share.weight for share in read):
-            raise OddTableError("no share of 'split' has a weight")
-        odd = sorted(self._odd_services.intersection(share.service for share in read))
-        if odd:
-            raise OddTableError(f"its service '{odd[0]}' can't be read")
+            raise InvalidTableError("all weights of 'split' are zero")
+        invalid = sorted(self._invalid_services.intersection(share.service for share in read))
+        if invalid:
+            raise InvalidTableError(f"its service '{invalid[0]}' is invalid")
         return tuple(ServiceShare(share.service, float(share.weight)) for share in read)
 
-    def _limits(self) -> FrontLimits:
+    def _decode_limits(self) -> RequestLimits:
         if self._whole.limits is None:
-            return FrontLimits()
+            return RequestLimits()
         try:
-            form = read_form(forms.LimitsForm, self._whole.limits)
-        except OddTableError as error:
+            form = parse_form(forms.LimitsForm, self._whole.limits)
+        except InvalidTableError as error:
             self._findings.append(f"limits: {error}")
-            return FrontLimits()
-        return FrontLimits() if form.max_body_bytes is None else FrontLimits(form.max_body_bytes)
+            return RequestLimits()
+        return (
+            RequestLimits() if form.max_body_bytes is None else RequestLimits(form.max_body_bytes)
+        )
 
 
-def _service(name: str, item: Any) -> ServiceSpec:
-    form = read_form(forms.ServiceForm, item)
+def _decode_service(name: str, item: Any) -> ServiceSpec:
+    form = parse_form(forms.ServiceForm, item)
     traits = None
     if form.engine_kind:
-        engine = read_form(forms.EngineForm, form.engine_kind)
-        traits = EngineTraits(engine.slots, int(engine.kv_capacity), engine.chunk_tokens)
+        engine = parse_form(forms.EngineForm, form.engine_kind)
+        traits = EngineSpec(engine.slots, int(engine.kv_capacity), engine.chunk_tokens)
     return ServiceSpec(name, form.max_conns or 0, traits)
--- a/src/bayhinge/_internal/platform/objects_api.py
+++ b/src/bayhinge/_internal/platform/objects_api.py
@@ -1,10 +1,10 @@
-"""The platform's store as a :class:`PollingStore`: one client for all of a process.
+"""The platform's store as a :class:`PollingStore`; a process uses one client.
 
-A key is ``kind/name``. Objects of kinds that others write carry their ``spec`` as JSON;
-objects of the product's own kinds carry bytes, in base64.
+A key is ``kind/name``. The ``spec`` of an object is JSON for kinds that other programs write, and
+base64 for the scheduler's own kinds.
 
-Others write objects too. One that can't be read is an object without bytes, so that its reader
-says so with its key; the objects beside it hold.
+An object whose ``spec`` is invalid is returned with an empty value, so that its reader reports it
+by key and the other objects stay usable.
 """
 
 import base64
@@ -37,27 +37,27 @@
 )
 from bayhinge.coordination.store_contact import StoreContact
 
-CALL_S = 1.0
-"""Time for one call; the store answers within milliseconds when it is well."""
+CALL_TIMEOUT_S = 1.0
+"""Timeout of one call; a healthy store answers within milliseconds."""
 
 WAIT_MARGIN_S = 0.7
-"""Time beyond its wait that a watch call may take."""
+"""Timeout of a watch call, beyond its long-poll time."""
 
-RATE_RETRY_S = 0.5
-"""When to come back after the store's rate was passed; the store names no time."""
+RATE_LIMIT_RETRY_S = 0.5
+"""Retry delay after a 429; the store sends no Retry-After."""
 
 CONFIGURATION_KIND = "config"
 CONFIGURATION_KEY = f"{CONFIGURATION_KIND}/main"
 ENDPOINTS_KIND = "servers"
 RETIREMENTS_KIND = "retirements"
-FOREIGN_KINDS = frozenset({CONFIGURATION_KIND, ENDPOINTS_KIND, RETIREMENTS_KIND})
+EXTERNAL_KINDS = frozenset({CONFIGURATION_KIND, ENDPOINTS_KIND, RETIREMENTS_KIND})
 
 UNREADABLE = b""
-"""What stands for the bytes of an object that can't be read; no object of ours is empty."""
+"""Value of an object whose ``spec`` is invalid; valid objects are never empty."""
 
-MOST_ENTRY_BYTES = 16_384
-"""Longest entry of an endpoint that is kept. They have some 250 bytes, the store takes 1 MB of any
-writer, and each host holds all of them."""
+MAX_ENTRY_BYTES = 16_384
+"""Longest endpoint entry that is accepted, to limit memory: the store allows 1 MB per object, and
+each host holds all entries."""
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
     """A client of the platform's store."""
 
     def __init__(self, address: str) -> None:
-        """Takes ``ip:port`` of the store."""
+        """Makes a client of the store at ``ip:port``."""
         self._base_url = f"http://{address}/-/objects"
         self._session: aiohttp.ClientSession | None = None
         self._contact = StoreContact()
@@ -88,8 +88,12 @@
 
     async def get(self, key: str) -> StoredObject | None:
         """See :class:`ObjectStore`."""
-        answer = await self._call("GET", _path(key), f"get {key}")
-        return None if answer.status == status_codes.HTTP_NOT_FOUND else _stored(key, answer.body)
+        answer = await self._call("GET", _object_path(key), f"get {key}")
+        return (
+            None
+            if answer.status == status_codes.HTTP_NOT_FOUND
+            else _stored_object(key, answer.body)
+        )
 
     async def create(self, key: str, value: bytes) -> StoredObject:
         """See :class:`ObjectStore`."""
@@ -99,7 +103,9 @@
         if answer.status == status_codes.HTTP_CONFLICT:
             raise AlreadyExistsError(key)
         return (
-            _stored(key, answer.body) if "metadata" in answer.body else StoredObject(key, value, 0)
+            _stored_object(key, answer.body)
+            if "metadata" in answer.body
+            else StoredObject(key, value, 0)
         )
 
     async def update(self, key: str, value: bytes, version: int) -> StoredObject:
@@ -109,16 +115,20 @@
             "metadata": {"name": name, "revision": version},
             "spec": _to_spec(kind, value),
         }
-        answer = await self._call("PUT", _path(key), f"update {key}", body)
+        answer = await self._call("PUT", _object_path(key), f"update {key}", body)
         if answer.status in {status_codes.HTTP_CONFLICT, status_codes.HTTP_NOT_FOUND}:
             raise VersionConflictError(key, version)
         return (
-            _stored(key, answer.body) if "metadata" in answer.body else StoredObject(key, value, 0)
+            _stored_object(key, answer.body)
+            if "metadata" in answer.body
+            else StoredObject(key, value, 0)
         )
 
     async def delete(self, key: str, version: int) -> None:
         """See :class:`ObjectStore`."""
-        answer = await self._call("DELETE", f"{_path(key)}?revision={version}", f"delete {key}")
+        answer = await self._call(
+            "DELETE", f"{_object_path(key)}?revision={version}", f"delete {key}"
+        )
         if answer.status in {status_codes.HTTP_CONFLICT, status_codes.HTTP_NOT_FOUND}:
             raise VersionConflictError(key, version)
 
@@ -129,10 +139,10 @@
         answer = await self._call("GET", f"/{kind}{query}", f"list {prefix}")
         body = answer.body
         try:
-            objects = _objects(kind, body["items"])
+            objects = _parse_objects(kind, body["items"])
             return Listing(objects, int(body["timestamp"]), bool(body["has_more"]))
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise _odd_answer(f"list {prefix}", error) from error
+            raise _invalid_answer_error(f"list {prefix}", error) from error
 
     async def poll(self, prefix: str, after_revision: int, wait_s: float) -> ChangePage:
         """See :class:`PollingStore`."""
@@ -141,23 +151,23 @@
         path = f"/{kind}?watch={after_revision}&wait_ms={int(wait_s * 1000)}"
         answer = await self._call("GET", path, what, time_s=wait_s + WAIT_MARGIN_S)
         if answer.status == status_codes.HTTP_GONE:
-            raise HistoryLostError(prefix, f"changes behind revision {after_revision} are gone")
+            raise HistoryLostError(prefix, f"changes after revision {after_revision} were removed")
         try:
             revision = int(answer.body["timestamp"])
-            changes = _changes(kind, answer.body["events"])
+            changes = _parse_changes(kind, answer.body["events"])
         except (KeyError, TypeError, ValueError, OverflowError) as error:
-            raise _odd_answer(what, error) from error
+            raise _invalid_answer_error(what, error) from error
         return ChangePage(changes, revision)
 
     async def write_status(self, key: str, status: dict[str, Any]) -> None:
         """Replaces an object's status.
 
         Raises:
-            StoreError: the store did not take it.
+            StoreError: the write failed.
         """
         _, _, name = key.partition("/")
         body = {"metadata": {"name": name}, "status": status}
-        await self._call("PUT", f"{_path(key)}/status", f"status of {key}", body)
+        await self._call("PUT", f"{_object_path(key)}/status", f"status of {key}", body)
 
     async def _call(
         self,
@@ -165,7 +175,7 @@
         path: str,
         what: str,
         body: dict[str, Any] | None = None,
-        time_s: float = CALL_S,
+        time_s: float = CALL_TIMEOUT_S,
     ) -> _Answer:
         if self._session is None:
             self._session = open_session()
@@ -179,90 +189,92 @@
             ) as response:
                 status = response.status
                 text = await response.read()
-            content = _decoded(text) if text else {}
+            content = _decode_json(text) if text else {}
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             self._contact.note_failure(is_silent=isinstance(error, TimeoutError))
             raise StoreUnavailableError(what, str(error) or type(error).__name__) from error
         except (ValueError, RecursionError) as error:
-            raise _odd_answer(what, error) from error
-        self._note_status(status)
-        return _checked(what, status, content)
+            raise _invalid_answer_error(what, error) from error
+        self._record_status(status)
+        return _check_status(what, status, content)
 
-    def _note_status(self, status: int) -> None:
-        is_turned_away = status == status_codes.HTTP_TOO_MANY_REQUESTS
-        if is_turned_away or status >= status_codes.HTTP_SERVER_ERROR:
+    def _record_status(self, status: int) -> None:
+        is_rate_limited = status == status_codes.HTTP_TOO_MANY_REQUESTS
+        if is_rate_limited or status >= status_codes.HTTP_SERVER_ERROR:
             self._contact.note_failure(is_silent=False)
         else:
             self._contact.note_answer()
 
 
-def _checked(what: str, status: int, content: Any) -> _Answer:
+def _check_status(what: str, status: int, content: Any) -> _Answer:
     if status == status_codes.HTTP_TOO_MANY_REQUESTS:
-        raise StoreRateLimitedError(what, RATE_RETRY_S)
+        raise StoreRateLimitedError(what, RATE_LIMIT_RETRY_S)
     known = {status_codes.HTTP_NOT_FOUND, status_codes.HTTP_CONFLICT, status_codes.HTTP_GONE}
     if status >= status_codes.HTTP_MULTIPLE_CHOICES and status not in known:
         raise StoreUnavailableError(what, f"status {status}: {content}")
     return _Answer(status, content if isinstance(content, dict) else {})
 
 
-def _odd_answer(what: str, error: Exception) -> StoreUnavailableError:
-    return StoreUnavailableError(what, f"an answer of unknown form: {error!r}")
+def _invalid_answer_error(what: str, error: Exception) -> StoreUnavailableError:
+    return StoreUnavailableError(what, f"invalid answer: {error!r}")
 
 
-def _decoded(text: bytes) -> Any:
-    """Decodes an answer, also where the text of one object in it is no text.
+def _decode_json(text: bytes) -> Any:
+    """Decodes an answer, even if a string in it contains unpaired surrogates.
 
     Raises:
-        ValueError: it is no JSON.
-        RecursionError: it is nested too deep.
+        ValueError: it is not valid JSON.
+        RecursionError: it is nested too deeply.
     """
     try:
         return orjson.loads(text)
     except orjson.JSONDecodeError:
-        # The standard library also takes halves of surrogate pairs; so text that is none stays what
-        # can't be written again, and its object is one that can't be read.
+        # The standard library accepts unpaired surrogates. Such a string can't be encoded again,
+        # so only the object that contains it counts as invalid.
         return json.loads(text.decode("utf-8", "surrogateescape"))
 
 
-def _path(key: str) -> str:
+def _object_path(key: str) -> str:
     kind, _, name = key.partition("/")
     return f"/{kind}/{quote(name, safe='')}"
 
 
-def _objects(kind: str, items: Iterable[Any]) -> tuple[StoredObject, ...]:
-    found = [_object(kind, item) for item in items]
-    _tell_of_nameless(kind, found.count(None))
+def _parse_objects(kind: str, items: Iterable[Any]) -> tuple[StoredObject, ...]:
+    found = [_parse_object(kind, item) for item in items]
+    _log_nameless_objects(kind, found.count(None))
     return tuple(stored for stored in found if stored is not None)
 
 
-def _tell_of_nameless(kind: str, count: int) -> None:
-    """Logs objects that were passed over: without a name there is nothing to keep them under."""
+def _log_nameless_objects(kind: str, count: int) -> None:
+    """Logs the number of objects that were skipped because they have no valid name or revision."""
     if count:
         eliot.log_message("store.nameless_objects", kind=kind, count=count)
 
 
-def _object(kind: str, item: Any) -> StoredObject | None:
-    """Returns an object, or None where it has no name or no revision."""
+def _parse_object(kind: str, item: Any) -> StoredObject | None:
+    """Returns an object, or None if it has no valid name or revision."""
     try:
         name, revision = item["metadata"]["name"], int(item["metadata"]["revision"])
-        # Half of a surrogate pair can't be written again.
+        # Encoding fails for unpaired surrogates.
         key = f"{kind}/{name.encode().decode()}"
     except (AttributeError, LookupError, TypeError, ValueError, OverflowError):
         return None
     return StoredObject(key, _from_spec(kind, item.get("spec")), revision)
 
 
-def _stored(key: str, item: dict[str, Any]) -> StoredObject:
-    found = _object(key.partition("/")[0], item)
+def _stored_object(key: str, item: dict[str, Any]) -> StoredObject:
+    found = _parse_object(key.partition("/")[0], item)
     if found is None:
-        raise _odd_answer(f"read {key}", KeyError("metadata"))
+        raise _invalid_answer_error(f"read {key}", KeyError("metadata"))
     return attrs.evolve(found, key=key)
 
 
-def _changes(kind: str, events: Iterable[Any]) -> tuple[Change, ...]:
+def _parse_changes(kind: str, events: Iterable[Any]) -> tuple[Change, ...]:
     tables = [event if isinstance(event, dict) else {} for event in events]
-    found = [(_object(kind, table.get("object")), bool(table.get("deleted"))) for table in tables]
-    _tell_of_nameless(kind, sum(stored is None for stored, _ in found))
+    found = [
+        (_parse_object(kind, table.get("object")), bool(table.get("deleted"))) for table in tables
+    ]
+    _log_nameless_objects(kind, sum(stored is None for stored, _ in found))
     return tuple(
         Change(stored.key, None if is_gone else stored.value, stored.version, stored.version)
         for stored, is_gone in found
@@ -271,16 +283,16 @@
 
 
 def _to_spec(kind: str, value: bytes) -> Any:
-    return orjson.loads(value) if kind in FOREIGN_KINDS else base64.b64encode(value).decode()
+    return orjson.loads(value) if kind in EXTERNAL_KINDS else base64.b64encode(value).decode()
 
 
 def _from_spec(kind: str, spec: Any) -> bytes:
-    """Returns an object's bytes; :data:`UNREADABLE` where there are none."""
+    """Returns an object's value, or :data:`UNREADABLE` if its ``spec`` is invalid or too long."""
     try:
-        if kind not in FOREIGN_KINDS:
+        if kind not in EXTERNAL_KINDS:
             return base64.b64decode(spec, validate=True)
         value = orjson.dumps(spec)
     except (TypeError, ValueError, binascii.Error):
         return UNREADABLE
-    is_too_long = kind == ENDPOINTS_KIND and len(value) > MOST_ENTRY_BYTES
+    is_too_long = kind == ENDPOINTS_KIND and len(value) > MAX_ENTRY_BYTES
     return UNREADABLE if is_too_long else value
--- a/src/bayhinge/_internal/platform/retirements.py
+++ b/src/bayhinge/_internal/platform/retirements.py
@@ -1,4 +1,4 @@
-"""The platform's requests to empty a disk host, and what it is told of them."""
+"""Follows the platform's requests to retire a disk host, and reports their status."""
 
 import asyncio
 from functools import partial
@@ -13,18 +13,17 @@
 from bayhinge.coordination.errors import StoreError
 from bayhinge.coordination.store import Change
 
-MOST_ALLOWED_S = 60.0
-"""A longer time is taken as this one: a disk that waits for others does so within a minute."""
+MAX_ALLOWED_S = 60.0
+"""Upper bound on a request's time limit; a disk waits for others for less than a minute."""
 
 RETRY_S = 0.4
-"""Pause after the store did not take a status."""
+"""Retry delay after a failed status write."""
 
 
-class RetirementDesk(FollowListener):
-    """Passes requests for this host on to it, and reports how far it is."""
+class RetirementListener(FollowListener):
+    """Starts the retirement of this disk host on request, and reports its status."""
 
     def __init__(self, store: PlatformObjects, disk: DiskHost) -> None:
-        """Takes the store and the host."""
         self._store = store
         self._disk = disk
         self._task: asyncio.Task[None] | None = None
@@ -33,22 +32,21 @@
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
         """See :class:`FollowListener`."""
         if self._key in value_by_key:
-            self._take(value_by_key[self._key])
+            self._handle_request(value_by_key[self._key])
 
     def apply(self, change: Change, is_after_outage: bool) -> None:
         """See :class:`FollowListener`."""
         if change.key == self._key and change.value is not None:
-            self._take(change.value)
+            self._handle_request(change.value)
 
-    def _take(self, value: bytes) -> None:
-        """Begins where the operator asks for it: any table does, whatever it says of the time.
+    def _handle_request(self, value: bytes) -> None:
+        """Starts the retirement if the request is a table, even if its time limit is invalid.
 
-        A ``duration_s`` that can't be read allows no waiting. What is no table was written by
-        nobody who asks for anything: the disk stays.
+        An invalid ``duration_s`` counts as 0. A value that is not a table is ignored.
         """
         allowed_s = _allowed_s(value)
         if allowed_s is None:
-            eliot.log_message("retirement.unreadable", key=self._key, why="it is no table")
+            eliot.log_message("retirement.unreadable", key=self._key, why="it is not a table")
             return
         if self._task is None:
             self._task = asyncio.ensure_future(
@@ -71,7 +69,7 @@
 
 
 def _allowed_s(value: bytes) -> float | None:
-    """Returns the time that a request allows, 0 where it says none; None where it is no request."""
+    """Returns the time limit in seconds, 0 if it is invalid; None if the value is not a table."""
     try:
         spec = orjson.loads(value)
     except orjson.JSONDecodeError:
@@ -81,4 +79,4 @@
     allowed_s = spec.get("duration_s")
     if not isinstance(allowed_s, int | float) or isinstance(allowed_s, bool):
         return 0.0
-    return min(MOST_ALLOWED_S, max(0.0, float(allowed_s)))
+    return min(MAX_ALLOWED_S, max(0.0, float(allowed_s)))
--- a/src/bayhinge/_internal/platform/settings_file.py
+++ b/src/bayhinge/_internal/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads a process's settings file (TOML) into :class:`SiteSettings`."""
+"""Reads and validates the platform's settings file (TOML) into :class:`SiteSettings`."""
 
 import tomllib
 from collections.abc import Mapping
@@ -12,7 +12,7 @@
 from bayhinge._internal.models.findings import Finding, Place
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.utils.checked_fields import (
-    MOST_PORT,
+    MAX_PORT,
     SHOWN,
     Check,
     ipv4_with_port,
@@ -22,29 +22,29 @@
     whole_number,
 )
 
-UNUSED_ADDRESS = ""
+NO_ADDRESS = ""
 
-PORTS = 2
-"""Ports that the settings name: the first and the last of a range."""
+PORT_RANGE_LENGTH = 2
+"""Length of the setting ``port_range``: the first and the last port."""
 
 
 @attrs.frozen
-class _Named:
-    """What a check calls a value by."""
+class _FieldName:
+    """Stands for the attrs attribute that checks take the name from."""
 
     name: str
 
 
 @attrs.define
 class _Fields:
-    """Takes fields out of nested tables, and collects what is wrong with them."""
+    """Reads fields from nested tables and collects findings."""
 
     file: str
     table: Mapping[str, Any]
     findings: list[Finding] = attrs.field(factory=list)
 
-    def take(self, path: str, check: Check, fallback: Any = None) -> Any:
-        """Returns a field by its dotted path; without a fallback it must be there."""
+    def read(self, path: str, check: Check, fallback: Any = None) -> Any:
+        """Returns the field at a dotted path; it is required if ``fallback`` is None."""
         value: Any = self.table
         for name in path.split("."):
             value = value.get(name) if isinstance(value, Mapping) else None
@@ -55,37 +55,37 @@
                 self.findings.append(Finding(place, "the field is missing"))
             return fallback
         try:
-            check(None, _Named(key), value)
+            check(None, _FieldName(key), value)
         except (TypeError, ValueError) as error:
             shown = repr(value)[:SHOWN]
-            self.findings.append(Finding(place, f"{shown} can't be used: {error.args[0]}"))
+            self.findings.append(Finding(place, f"{shown} is invalid: {error.args[0]}"))
             return fallback
         return value
 
 
-def _ipv4(_: Any, field: Any, value: Any) -> None:
+def _check_ipv4(_: Any, field: Any, value: Any) -> None:
     if not isinstance(value, str) or not is_ipv4(value):
         raise TypeError(f"'{field.name}' must be an IPv4 address")
 
 
-def _ports(_: Any, field: Any, value: Any) -> None:
+def _check_port_range(_: Any, field: Any, value: Any) -> None:
     check = whole_number(1)
-    if not isinstance(value, list) or len(value) != PORTS:
+    if not isinstance(value, list) or len(value) != PORT_RANGE_LENGTH:
         raise TypeError(f"'{field.name}' must be the first and the last port")
     for port in value:
         check(None, field, port)
-    if not value[0] < value[1] <= MOST_PORT:
-        raise ValueError("two ports are needed, one for each kind of link")
+    if not value[0] < value[1] <= MAX_PORT:
+        raise ValueError("two ports are needed, one for UDP heartbeats and one for peer links")
 
 
-_ADDRESS_OR_NONE = validators.or_(ipv4_with_port, validators.in_((UNUSED_ADDRESS,)))
-_TEXTS = validators.deep_iterable(text(0), validators.instance_of(list))
-_REGIONS = validators.deep_mapping(text(), text(0), validators.instance_of(dict))
+_OPTIONAL_ADDRESS = validators.or_(ipv4_with_port, validators.in_((NO_ADDRESS,)))
+_STRING_LIST = validators.deep_iterable(text(0), validators.instance_of(list))
+_STRING_DICT = validators.deep_mapping(text(), text(0), validators.instance_of(dict))
 _FLAG = validators.instance_of(bool)
 
 
 def read_settings(path: Path) -> Result[SiteSettings, tuple[Finding, ...]]:
-    """Returns the settings, or everything that is wrong with the file."""
+    """Returns the settings, or all findings on the file."""
     try:
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -96,31 +96,31 @@
 
 
 def _read(fields: _Fields) -> SiteSettings:
-    take = fields.take
-    first_port = (take("port_range", _ports) or [0])[0]
-    seeds = take("seeds", _TEXTS, [])
-    is_strict = take("bounds.revoke_strict", _FLAG, False)
-    revoke_ms = take("bounds.revoke_ms", number(0, is_above=True), 0) if is_strict else 0
+    read = fields.read
+    first_port = (read("port_range", _check_port_range) or [0])[0]
+    seeds = read("seeds", _STRING_LIST, [])
+    is_strict = read("bounds.revoke_strict", _FLAG, False)
+    revoke_ms = read("bounds.revoke_ms", number(0, is_exclusive=True), 0) if is_strict else 0
     return SiteSettings(
-        host=take("node_name", text()),
-        hall=take("zone", text()),
-        region=take("region", text()),
-        ip=take("ip", _ipv4),
-        region_by_hall=take("zones", _REGIONS, {}),
-        front_address=take("listen.frontend", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
-        ready_address=take("listen.ready", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
-        directory_address=take("listen.directory", _ADDRESS_OR_NONE, UNUSED_ADDRESS),
+        host=read("node_name", text()),
+        hall=read("zone", text()),
+        region=read("region", text()),
+        ip=read("ip", _check_ipv4),
+        region_by_hall=read("zones", _STRING_DICT, {}),
+        front_address=read("listen.frontend", _OPTIONAL_ADDRESS, NO_ADDRESS),
+        ready_address=read("listen.ready", _OPTIONAL_ADDRESS, NO_ADDRESS),
+        directory_address=read("listen.directory", _OPTIONAL_ADDRESS, NO_ADDRESS),
         gossip_port=first_port,
         peer_port=first_port + 1,
         seeds=tuple(seed.rpartition(":")[0] for seed in seeds),
-        data_folder=take("data_dir", text(0), ""),
-        is_first_start=take("bootstrap", _FLAG, False),
-        tolerated_disks=take("fault_tolerance.machines", whole_number(0), 1),
-        store_address=take("platform.address", ipv4_with_port),
-        address_keep_s=float(take("bounds.ttl_max_s", number(0), 5.0)),
-        grace_s=float(take("bounds.grace_s", number(0), 8.0)),
+        data_folder=read("data_dir", text(0), ""),
+        is_first_start=read("bootstrap", _FLAG, False),
+        tolerated_disks=read("fault_tolerance.machines", whole_number(0), 1),
+        store_address=read("platform.address", ipv4_with_port),
+        address_keep_s=float(read("bounds.ttl_max_s", number(0), 5.0)),
+        grace_s=float(read("bounds.grace_s", number(0), 8.0)),
         taken_away_s=revoke_ms / 1000 if revoke_ms else None,
-        quota_window_s=float(take("bounds.quota_window_s", number(0), 1.0)),
-        quota_overage=float(take("bounds.quota_overage", number(0), 0.0)),
-        quota_slack=float(take("bounds.quota_slack", number(0), 0.0)),
+        quota_window_s=float(read("bounds.quota_window_s", number(0), 1.0)),
+        quota_overage=float(read("bounds.quota_overage", number(0), 0.0)),
+        quota_slack=float(read("bounds.quota_slack", number(0), 0.0)),
     )
--- a/src/bayhinge/_internal/utils/running_time.py
+++ b/src/bayhinge/_internal/utils/running_time.py
@@ -1,4 +1,4 @@
-"""Bounds that count only the time in which this process could have noticed an answer."""
+"""Timeouts that tolerate stalls of the event loop."""
 
 import asyncio
 from collections.abc import AsyncIterator, Iterable
@@ -9,51 +9,49 @@
 
 Result = TypeVar("Result")
 
-STEPS = 8
-"""Parts of a bound. However long the loop stands still, one part is used up by it, and the loop
-turns at least so often before the bound ends: an answer that waits in the socket is read and handed
-on within four turns."""
+SLICES = 8
+"""Slices of a timeout. A stall of any length uses up at most one slice, and the loop runs at least
+this many iterations before the timeout; an answer in the socket is delivered within four."""
 
 
 @asynccontextmanager
 async def running_timeout(limit_s: float | None) -> AsyncIterator[None]:
-    """Bounds what runs inside to ``limit_s`` seconds of this loop's running time; None is no bound.
+    """Limits the body to ``limit_s`` seconds in which the loop was not stalled; None is no limit.
 
-    A timer that is overdue fires in the turn in which an answer is read, before the answer is
-    handed on. With an ordinary bound, a process that stood still for longer than the bound takes
-    its peer for silent, though the answer had come.
+    With an ordinary timeout, a process that stalls for longer than the timeout would report a
+    timeout although the answer has arrived, since overdue timers fire before the answer is read.
 
     Raises:
-        TimeoutError: the bound has ended.
+        TimeoutError: the time is up.
     """
     if limit_s is None:
         yield
         return
-    async with asyncio.timeout(None) as bound:
-        parts = _Parts(bound, limit_s / STEPS)
-        parts.begin_next()
+    async with asyncio.timeout(None) as deadline:
+        slices = _TimeoutSlices(deadline, limit_s / SLICES)
+        slices.start_next()
         try:
             yield
         finally:
-            parts.stop()
+            slices.stop()
 
 
 @attrs.define
-class _Parts:
-    """What is left of a bound; a part begins when this loop has noticed the last one's end."""
+class _TimeoutSlices:
+    """The remaining slices of a timeout; each starts when the loop sees the previous one end."""
 
-    _bound: asyncio.Timeout
-    _part_s: float
-    _left: int = STEPS
+    _deadline: asyncio.Timeout
+    _slice_s: float
+    _slices_left: int = SLICES
     _timer: asyncio.TimerHandle | None = None
 
-    def begin_next(self) -> None:
+    def start_next(self) -> None:
         loop = asyncio.get_running_loop()
-        if self._left:
-            self._left -= 1
-            self._timer = loop.call_later(self._part_s, self.begin_next)
+        if self._slices_left:
+            self._slices_left -= 1
+            self._timer = loop.call_later(self._slice_s, self.start_next)
         else:
-            self._bound.reschedule(loop.time())
+            self._deadline.reschedule(loop.time())
 
     def stop(self) -> None:
         if self._timer is not None:
@@ -61,30 +59,29 @@
 
 
 class RunningBound:
-    """A bound on several waits after each other, as that of :func:`running_timeout`.
+    """A time limit over several successive waits; see :func:`running_timeout`.
 
     Attributes:
-        left_s: what is left of it, in seconds of this loop's running time.
+        left_s: the remaining time in seconds, not counting stalls of the loop.
     """
 
     def __init__(self, limit_s: float) -> None:
-        """Takes the bound in seconds."""
         self.left_s = limit_s
-        self._part_s = limit_s / STEPS
+        self._slice_s = limit_s / SLICES
 
     async def first_of(
         self, waiting: Iterable[asyncio.Task[Result]]
     ) -> tuple[set[asyncio.Task[Result]], set[asyncio.Task[Result]]]:
-        """Waits until one has finished or the bound ends; returns the finished, and the others."""
+        """Waits until a task finishes or the time is up; returns the done and the pending tasks."""
         loop = asyncio.get_running_loop()
-        finished: set[asyncio.Task[Result]] = set()
-        left = set(waiting)
-        while self.left_s > 0 and not finished:
+        done: set[asyncio.Task[Result]] = set()
+        pending = set(waiting)
+        while self.left_s > 0 and not done:
             began_s = loop.time()
-            finished, left = await asyncio.wait(
-                left,
-                timeout=min(self._part_s, self.left_s),
+            done, pending = await asyncio.wait(
+                pending,
+                timeout=min(self._slice_s, self.left_s),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            self.left_s -= min(loop.time() - began_s, self._part_s)
-        return finished, left
+            self.left_s -= min(loop.time() - began_s, self._slice_s)
+        return done, pending
