--- a/src/bayhinge/coordination/__init__.py
+++ b/src/bayhinge/coordination/__init__.py
@@ -1,14 +1,14 @@
-"""Coordination parts on top of an object store with conditional updates.
+"""Coordination primitives on top of an object store with conditional updates.
 
-Nothing here opens a socket or knows the daemon. Embedders implement
+The library opens no sockets and does not depend on the daemon. Embedders implement
 :class:`~bayhinge.coordination.store.ObjectStore` for their platform and use:
 
-* :class:`~bayhinge.coordination.journal.Journal`: a sealed, group-committed log;
-* :class:`~bayhinge.coordination.membership.Membership`: who is alive;
-* :class:`~bayhinge.coordination.config_feed.ConfigFeed`: configuration that never reverts;
-* :class:`~bayhinge.coordination.escrow.Escrow`: a budget shared without going over;
-* :class:`~bayhinge.coordination.lease.Lease`: a lease with a fencing number;
-* :class:`~bayhinge.coordination.clock.HybridClock`: one order of events over all hosts.
+* :class:`~bayhinge.coordination.journal.Journal`: a fenced write-ahead log with group commit;
+* :class:`~bayhinge.coordination.membership.Membership`: heartbeats and failure detection;
+* :class:`~bayhinge.coordination.config_feed.ConfigFeed`: a versioned log of configuration changes;
+* :class:`~bayhinge.coordination.escrow.Escrow`: a budget that hosts share without exceeding it;
+* :class:`~bayhinge.coordination.lease.Lease`: a lease with a fencing token;
+* :class:`~bayhinge.coordination.clock.HybridClock`: timestamps that order events across hosts.
 """
 
 from importlib import import_module
@@ -36,7 +36,7 @@
     from bayhinge.coordination.membership import Membership
     from bayhinge.coordination.store import ObjectStore, StoredObject
 
-# Each part is loaded when it is first used: a host that needs a clock alone starts earlier.
+# Modules are imported on first use, so that a process that needs only some starts faster.
 _MODULE_BY_NAME = {
     "AlreadyExistsError": "errors",
     "Clock": "clock",
@@ -87,7 +87,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Loads the module of a public name."""
+    """Imports a public name from its module on first access."""
     module = _MODULE_BY_NAME.get(name)
     if module is None:
         raise AttributeError(f"module '{__name__}' has no attribute '{name}'")
--- a/src/bayhinge/coordination/clock.py
+++ b/src/bayhinge/coordination/clock.py
@@ -1,18 +1,18 @@
-"""Clocks: wall time behind a seam, and the hybrid logical clock.
+"""A replaceable wall clock and a hybrid logical clock.
 
-The hybrid logical clock (Kulkarni et al., 2014) orders events over hosts whose
-wall clocks differ: a message's receiver never stamps earlier than its sender.
+The hybrid logical clock (Kulkarni et al., 2014) orders events across hosts whose wall
+clocks differ: the receiver of a message always timestamps it later than its sender did.
 """
 
 import time
 from abc import ABC, abstractmethod
 
 COUNTER_BITS = 16
-"""Low bits of a stamp that count events within one millisecond."""
+"""Low bits of a timestamp that count events within one millisecond."""
 
 
 class Clock(ABC):
-    """Wall time. Durations use the event loop's clock, never this one."""
+    """Wall time. Durations are measured on the event loop's monotonic clock instead."""
 
     @abstractmethod
     def wall_ms(self) -> int:
@@ -20,36 +20,35 @@
 
 
 class SystemClock(Clock):
-    """The machine's clock."""
+    """The operating system's clock."""
 
     def wall_ms(self) -> int:
-        """Returns the machine's time in milliseconds."""
+        """Returns milliseconds since the Unix epoch."""
         return time.time_ns() // 1_000_000
 
 
 class HybridClock:
-    """Hands out stamps that respect cause and effect over all hosts.
+    """Issues timestamps that respect causality across hosts.
 
-    A stamp is ``milliseconds << 16 | counter``, so stamps sort as integers.
+    A timestamp is ``milliseconds << 16 | counter``, so timestamps sort as integers.
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Starts at the wall clock's time."""
         self._clock = clock
         self._last = 0
 
     def tick(self) -> int:
-        """Returns a stamp for a local event or for a message to be sent."""
+        """Returns the timestamp of a local event or of a message to be sent."""
         physical = self._clock.wall_ms() << COUNTER_BITS
         self._last = max(self._last + 1, physical)
         return self._last
 
     def observe(self, stamp: int) -> int:
-        """Takes the stamp of a received message in; returns one that is later."""
+        """Merges the timestamp of a received message and returns a later one."""
         self._last = max(self._last, stamp)
         return self.tick()
 
 
 def stamp_to_ms(stamp: int) -> int:
-    """Returns the milliseconds part of a stamp."""
+    """Returns the milliseconds of a timestamp."""
     return stamp >> COUNTER_BITS
--- a/src/bayhinge/coordination/codec.py
+++ b/src/bayhinge/coordination/codec.py
@@ -9,7 +9,7 @@
 from bayhinge.coordination.errors import CorruptObjectError
 
 FORMAT = 1
-"""Version of every stored struct; a reader refuses one that it doesn't know."""
+"""Format version of every stored struct; readers reject any other."""
 
 Struct = TypeVar("Struct")
 
@@ -23,10 +23,10 @@
 
 
 def decode(struct: Struct, data: bytes, key: str) -> Struct:
-    """Fills an empty thrift struct from ``data``, which was read from ``key``.
+    """Decodes ``data``, which was read from ``key``, into an empty thrift struct.
 
     Raises:
-        CorruptObjectError: the bytes are no such struct, or of an unknown format.
+        CorruptObjectError: the data is not such a struct, or its format is unknown.
     """
     try:
         filled = deserialize(struct, data, _FACTORY)
@@ -35,6 +35,6 @@
         raise CorruptObjectError(key, f"not a {type(struct).__name__} ({error})") from error
     found = getattr(filled, "format", FORMAT)
     if found != FORMAT:
-        raise CorruptObjectError(key, f"format {found} is unknown, this version reads {FORMAT}")
+        raise CorruptObjectError(key, f"unsupported format {found}, expected {FORMAT}")
     decoded: Struct = filled
     return decoded
--- a/src/bayhinge/coordination/config_feed.py
+++ b/src/bayhinge/coordination/config_feed.py
@@ -1,9 +1,8 @@
-"""Configuration as one chain of accepted changes that never reverts.
+"""Configuration as an append-only log of accepted changes.
 
-Change number *n* is the object ``<prefix>/<n>``, made with create-if-absent. The
-chain gives each change its revision, a total order, history and rollback, and two
-racing operators a clear winner. A host applies changes in order of revision and
-never applies an older one than it has seen.
+Change number *n* is the object ``<prefix>/<n>``, written with create-if-absent, so that
+exactly one of two concurrent edits gets a revision. The log provides a total order,
+history and rollback. A host applies changes in order of revision and never goes back.
 """
 
 import asyncio
@@ -34,7 +33,7 @@
 
 @attrs.frozen
 class ConfigObject:
-    """A configured object at its newest revision; ``text`` is None once deleted."""
+    """A configured object at one revision; ``text`` is None where it was deleted."""
 
     kind: str
     name: str
@@ -48,9 +47,10 @@
 class FeedTimes:
     """Periods in seconds.
 
-    ``poll_s`` bounds how late a change is seen where the watch has silently
-    stopped; ``stale_after_s`` is how long a host may go without hearing from the
-    store or a peer before it says that it can't vouch for its configuration.
+    Attributes:
+        poll_s: how often the store is listed; a peer's newer revision triggers it sooner.
+        stale_after_s: the configuration counts as current for this long after the store or
+            a peer last confirmed it.
     """
 
     poll_s: float = 3.0
@@ -58,7 +58,13 @@
 
 
 class ConfigFeed:
-    """Follows the chain of changes, and appends to it."""
+    """Follows the log of changes, and appends to it.
+
+    Attributes:
+        corrupt_by_key: objects under the prefix that can't be read, also those whose name is
+            no revision; the latter don't block later changes.
+        on_change: called after each change is applied.
+    """
 
     def __init__(
         self,
@@ -68,7 +74,6 @@
         random_unit: Callable[[], float],
         times: FeedTimes,
     ) -> None:
-        """Takes the store, the chain's prefix, wall time, a random source and periods."""
         self._store = store
         self._prefix = prefix
         self._clock = clock
@@ -77,61 +82,60 @@
         self._objects_by_key: dict[tuple[str, str], ConfigObject] = {}
         self._changes_by_revision: dict[int, bytes] = {}
         self._revision = 0
-        self._heard_revision = 0
+        self._observed_revision = 0
         self._confirmed_at: float | None = None
         self._wake = asyncio.Event()
-        # Also objects under odd names: they are shown, and hold no change up.
         self.corrupt_by_key: dict[str, CorruptObjectError] = {}
         self.on_change: Callable[[ConfigObject], None] = lambda changed: None
 
     @property
     def revision(self) -> int:
-        """The newest revision that is applied here."""
+        """The newest revision that this host has applied."""
         return self._revision
 
     @property
     def heard_revision(self) -> int:
-        """The newest revision that the store or a peer has told of."""
-        return max(self._heard_revision, self._revision)
+        """The newest revision that this host has applied or a peer has reported."""
+        return max(self._observed_revision, self._revision)
 
     def is_current(self) -> bool:
-        """True while this host can vouch for its configuration."""
-        if self._confirmed_at is None or self._revision < self._heard_revision:
+        """True while the configuration is confirmed to be the newest known one."""
+        if self._confirmed_at is None or self._revision < self._observed_revision:
             return False
         age = asyncio.get_running_loop().time() - self._confirmed_at
         return age <= self._times.stale_after_s
 
     def get(self, kind: str, name: str) -> ConfigObject | None:
-        """Returns the object, or None where it never was or is deleted."""
+        """Returns the object, or None where it doesn't exist or was deleted."""
         found = self._objects_by_key.get((kind, name))
         return None if found is None or found.text is None else found
 
     def all(self, kind: str) -> list[ConfigObject]:
-        """Returns the live objects of a kind by name."""
+        """Returns the objects of a kind that are not deleted, sorted by name."""
         found = (item for item in self._objects_by_key.values() if item.kind == kind)
         return sorted((item for item in found if item.text is not None), key=_name)
 
     def history(self, kind: str, name: str) -> list[ConfigObject]:
-        """Returns every revision of an object that this host has seen, oldest first."""
+        """Returns every applied revision of an object, oldest first."""
         changes = (self._decode(rev, data) for rev, data in self._changes_by_revision.items())
         return [change for change in changes if (change.kind, change.name) == (kind, name)]
 
     def changes_after(self, revision: int, limit: int = 200) -> list[bytes]:
-        """Returns encoded changes for a peer that stands at ``revision``."""
+        """Returns encoded changes for a peer that has applied ``revision``."""
         upto = min(self._revision, revision + limit)
         return [self._changes_by_revision[rev] for rev in range(revision + 1, upto + 1)]
 
     def hear(self, revision: int) -> None:
-        """Notes that a peer has applied ``revision``; fetches it if it is newer."""
+        """Records that a peer has applied ``revision``; triggers a read if it is newer."""
         if revision > self.heard_revision:
-            self._heard_revision = revision
+            self._observed_revision = revision
             self._wake.set()
 
     def take_from_peer(self, first_revision: int, changes: Iterable[bytes]) -> None:
-        """Applies changes that a peer sent, from ``first_revision`` on."""
+        """Applies consecutive changes sent by a peer, starting at ``first_revision``."""
         for offset, data in enumerate(changes):
             self._apply(first_revision + offset, data)
-        if self._revision >= self._heard_revision:
+        if self._revision >= self._observed_revision:
             self._confirm()
 
     async def run(self) -> None:
@@ -140,7 +144,7 @@
             try:
                 await self.step()
             except StoreError as error:
-                logger.info("configuration waits for the store: %s", error)
+                logger.info("cannot read configuration changes, retrying: %s", error)
             self._wake.clear()
             try:
                 async with asyncio.timeout(self._times.poll_s):
@@ -149,10 +153,10 @@
                 continue
 
     async def step(self) -> None:
-        """Reads the changes that follow the applied revision.
+        """Reads and applies the changes that follow the applied revision.
 
         Raises:
-            StoreError: the store did not answer, or its list does not go on.
+            StoreError: the store did not answer, or its listing makes no progress.
         """
         after = self._key(self._revision) if self._revision else ""
         while True:
@@ -160,25 +164,25 @@
             for stored in page.objects:
                 self._apply_stored(stored)
             if self._key(self._revision + 1) in self.corrupt_by_key:
-                # What can't be read can't be vouched for; operators see it in `config status`.
+                # Not confirmed while a change is unreadable; `config status` shows it.
                 return
             if not page.more or not page.objects:
                 break
             if page.objects[-1].key <= after:
-                raise StoreUnavailableError(f"list {self._prefix}", "it does not go on")
+                raise StoreUnavailableError(f"list {self._prefix}", "the listing makes no progress")
             after = page.objects[-1].key
-        # A lagging answer must not vouch for a revision that was already heard of.
-        if self._revision >= self._heard_revision:
+        # A stale listing must not confirm a configuration older than one a peer reported.
+        if self._revision >= self._observed_revision:
             self._confirm()
 
     async def propose(
         self, kind: str, name: str, text: str | None, author: str, base_revision: int
     ) -> ConfigObject:
-        """Appends a change that was made on ``base_revision`` of the object (0: new).
+        """Appends a change that is based on ``base_revision`` of the object (0: a new object).
 
         Raises:
             ConfigConflictError: the object has a newer revision.
-            StoreError: the store did not answer; whether it was accepted is unknown.
+            StoreError: the store did not answer; the change may or may not be accepted.
         """
         nonce = f"{self._random_unit():.17f}"
         backoff = Backoff(self._random_unit)
@@ -186,7 +190,7 @@
         for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 await self.step()
-                accepted = self._find_nonce(kind, name, nonce)
+                accepted = self._find_by_nonce(kind, name, nonce)
                 if accepted is not None:
                     return accepted
                 self._check_base(kind, name, base_revision)
@@ -197,10 +201,12 @@
                 last_error = error
                 await asyncio.sleep(backoff.next_delay())
         await self.step()
-        accepted = self._find_nonce(kind, name, nonce)
+        accepted = self._find_by_nonce(kind, name, nonce)
         if accepted is not None:
             return accepted
-        raise last_error or StoreUnavailableError(f"accept {kind} {name}", "too many races")
+        raise last_error or StoreUnavailableError(
+            f"accept {kind} {name}", "too many concurrent edits"
+        )
 
     async def _append(
         self, kind: str, name: str, text: str | None, author: str, base: int, nonce: str
@@ -211,14 +217,14 @@
     def _check_base(self, kind: str, name: str, base_revision: int) -> None:
         current = self._objects_by_key.get((kind, name))
         revision = 0 if current is None else current.revision
-        # A deleted object may be made anew by an editor who starts from nothing.
+        # A deleted object may be created again like a new one.
         if current is not None and current.text is None and base_revision == 0:
             return
         if revision != base_revision:
             text = "" if current is None or current.text is None else current.text
             raise ConfigConflictError(kind, name, base_revision, revision, text)
 
-    def _find_nonce(self, kind: str, name: str, nonce: str) -> ConfigObject | None:
+    def _find_by_nonce(self, kind: str, name: str, nonce: str) -> ConfigObject | None:
         for revision in range(self._revision, max(0, self._revision - 50), -1):
             data = self._changes_by_revision[revision]
             change = decode(ConfigChange(), data, self._key(revision))
@@ -230,7 +236,7 @@
         text = stored.key.rpartition("/")[2]
         try:
             if len(text) != REVISION_DIGITS or not (text.isascii() and text.isdigit()):
-                raise CorruptObjectError(stored.key, "its name is no revision, so it is not ours")
+                raise CorruptObjectError(stored.key, "its name is not a revision number")
             self._apply(int(text), stored.value)
             self.corrupt_by_key.pop(stored.key, None)
         except CorruptObjectError as error:
@@ -240,7 +246,7 @@
 
     def _apply(self, revision: int, data: bytes) -> None:
         if revision != self._revision + 1:
-            # Already applied, or a gap: the next step reads on from what is applied.
+            # Already applied, or a gap, which the next step fills from the store.
             return
         changed = self._decode(revision, data)
         self.corrupt_by_key.pop(self._key(revision), None)
--- a/src/bayhinge/coordination/escrow.py
+++ b/src/bayhinge/coordination/escrow.py
@@ -1,13 +1,12 @@
-"""Escrow: a budget that many hosts spend at once without ever going over.
+"""Escrow: a budget that many hosts spend concurrently without exceeding it.
 
-The ledger object of a budget holds, for each incarnation, how many units it was
-ever granted and how many of those it has settled. The sum of the units spent and
-of the grants outstanding never passes the budget, because both change only by
-conditional update. A host spends its grant without asking anybody.
+A budget's ledger object holds, for each incarnation, the units granted to it and the units
+it has settled. Units spent plus outstanding grants never exceed the budget, because both
+change only by conditional update. A host spends its grant without coordination.
 
-Each entry bears the nonce of its incarnation's last write, so a write whose answer
-was lost is settled by reading it back. Units whose return is in doubt stay unusable
-until a later conditional write has settled the doubt.
+Each entry holds the nonce of its incarnation's last write, so that a write whose response
+was lost can be confirmed by reading it back. Units that may have been returned stay
+unusable (``in_doubt``) until a later conditional write settles the outcome.
 """
 
 import asyncio
@@ -32,15 +31,15 @@
 logger = logging.getLogger(__name__)
 
 MAX_UPDATE_ATTEMPTS = 12
-RACE_DELAY_SHARE = 0.2
-"""A lost race waits less than an outage: the other write is done already."""
-GRANT_SHARE = 8
-"""A grant asks for at most this part of what is free, so that one host can't take all."""
+CONFLICT_DELAY_FACTOR = 0.2
+"""Shortens the backoff after a version conflict: the competing write is done already."""
+GRANT_DIVISOR = 8
+"""A grant beyond the immediate need is at most the free units divided by this."""
 
 
 @attrs.define
 class Reservation:
-    """Units set aside for one call: its worst case, until it is settled."""
+    """Units reserved for one call, its worst case, until it is settled."""
 
     ledger: str
     units: int
@@ -48,12 +47,14 @@
 
 
 @attrs.define
-class _Account:
-    """This host's side of one ledger.
-
-    ``granted`` and ``settled`` are what the ledger object says of us; ``spent`` is
-    what was really used, of which ``settled`` has been written back. ``in_doubt``
-    is a return under way.
+class _LocalBalance:
+    """This host's share of one ledger, in units.
+
+    Attributes:
+        granted: as last read from or written to the ledger object.
+        settled: the part of ``spent`` that has been written to the ledger object.
+        spent: used by settled reservations.
+        in_doubt: being returned by a write that may or may not have taken effect.
     """
 
     granted: int = 0
@@ -61,7 +62,7 @@
     spent: int = 0
     reserved: int = 0
     in_doubt: int = 0
-    recent: int = 0
+    used_since_write_back: int = 0
     budget: int | None = None
     lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
 
@@ -72,7 +73,7 @@
 
 @attrs.frozen
 class LedgerView:
-    """A ledger as the store holds it, in units."""
+    """The totals of a ledger in the store, in units."""
 
     budget: int
     spent: int
@@ -80,16 +81,20 @@
 
     @property
     def free(self) -> int:
-        """Units that nobody holds."""
+        """Units neither spent nor granted; negative after the budget was lowered."""
         return self.budget - self.spent - self.outstanding
 
 
-Change = Callable[[Ledger, EscrowGrant], bool]
-"""Edits a ledger and our entry in it; returns False where nothing is to be written."""
+LedgerEdit = Callable[[Ledger, EscrowGrant], bool]
+"""Edits a ledger and this host's entry in it; returns False where nothing has changed."""
 
 
 class Escrow:
-    """One incarnation's grants from any number of ledgers."""
+    """One incarnation's grants from any number of ledgers.
+
+    Attributes:
+        updates: conditional writes attempted.
+    """
 
     def __init__(
         self,
@@ -99,74 +104,83 @@
         random_unit: Callable[[], float],
         grant_units: int = 20_000,
     ) -> None:
-        """Takes the store, the ledgers' prefix, this incarnation, and the usual grant."""
+        """Starts without grants.
+
+        Args:
+            store: where the ledgers are kept.
+            prefix: the prefix of the ledgers' keys.
+            incarnation: this run of the process.
+            random_unit: returns random numbers in [0, 1), for nonces and jitter.
+            grant_units: the usual size of a grant.
+        """
         self._store = store
         self._prefix = prefix
         self.incarnation = incarnation
         self._random_unit = random_unit
         self._grant_units = grant_units
-        self._accounts_by_ledger: dict[str, _Account] = {}
+        self._balances_by_ledger: dict[str, _LocalBalance] = {}
         self.updates = 0
 
     async def reserve(self, ledger: str, units: int, budget: int) -> Reservation:
-        """Sets units aside from this host's grant, and asks for more where it is short.
+        """Reserves units of this host's grant, which it enlarges first where needed.
 
         Raises:
-            BudgetExceededError: the budget has no such amount free; nothing is held.
-            StoreError: the grant is short and the store did not answer.
+            BudgetExceededError: the budget doesn't have that many units; none are reserved.
+            StoreError: the grant is too small and the store did not answer.
         """
-        account = self._accounts_by_ledger.setdefault(ledger, _Account())
-        if account.budget is not None and budget < account.budget:
-            async with account.lock:
-                await self._follow_cut(ledger, account, budget)
-        account.budget = budget
-        if account.free < units:
-            async with account.lock:
-                # Another call may have fetched enough while this one waited.
-                if account.free < units:
-                    await self._fetch(ledger, account, units, budget)
-        if account.free < units:
-            raise BudgetExceededError(ledger, units, max(0, account.free))
-        account.reserved += units
+        balance = self._balances_by_ledger.setdefault(ledger, _LocalBalance())
+        if balance.budget is not None and budget < balance.budget:
+            async with balance.lock:
+                await self._shrink_grant(ledger, balance, budget)
+        balance.budget = budget
+        if balance.free < units:
+            async with balance.lock:
+                # Another call may have enlarged the grant while this one waited.
+                if balance.free < units:
+                    await self._grow_grant(ledger, balance, units, budget)
+        if balance.free < units:
+            raise BudgetExceededError(ledger, units, max(0, balance.free))
+        balance.reserved += units
         return Reservation(ledger, units)
 
     async def extend(self, reservation: Reservation, units: int, budget: int) -> None:
-        """Sets more units aside for a call that costs more than was foreseen.
+        """Reserves more units for a call that costs more than estimated.
 
         Raises:
-            BudgetExceededError: the budget has no such amount free; the reservation stays.
-            StoreError: the grant is short and the store did not answer.
+            BudgetExceededError: the budget doesn't have that many units; the reservation is
+                unchanged.
+            StoreError: the grant is too small and the store did not answer.
         """
         more = await self.reserve(reservation.ledger, units, budget)
         more.settled = True
         reservation.units += more.units
 
     def settle(self, reservation: Reservation, used: int) -> None:
-        """Ends a reservation with what was really used; a second call does nothing."""
+        """Ends a reservation with the units used; settling it again has no effect."""
         if reservation.settled:
             return
         reservation.settled = True
-        account = self._accounts_by_ledger[reservation.ledger]
-        account.reserved -= reservation.units
-        account.spent += min(used, reservation.units)
-        account.recent += used
+        balance = self._balances_by_ledger[reservation.ledger]
+        balance.reserved -= reservation.units
+        balance.spent += min(used, reservation.units)
+        balance.used_since_write_back += used
 
     async def write_back(self, keep_units: int | None = None) -> None:
-        """Writes what was spent to the ledgers and returns grants that lie idle.
+        """Writes the spent units to the ledgers and returns unused grants.
 
         Args:
-            keep_units: how many free units a ledger may keep; by default the
-                usual grant where it was used since the last time, else none.
+            keep_units: how many free units of each ledger to keep; by default the usual
+                grant where the ledger was used since the last write, else none.
         """
-        for ledger in sorted(self._accounts_by_ledger):
-            account = self._accounts_by_ledger[ledger]
-            async with account.lock:
-                usual = self._grant_units if account.recent else 0
-                account.recent = 0
-                await self._return(ledger, account, usual if keep_units is None else keep_units)
+        for ledger in sorted(self._balances_by_ledger):
+            balance = self._balances_by_ledger[ledger]
+            async with balance.lock:
+                usual = self._grant_units if balance.used_since_write_back else 0
+                balance.used_since_write_back = 0
+                await self._return(ledger, balance, usual if keep_units is None else keep_units)
 
     async def view(self, ledger: str) -> LedgerView | None:
-        """Reads a ledger, or returns None where nothing was ever granted from it."""
+        """Reads a ledger; returns None where nothing was ever granted from it."""
         stored = await self._store.get(self._key(ledger))
         if stored is None:
             return None
@@ -175,12 +189,11 @@
     async def settle_dead(self, ledger: str, incarnation: str) -> int:
         """Closes a dead incarnation's grant and returns the units counted as spent.
 
-        Nothing proves what it still had free to be unspent: its last calls may have
-        reached an engine. So all of it counts as spent.
+        The whole grant counts as spent, since its last calls may have reached an engine.
         """
         lost = 0
 
-        def close(state: Ledger, mine: EscrowGrant) -> bool:
+        def close(state: Ledger, own_entry: EscrowGrant) -> bool:
             nonlocal lost
             for grant in state.grants:
                 if grant.incarnation == incarnation and not grant.closed:
@@ -195,67 +208,73 @@
         return lost
 
     def held(self, ledger: str) -> int:
-        """Returns the units this host holds of a ledger and has not spent."""
-        account = self._accounts_by_ledger.get(ledger)
-        return 0 if account is None else account.granted - account.spent
+        """Returns the granted units of a ledger that this host has not spent."""
+        balance = self._balances_by_ledger.get(ledger)
+        return 0 if balance is None else balance.granted - balance.spent
 
     def ledgers(self) -> list[str]:
-        """Returns the ledgers that this host has had to do with."""
-        return sorted(self._accounts_by_ledger)
+        """Returns the ledgers that this host has reserved units of."""
+        return sorted(self._balances_by_ledger)
 
-    async def _fetch(self, ledger: str, account: _Account, units: int, budget: int) -> None:
-        short = units - account.free
+    async def _grow_grant(
+        self, ledger: str, balance: _LocalBalance, units: int, budget: int
+    ) -> None:
+        short = units - balance.free
 
-        def extend(state: Ledger, mine: EscrowGrant) -> bool:
+        def grow(state: Ledger, own_entry: EscrowGrant) -> bool:
             state.budget = budget
             free = _view(state).free
             if free < short:
                 return False
-            share = max(short, min(self._grant_units, free // GRANT_SHARE))
-            mine.granted += share
+            share = max(short, min(self._grant_units, free // GRANT_DIVISOR))
+            own_entry.granted += share
             return True
 
-        await self._update(ledger, account, extend)
+        await self._update(ledger, balance, grow)
 
-    async def _follow_cut(self, ledger: str, account: _Account, budget: int) -> None:
-        """Gives back what this host holds above a budget that was lowered."""
-        free = max(0, account.free)
-        account.in_doubt += free
+    async def _shrink_grant(self, ledger: str, balance: _LocalBalance, budget: int) -> None:
+        """Returns this host's free units as far as the grants exceed a lowered budget."""
+        free = max(0, balance.free)
+        balance.in_doubt += free
 
-        def shrink(state: Ledger, mine: EscrowGrant) -> bool:
+        def shrink(state: Ledger, own_entry: EscrowGrant) -> bool:
             state.budget = budget
             excess = max(0, -_view(state).free)
-            mine.granted -= min(free, excess)
+            own_entry.granted -= min(free, excess)
             return True
 
-        await self._update(ledger, account, shrink)
+        await self._update(ledger, balance, shrink)
 
-    async def _return(self, ledger: str, account: _Account, keep: int) -> None:
-        surplus = max(0, account.free - keep)
-        if account.spent == account.settled and not surplus and not account.in_doubt:
+    async def _return(self, ledger: str, balance: _LocalBalance, keep: int) -> None:
+        surplus = max(0, balance.free - keep)
+        if balance.spent == balance.settled and not surplus and not balance.in_doubt:
             return
-        # Set aside first: a call that starts during the write must not use it.
-        account.in_doubt += surplus
-
-        def give_back(state: Ledger, mine: EscrowGrant) -> bool:
-            state.spent += account.spent - mine.settled
-            # Settled units leave the grant, and are counted once in `spent`.
-            mine.settled = account.spent
-            mine.granted -= surplus
+        # Set aside before the write, so that a call that starts meanwhile can't use them.
+        balance.in_doubt += surplus
+
+        def give_back(state: Ledger, own_entry: EscrowGrant) -> bool:
+            state.spent += balance.spent - own_entry.settled
+            # Settled units no longer count as outstanding, only in `spent`.
+            own_entry.settled = balance.spent
+            own_entry.granted -= surplus
             return True
 
-        await self._update(ledger, account, give_back)
+        await self._update(ledger, balance, give_back)
+
+    async def _update(self, ledger: str, balance: _LocalBalance | None, edit: LedgerEdit) -> None:
+        """Applies an edit by conditional update; retries until the outcome is known.
 
-    async def _update(self, ledger: str, account: _Account | None, change: Change) -> None:
-        """Applies a change by conditional update until it is known to stand or not."""
+        Raises:
+            StoreError: every attempt failed; the outcome is unknown.
+        """
         backoff = Backoff(self._random_unit)
         last_error: StoreError | None = None
         nonces: set[str] = set()
         for _ in range(MAX_UPDATE_ATTEMPTS):
             try:
-                mine = await self._update_once(ledger, account, change, nonces)
+                own_entry = await self._update_once(ledger, balance, edit, nonces)
             except (AlreadyExistsError, VersionConflictError):
-                await asyncio.sleep(backoff.next_delay() * RACE_DELAY_SHARE)
+                await asyncio.sleep(backoff.next_delay() * CONFLICT_DELAY_FACTOR)
             except StoreRateLimitedError as error:
                 last_error = error
                 await asyncio.sleep(error.retry_after_s)
@@ -263,46 +282,48 @@
                 last_error = error
                 await asyncio.sleep(backoff.next_delay())
             else:
-                self._adopt(account, mine)
+                self._apply_entry(balance, own_entry)
                 return
-        raise last_error or StoreUnavailableError(f"update ledger {ledger}", "too many races")
+        raise last_error or StoreUnavailableError(
+            f"update ledger {ledger}", "too many version conflicts"
+        )
 
     async def _update_once(
-        self, ledger: str, account: _Account | None, change: Change, nonces: set[str]
+        self, ledger: str, balance: _LocalBalance | None, edit: LedgerEdit, nonces: set[str]
     ) -> EscrowGrant:
         key = self._key(ledger)
         stored = await self._store.get(key)
         state = _empty() if stored is None else decode(Ledger(), stored.value, key)
-        mine = self._own_entry(state)
-        if mine.nonce in nonces:
-            return mine
-        # A return in doubt may still be on its way; only a write at the same
-        # version makes sure that it never arrives.
-        must_write = account is not None and account.in_doubt > 0
-        if not change(state, mine) and not must_write:
-            return mine
-        mine.nonce = f"{self.incarnation}-{self._random_unit():.17f}"
-        nonces.add(mine.nonce)
+        own_entry = self._own_entry(state)
+        if own_entry.nonce in nonces:
+            return own_entry
+        # A write in doubt may still arrive; only another write at the same version
+        # prevents that.
+        must_write = balance is not None and balance.in_doubt > 0
+        if not edit(state, own_entry) and not must_write:
+            return own_entry
+        own_entry.nonce = f"{self.incarnation}-{self._random_unit():.17f}"
+        nonces.add(own_entry.nonce)
         self.updates += 1
         if stored is None:
             await self._store.create(key, encode(state))
         else:
             await self._store.update(key, encode(state), stored.version)
-        return mine
+        return own_entry
 
     def _own_entry(self, state: Ledger) -> EscrowGrant:
         for grant in state.grants:
             if grant.incarnation == self.incarnation:
                 return grant
-        mine = EscrowGrant(self.incarnation, 0, 0, False, "")
-        state.grants.append(mine)
-        return mine
-
-    def _adopt(self, account: _Account | None, mine: EscrowGrant) -> None:
-        if account is not None:
-            account.granted = mine.granted
-            account.settled = mine.settled
-            account.in_doubt = 0
+        own_entry = EscrowGrant(self.incarnation, 0, 0, False, "")
+        state.grants.append(own_entry)
+        return own_entry
+
+    def _apply_entry(self, balance: _LocalBalance | None, own_entry: EscrowGrant) -> None:
+        if balance is not None:
+            balance.granted = own_entry.granted
+            balance.settled = own_entry.settled
+            balance.in_doubt = 0
 
     def _key(self, ledger: str) -> str:
         return f"{self._prefix}/{ledger}"
--- a/src/bayhinge/coordination/journal.py
+++ b/src/bayhinge/coordination/journal.py
@@ -1,9 +1,9 @@
-"""A sealed journal: the durable, fenced log of one incarnation of a process.
+"""The journal: a durable, fenced log of one incarnation of a process.
 
-Objects ``<prefix>/<incarnation>/<sequence>`` are made with create-if-absent, so
-the chain has one writer at each place. A successor takes over by creating the
-next place itself as a *seal*; the old writer's next append then conflicts, and
-it learns that it is out, however long it was paused. No clock is involved.
+Objects ``<prefix>/<incarnation>/<sequence>`` are written with create-if-absent, so each
+sequence number has one writer. A successor takes over by writing the next object itself,
+a *seal*. The next append of the old writer then conflicts, which fences it, however long
+it was paused. This doesn't depend on clocks.
 """
 
 import asyncio
@@ -30,16 +30,16 @@
 logger = logging.getLogger(__name__)
 
 BATCH_TARGET_BYTES = 700_000
-"""A batch is closed at this size, so that it stays below the store's largest value."""
+"""A batch is closed at this size, so that it stays below the store's maximum."""
 PART_BYTES = 600_000
-"""A larger record is split into parts of this size."""
+"""Larger records are split into parts of this size."""
 
 assert BATCH_TARGET_BYTES + PART_BYTES < 2 * MAX_VALUE_BYTES
 
 
 @attrs.define
 class JournalStatistics:
-    """What a journal has done since it was opened."""
+    """Counters of a journal since it was opened."""
 
     records: int = 0
     batches: int = 0
@@ -56,7 +56,7 @@
 
 
 @attrs.define
-class _Waiting:
+class _QueuedRecord:
     """A record that is not durable yet."""
 
     entries: deque[Entry]
@@ -66,17 +66,25 @@
 
 
 @attrs.frozen
-class _BegunBatch:
-    """A batch whose write may have taken effect already."""
+class _PendingBatch:
+    """A batch whose write may already have taken effect.
+
+    Attributes:
+        finished: records whose last entry is in the batch.
+    """
 
     key: str
     value: bytes
     nonce: str
-    finished: list[_Waiting]
+    finished: list[_QueuedRecord]
 
 
 class Journal:
-    """The writer's side: appends with group commit, from one task."""
+    """The writer: queues records, which one task writes with group commit.
+
+    Attributes:
+        on_fenced: called when another process is found to have sealed the journal.
+    """
 
     def __init__(
         self,
@@ -91,11 +99,11 @@
 
         Args:
             store: where the journal lives.
-            prefix: the first part of its keys.
-            incarnation: this start of the process.
-            pacer: spaces the writes.
-            random_unit: numbers in [0, 1) for nonces and jitter.
-            spool_bytes: cap on the records that wait for the store.
+            prefix: the prefix of its keys.
+            incarnation: this run of the process.
+            pacer: limits the rate of writes.
+            random_unit: returns random numbers in [0, 1), for nonces and jitter.
+            spool_bytes: maximum size of the records that are not durable yet.
         """
         self._store = store
         self._prefix = prefix
@@ -103,7 +111,7 @@
         self._pacer = pacer
         self._random_unit = random_unit
         self._spool_bytes = spool_bytes
-        self._waiting: deque[_Waiting] = deque()
+        self._queue: deque[_QueuedRecord] = deque()
         self._waiting_bytes = 0
         self._wake = asyncio.Event()
         self._idle = asyncio.Event()
@@ -111,19 +119,19 @@
         self._next_sequence = 0
         self._fenced: FencedError | None = None
         self._store_ok = True
-        self._announcement: list[str] | None = None
-        self._begun: _BegunBatch | None = None
+        self._announced_successors: list[str] | None = None
+        self._pending_batch: _PendingBatch | None = None
         self.on_fenced: Callable[[FencedError], None] = lambda error: None
         self.statistics = JournalStatistics()
 
     @property
     def fenced(self) -> bool:
-        """True once another process has sealed this journal."""
+        """True once this journal is known to be sealed by another process."""
         return self._fenced is not None
 
     @property
     def store_ok(self) -> bool:
-        """False while writes go unanswered."""
+        """False while writes to the store fail."""
         return self._store_ok
 
     @property
@@ -132,7 +140,7 @@
         return self._waiting_bytes
 
     def append(self, data: bytes) -> asyncio.Future[RecordPosition]:
-        """Queues a record and returns a future that ends once it is durable.
+        """Queues a record and returns a future that completes once it is durable.
 
         Raises:
             FencedError: the journal was sealed.
@@ -143,10 +151,10 @@
         if self._waiting_bytes + len(data) > self._spool_bytes:
             raise JournalFullError(self._waiting_bytes, self._spool_bytes)
         done: asyncio.Future[RecordPosition] = asyncio.get_running_loop().create_future()
-        # The future may end with FencedError after its caller has gone; without this
+        # The future may fail with FencedError when nobody awaits it any more; without this
         # the loop would report an exception that was never retrieved.
-        done.add_done_callback(_retrieve)
-        self._waiting.append(_Waiting(deque(_split(data)), len(data), done))
+        done.add_done_callback(_retrieve_exception)
+        self._queue.append(_QueuedRecord(deque(_split(data)), len(data), done))
         self._waiting_bytes += len(data)
         self._idle.clear()
         self._wake.set()
@@ -156,7 +164,11 @@
         """Writes batches until it is cancelled or fenced."""
         while self._fenced is None:
             await self._wake.wait()
-            if not self._waiting and self._announcement is None and self._begun is None:
+            if (
+                not self._queue
+                and self._announced_successors is None
+                and self._pending_batch is None
+            ):
                 self._wake.clear()
                 self._idle.set()
                 continue
@@ -164,32 +176,32 @@
             await self._write_next_batch()
 
     async def check_seal(self) -> SealInfo | None:
-        """Looks whether the journal was sealed meanwhile, as a process that slept should.
+        """Checks whether the journal has been sealed, for a process that was suspended.
 
         Raises:
             StoreError: the store did not answer.
         """
         seal = await find_seal(self._store, self._prefix, self.incarnation)
         if seal is not None and self._fenced is None:
-            self._give_up(FencedError(f"Journal '{self.incarnation}'", seal.sealed_by), [])
+            self._fence(FencedError(f"Journal '{self.incarnation}'", seal.sealed_by), [])
         return seal
 
     async def flush(self) -> None:
-        """Waits until every record queued so far is durable or the journal is fenced."""
+        """Waits until every queued record is durable or the journal is fenced."""
         await self._idle.wait()
 
     async def announce(self, successors: list[str]) -> None:
-        """Names the successors that the seal will name, whoever sets it.
+        """Records the successors that the seal will name, whichever process writes it.
 
-        A planned stop does this before it moves the first program, so that a program
-        which was moved is found even if the process dies before it seals.
+        A planned stop does this before it moves the first program, so that moved programs
+        can be found even if the process dies before it seals the journal.
 
         Raises:
             FencedError: the journal was sealed.
         """
         if self._fenced is not None:
             raise self._fenced
-        self._announcement = list(successors)
+        self._announced_successors = list(successors)
         self._idle.clear()
         self._wake.set()
         await self.flush()
@@ -197,58 +209,58 @@
             raise FencedError(f"Journal '{self.incarnation}'", "another process")
 
     async def seal(self, successors: list[str], reason: str) -> SealInfo:
-        """Ends the journal from the writer's side, as in a planned stop."""
+        """Seals the journal as its writer, in a planned stop."""
         await self.flush()
         return await seal_journal(
             self._store, self._prefix, self.incarnation, successors, self.incarnation, reason
         )
 
     async def _write_next_batch(self) -> None:
-        # A batch that was begun must be the next one written, whatever ended the task
-        # that wrote it: its records have left the queue.
-        batch = self._begun = self._begun or self._begin_batch()
+        # A batch whose write was interrupted must be written before any other, since its
+        # records are no longer in the queue.
+        batch = self._pending_batch = self._pending_batch or self._build_batch()
         try:
-            await self._create_surely(batch.key, batch.value, batch.nonce)
+            await self._create_with_retries(batch.key, batch.value, batch.nonce)
         except FencedError as error:
-            self._give_up(error, batch.finished)
+            self._fence(error, batch.finished)
             return
-        self._begun = None
+        self._pending_batch = None
         self._next_sequence += 1
         self.statistics.batches += 1
         self.statistics.bytes_written += len(batch.value)
-        for waiting in batch.finished:
-            self._finish(waiting)
+        for record in batch.finished:
+            self._complete(record)
 
-    def _begin_batch(self) -> _BegunBatch:
-        entries, finished = self._take_entries(self._next_sequence)
+    def _build_batch(self) -> _PendingBatch:
+        entries, finished = self._dequeue_entries(self._next_sequence)
         nonce = f"{self._random_unit():.17f}"
-        announced, self._announcement = self._announcement, None
+        announced, self._announced_successors = self._announced_successors, None
         value = encode(Batch(FORMAT, self.incarnation, nonce, entries, None, announced))
         key = object_key(self._prefix, self.incarnation, self._next_sequence)
-        return _BegunBatch(key, value, nonce, finished)
+        return _PendingBatch(key, value, nonce, finished)
 
-    def _take_entries(self, sequence: int) -> tuple[list[Entry], list[_Waiting]]:
+    def _dequeue_entries(self, sequence: int) -> tuple[list[Entry], list[_QueuedRecord]]:
         entries: list[Entry] = []
-        finished: list[_Waiting] = []
+        finished: list[_QueuedRecord] = []
         size = 0
-        while self._waiting:
-            waiting = self._waiting[0]
-            while waiting.entries:
-                entry = waiting.entries[0]
+        while self._queue:
+            record = self._queue[0]
+            while record.entries:
+                entry = record.entries[0]
                 if entries and size + len(entry.data) > BATCH_TARGET_BYTES:
                     return entries, finished
-                if waiting.position is None:
-                    waiting.position = RecordPosition(self.incarnation, sequence, len(entries))
-                entries.append(waiting.entries.popleft())
+                if record.position is None:
+                    record.position = RecordPosition(self.incarnation, sequence, len(entries))
+                entries.append(record.entries.popleft())
                 size += len(entry.data)
-            finished.append(self._waiting.popleft())
+            finished.append(self._queue.popleft())
         return entries, finished
 
-    async def _create_surely(self, key: str, value: bytes, nonce: str) -> None:
-        """Creates the object, settling lost answers by reading the key back.
+    async def _create_with_retries(self, key: str, value: bytes, nonce: str) -> None:
+        """Creates the object; where the response was lost, reads the key back.
 
         Raises:
-            FencedError: the key holds another writer's object.
+            FencedError: the key holds an object of another writer.
         """
         backoff = Backoff(self._random_unit)
         while True:
@@ -257,20 +269,20 @@
                 await self._store.create(key, value)
                 break
             except AlreadyExistsError:
-                if await self._is_ours(key, nonce):
+                if await self._is_own_batch(key, nonce):
                     break
             except StoreRateLimitedError as error:
                 await asyncio.sleep(max(error.retry_after_s, backoff.next_delay()))
             except StoreError as error:
-                self._note_trouble(error)
+                self._log_store_error(error)
                 await asyncio.sleep(backoff.next_delay())
         self._store_ok = True
 
-    async def _is_ours(self, key: str, nonce: str) -> bool:
-        """Tells whether the taken key holds this very batch.
+    async def _is_own_batch(self, key: str, nonce: str) -> bool:
+        """Returns whether the existing key holds this batch.
 
         Raises:
-            FencedError: it holds a seal or another writer's batch.
+            FencedError: it holds a seal or a batch of another writer.
         """
         backoff = Backoff(self._random_unit)
         while True:
@@ -278,7 +290,7 @@
                 found = await self._store.get(key)
                 break
             except StoreError as error:
-                self._note_trouble(error)
+                self._log_store_error(error)
                 await asyncio.sleep(backoff.next_delay())
         if found is None:
             return False
@@ -287,29 +299,29 @@
             return True
         raise FencedError(f"Journal '{self.incarnation}'", batch.writer)
 
-    def _note_trouble(self, error: StoreError) -> None:
+    def _log_store_error(self, error: StoreError) -> None:
         if self._store_ok:
-            logger.warning("journal %s waits for the store: %s", self.incarnation, error)
+            logger.warning("cannot write journal %s, retrying: %s", self.incarnation, error)
         self._store_ok = False
 
-    def _finish(self, waiting: _Waiting) -> None:
+    def _complete(self, record: _QueuedRecord) -> None:
         self.statistics.records += 1
-        self._waiting_bytes -= waiting.size
-        if not waiting.done.done():
-            assert waiting.position is not None
-            waiting.done.set_result(waiting.position)
+        self._waiting_bytes -= record.size
+        if not record.done.done():
+            assert record.position is not None
+            record.done.set_result(record.position)
 
-    def _give_up(self, error: FencedError, finished: list[_Waiting]) -> None:
+    def _fence(self, error: FencedError, finished: list[_QueuedRecord]) -> None:
         self._fenced = error
-        for waiting in [*finished, *self._waiting]:
-            if not waiting.done.done():
-                waiting.done.set_exception(error)
-        self._waiting.clear()
+        for record in [*finished, *self._queue]:
+            if not record.done.done():
+                record.done.set_exception(error)
+        self._queue.clear()
         self._waiting_bytes = 0
         self._idle.set()
         self.on_fenced(error)
 
 
-def _retrieve(done: "asyncio.Future[RecordPosition]") -> None:
+def _retrieve_exception(done: "asyncio.Future[RecordPosition]") -> None:
     if not done.cancelled():
         done.exception()
--- a/src/bayhinge/coordination/journal_objects.py
+++ b/src/bayhinge/coordination/journal_objects.py
@@ -1,4 +1,4 @@
-"""What a journal consists of: its objects' keys, records, positions and seals."""
+"""The parts of a journal: object keys, records, positions and seals."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class RecordPosition:
-    """Where a record stands: the journal, the object's sequence, the first entry's index."""
+    """The position of a record: journal, object sequence, and index of its first entry."""
 
     incarnation: str
     sequence: int
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class JournalRecord:
-    """A whole record with its place."""
+    """A complete record and its position."""
 
     position: RecordPosition
     data: bytes
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class SealInfo:
-    """The end of a journal: who continues, who sealed it, and why."""
+    """The end of a journal: its successors, who sealed it, and why."""
 
     successors: tuple[str, ...]
     sealed_by: str
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class JournalContents:
-    """All that a journal holds. ``seal`` is None while its writer may append."""
+    """All records of a journal. ``seal`` is None while its writer may append."""
 
     records: tuple[JournalRecord, ...]
     seal: SealInfo | None
@@ -49,19 +49,19 @@
 
 
 def sequence_of(key: str) -> int:
-    """Returns the sequence in a key.
+    """Returns the sequence number in a key.
 
     Raises:
-        CorruptObjectError: the key is no journal object's.
+        CorruptObjectError: the key is not that of a journal object.
     """
     text = key.rpartition("/")[2]
     if len(text) != SEQUENCE_DIGITS or not text.isdigit():
-        raise CorruptObjectError(key, "its name is no journal sequence, so it is not ours")
+        raise CorruptObjectError(key, "its name is no journal sequence number")
     return int(text)
 
 
 def seal_info(seal: Seal | None) -> SealInfo | None:
-    """Returns a seal from its stored form."""
+    """Converts a seal from its stored form."""
     if seal is None:
         return None
     return SealInfo(tuple(seal.successors), seal.sealed_by, seal.reason)
--- a/src/bayhinge/coordination/journal_reader.py
+++ b/src/bayhinge/coordination/journal_reader.py
@@ -1,4 +1,4 @@
-"""The reader's side of journals: whole ones, and single records by position."""
+"""Reads journals: complete ones, and single records by position."""
 
 from collections.abc import Iterator
 
@@ -18,20 +18,19 @@
 
 
 class JournalReader:
-    """The reader's side: whole journals, and single records by position."""
+    """Reads complete journals, and single records by position."""
 
     def __init__(self, store: ObjectStore, prefix: str) -> None:
-        """Reads journals under ``prefix``."""
         self._store = store
         self._prefix = prefix
 
     async def read_all(self, incarnation: str) -> JournalContents:
-        """Reads a whole journal.
+        """Reads a complete journal.
 
-        A record whose last part is missing was never acknowledged and is left out.
+        A record whose last part is missing was never acknowledged and is omitted.
 
         Raises:
-            CorruptObjectError: an object is damaged, foreign, or out of sequence.
+            CorruptObjectError: an object is damaged, not a journal's, or out of sequence.
         """
         listing = await list_all(self._store, f"{self._prefix}/{incarnation}/")
         entries: list[tuple[RecordPosition, Entry]] = []
@@ -40,7 +39,7 @@
         for stored in listing.objects:
             sequence = sequence_of(stored.key)
             if seal is not None:
-                raise CorruptObjectError(stored.key, "it stands behind the journal's seal")
+                raise CorruptObjectError(stored.key, "it follows the journal's seal")
             if next_sequence and sequence != next_sequence:
                 raise CorruptObjectError(stored.key, f"sequence {next_sequence} is missing")
             batch = decode(Batch(), stored.value, stored.key)
@@ -53,21 +52,21 @@
         return JournalContents(tuple(_join(entries)), seal, next_sequence)
 
     async def read_sealed(self, incarnation: str) -> JournalContents:
-        """Reads a whole journal that is known to be sealed.
+        """Reads a complete journal that is known to be sealed.
 
         Raises:
-            StoreUnavailableError: the answer lags behind the seal; ask again.
+            StoreUnavailableError: the listing is older than the seal; call again.
             CorruptObjectError: see :meth:`read_all`.
         """
         contents = await self.read_all(incarnation)
         if contents.seal is None:
-            # Without this check a lagging listing would lose the last records for good:
-            # what is adopted is written down as the whole.
-            raise StoreUnavailableError(f"list journal {incarnation}", "the answer is too old")
+            # An adopter records what it read as complete, so a stale listing would lose the
+            # last records for good.
+            raise StoreUnavailableError(f"list journal {incarnation}", "the listing is too old")
         return contents
 
     async def read_record(self, position: RecordPosition) -> JournalRecord:
-        """Reads one record, following its parts over several objects.
+        """Reads one record, whose parts may be in several objects.
 
         Raises:
             CorruptObjectError: the object is missing or has no such entry.
--- a/src/bayhinge/coordination/journal_seal.py
+++ b/src/bayhinge/coordination/journal_seal.py
@@ -1,4 +1,4 @@
-"""Seals: how a journal is ended, and who continues it."""
+"""Sealing: ends a journal and names its successors."""
 
 import attrs
 
@@ -17,13 +17,13 @@
     sealed_by: str,
     reason: str,
 ) -> SealInfo:
-    """Ends a journal and names who continues its work.
+    """Seals a journal and names the successors that continue its work.
 
-    Where two processes seal at once, the first one's seal stands and both get it.
-    Successors that the writer announced go before ``successors``.
+    Where two processes seal concurrently, the first seal stands and both return it.
+    Successors that the writer announced take precedence over ``successors``.
 
     Raises:
-        StoreError: the store did not answer; call again, the result is the same.
+        StoreError: the store did not answer; the call is idempotent and may be repeated.
         CorruptObjectError: the journal holds an object that can't be read.
     """
     nonce = f"seal-by-{sealed_by}"
@@ -37,7 +37,7 @@
         try:
             await store.create(object_key(prefix, incarnation, tail.next_sequence), value)
         except AlreadyExistsError:
-            # The writer appended meanwhile, or another process sealed: look again.
+            # The writer appended, or another process sealed: read the tail again.
             continue
         return SealInfo(named, sealed_by, reason)
 
@@ -52,7 +52,7 @@
 
 
 async def read_tail(store: ObjectStore, prefix: str, incarnation: str) -> JournalTail:
-    """Returns the end of a journal; ``next_sequence`` is 0 where nothing was ever written."""
+    """Returns the end of a journal; ``next_sequence`` is 0 where nothing was written."""
     listing = await list_all(store, f"{prefix}/{incarnation}/")
     if not listing.objects:
         return JournalTail(None, 0)
@@ -66,5 +66,5 @@
 
 
 async def find_seal(store: ObjectStore, prefix: str, incarnation: str) -> SealInfo | None:
-    """Returns the seal of a journal, or None while it has none."""
+    """Returns the seal of a journal, or None where it has none."""
     return (await read_tail(store, prefix, incarnation)).seal
--- a/src/bayhinge/coordination/lease.py
+++ b/src/bayhinge/coordination/lease.py
@@ -1,8 +1,8 @@
-"""A lease with a fencing number, for duties that only one host should hold.
+"""A lease with a fencing token, for duties that only one host should have.
 
-The holder trusts its lease for less time than others wait before they take it,
-each counting on its own clock. A paused holder can still be wrong; the fencing
-number that goes with each order protects endpoints that check it.
+The holder relies on its lease for less time than others wait before they take it over,
+each measured on its own clock. A paused holder may still act on an expired lease; the
+fencing token sent with each command protects endpoints that check it.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 from bayhinge.coordination.wire.ttypes import LeaseState
 
 TRUST_SHARE = 0.6
-"""The holder trusts its lease for this part of the duration; the rest is margin."""
+"""Fraction of the duration for which the holder relies on its lease."""
 
 
 class LeaseRole(StrEnum):
-    """What an attempt to hold the lease came to."""
+    """Who holds the lease: this host or another one."""
 
     HELD = "held"
     OTHER = "other"
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class LeaseView:
-    """The lease as this host last saw it."""
+    """The lease as this host last observed it."""
 
     role: LeaseRole
     holder: str
@@ -37,8 +37,13 @@
 
 
 @attrs.define
-class _Watched:
-    """Another's lease, and since when its renewal count has stood still."""
+class _ObservedLease:
+    """Another host's lease.
+
+    Attributes:
+        renewal: its renewal count.
+        since: when this count was first observed, on the event loop's clock.
+    """
 
     holder: str
     renewal: int
@@ -46,7 +51,7 @@
 
 
 class Lease:
-    """One host's attempt to hold one lease."""
+    """Acquires and renews one lease for one host."""
 
     def __init__(
         self,
@@ -56,7 +61,15 @@
         random_unit: Callable[[], float],
         duration_s: float = 6.0,
     ) -> None:
-        """Takes the store, the lease's key, this host's incarnation and the duration."""
+        """Starts without the lease.
+
+        Args:
+            store: where the lease is kept.
+            key: the lease's key.
+            holder: this host's incarnation.
+            random_unit: returns random numbers in [0, 1), for nonces.
+            duration_s: others may take the lease over after it was not renewed this long.
+        """
         self._store = store
         self._key = key
         self._holder = holder
@@ -64,35 +77,35 @@
         self._duration_s = duration_s
         self._trusted_until = float("-inf")
         self._fencing = 0
-        self._watched: _Watched | None = None
+        self._observed_lease: _ObservedLease | None = None
 
     @property
     def fencing(self) -> int:
-        """The number to send with each order; grows with each change of holder."""
+        """The fencing token to send with each command; grows with each change of holder."""
         return self._fencing
 
     def is_held(self) -> bool:
-        """True while this host may act on the lease, by its own clock."""
+        """Returns whether this host may act on the lease, by its own clock."""
         return asyncio.get_running_loop().time() < self._trusted_until
 
     async def step(self) -> LeaseView:
-        """Takes, renews or watches the lease; call it a few times a duration.
+        """Acquires, renews or observes the lease; call it several times per duration.
 
         Raises:
-            StoreError: the store did not answer; the lease runs out by itself.
+            StoreError: the store did not answer; the lease expires unless renewed.
         """
-        # Counted from before the write: its answer may have taken long to come back.
+        # Measured from before the write, whose response may have been slow.
         started = asyncio.get_running_loop().time()
         stored = await self._store.get(self._key)
         if stored is None:
             return await self._write(LeaseState(FORMAT, "", 0, 0, 0, ""), None, started)
         state = decode(LeaseState(), stored.value, self._key)
-        if state.holder in {self._holder, ""} or self._has_lapsed(state, started):
+        if state.holder in {self._holder, ""} or self._has_expired(state, started):
             return await self._write(state, stored.version, started)
         return LeaseView(LeaseRole.OTHER, state.holder, state.fencing)
 
-    async def give_up(self) -> None:
-        """Frees the lease, as in a planned stop."""
+    async def release(self) -> None:
+        """Releases the lease, in a planned stop."""
         self._trusted_until = float("-inf")
         stored = await self._store.get(self._key)
         if stored is None:
@@ -104,15 +117,15 @@
         try:
             await self._store.update(self._key, encode(state), stored.version)
         except VersionConflictError:
-            # Somebody took it over meanwhile, which is what giving up is for.
+            # Another host has taken it over, so there is nothing to release.
             return
 
-    def _has_lapsed(self, state: LeaseState, now: float) -> bool:
-        watched = self._watched
-        if watched is None or (watched.holder, watched.renewal) != (state.holder, state.renewal):
-            self._watched = _Watched(state.holder, state.renewal, now)
+    def _has_expired(self, state: LeaseState, now: float) -> bool:
+        observed = self._observed_lease
+        if observed is None or (observed.holder, observed.renewal) != (state.holder, state.renewal):
+            self._observed_lease = _ObservedLease(state.holder, state.renewal, now)
             return False
-        return now - watched.since > state.duration_ms / 1000
+        return now - observed.since > state.duration_ms / 1000
 
     async def _write(self, state: LeaseState, version: int | None, started: float) -> LeaseView:
         previous = state.holder
@@ -130,5 +143,5 @@
             return LeaseView(LeaseRole.OTHER, previous, state.fencing)
         self._trusted_until = started + self._duration_s * TRUST_SHARE
         self._fencing = fencing
-        self._watched = None
+        self._observed_lease = None
         return LeaseView(LeaseRole.HELD, self._holder, fencing)
--- a/src/bayhinge/coordination/membership.py
+++ b/src/bayhinge/coordination/membership.py
@@ -1,8 +1,8 @@
-"""Membership: who is alive, from heartbeat objects in the store.
+"""Membership: failure detection by heartbeat objects in the store.
 
-Each host rewrites one small object every few seconds and watches the others'.
-Time is counted on the host's own clock, and only while the store is known to be
-well: an outage makes nobody look dead. The view decides speed alone, never safety.
+Each host rewrites one small object every few seconds and lists those of all others.
+Silence is measured on the host's own clock, and only while the store answers, so that a
+store outage makes no host look dead. A wrong view costs time, never correctness.
 """
 
 import asyncio
@@ -26,16 +26,16 @@
 
 
 MAX_BEATS_PER_SECOND = 60.0
-"""Heartbeats of a whole fleet; beyond it each host beats more slowly."""
+"""Maximum heartbeats of all hosts; in larger fleets each host sends fewer."""
 
 
 class HostState(StrEnum):
-    """What a host says of itself.
+    """The state that a host reports of itself.
 
     Attributes:
-        SERVING: it owns programs and takes new ones.
-        LEAVING: it makes a planned stop.
-        FENCED: its journal is another's; it owns nothing, and passes calls on.
+        SERVING: owns programs and accepts new ones.
+        LEAVING: a planned stop is in progress.
+        FENCED: its journal was taken over; it owns no programs, and forwards calls.
     """
 
     SERVING = "serving"
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class HostInfo:
-    """A host as its heartbeat object tells of it."""
+    """A host as described by its heartbeat object."""
 
     incarnation: str
     host: str
@@ -58,40 +58,50 @@
 
 
 @attrs.define
-class _Seen:
+class _ObservedHost:
     info: HostInfo
     version: int
-    silent_s: float
+    silence_s: float
 
 
 @attrs.frozen
 class MembershipTimes:
     """Periods in seconds.
 
-    A host is dead after ``dead_after_s`` without a heartbeat, counted while the
-    store is well. It should be three beats or more: one may be lost, one late.
+    Attributes:
+        heartbeat_s: the time between heartbeats.
+        dead_after_s: a host is declared dead after this long without a heartbeat, measured
+            while the store answers; at least three times ``heartbeat_s``, since one heartbeat may
+            be lost and the next one late.
     """
 
-    beat_s: float = 1.5
+    heartbeat_s: float = 1.5
     dead_after_s: float = 5.0
 
 
 class Membership:
-    """Keeps this host's heartbeat and the view of all others."""
+    """Writes this host's heartbeat and detects the failure of others.
+
+    Attributes:
+        corrupt_by_key: heartbeat objects that can't be read.
+        on_death: called with a host that was declared dead.
+        on_gone: called with a host whose heartbeat object was removed.
+        on_removed: called when another host removed this host's heartbeat object.
+        on_change: called when the set of live hosts has changed.
+    """
 
     def __init__(
         self, store: ObjectStore, prefix: str, me: HostInfo, times: MembershipTimes
     ) -> None:
-        """Takes the store, the prefix of heartbeat objects, this host and the periods."""
         self._store = store
         self._prefix = prefix
         self._me = me
         self._times = times
-        self._beat = 0
+        self._heartbeat_count = 0
         self._version: int | None = None
-        self._seen_by_incarnation: dict[str, _Seen] = {}
+        self._observed_by_incarnation: dict[str, _ObservedHost] = {}
         self._dead_by_incarnation: dict[str, HostInfo] = {}
-        self._dead_version: dict[str, int] = {}
+        self._dead_version_by_incarnation: dict[str, int] = {}
         self._last_poll: float | None = None
         self.corrupt_by_key: dict[str, CorruptObjectError] = {}
         self.on_death: Callable[[HostInfo], None] = lambda info: None
@@ -101,46 +111,48 @@
 
     @property
     def me(self) -> HostInfo:
-        """This host as it was last described."""
+        """This host, as in its heartbeats."""
         return self._me
 
     @property
-    def beat_s(self) -> float:
-        """Seconds between heartbeats; longer in a large fleet, for the store's sake."""
-        return max(self._times.beat_s, len(self._seen_by_incarnation) / MAX_BEATS_PER_SECOND)
+    def heartbeat_s(self) -> float:
+        """Seconds between heartbeats; longer in a large fleet, to limit the store's load."""
+        return max(
+            self._times.heartbeat_s, len(self._observed_by_incarnation) / MAX_BEATS_PER_SECOND
+        )
 
     @property
     def dead_after_s(self) -> float:
-        """Seconds of silence that mean death: as many beats as settings say."""
-        return self._times.dead_after_s * self.beat_s / self._times.beat_s
+        """Seconds of silence until a host is declared dead, scaled with ``heartbeat_s``."""
+        return self._times.dead_after_s * self.heartbeat_s / self._times.heartbeat_s
 
     def describe(self, me: HostInfo) -> None:
-        """Changes what the next heartbeat says of this host."""
+        """Changes the description of this host in its next heartbeats."""
         self._me = me
 
     def alive(self) -> list[HostInfo]:
-        """Returns the hosts that beat, this one included, ordered by incarnation."""
-        others = (seen.info for seen in self._seen_by_incarnation.values())
+        """Returns the live hosts, including this one, sorted by incarnation."""
+        others = (seen.info for seen in self._observed_by_incarnation.values())
         by_incarnation = {info.incarnation: info for info in others}
         by_incarnation[self._me.incarnation] = self._me
         return [by_incarnation[incarnation] for incarnation in sorted(by_incarnation)]
 
     def serving(self) -> list[HostInfo]:
-        """Returns the living hosts that are not leaving."""
+        """Returns the live hosts in the serving state."""
         return [info for info in self.alive() if info.state is HostState.SERVING]
 
     def find(self, incarnation: str) -> HostInfo | None:
-        """Returns a living host, or None."""
+        """Returns a live host, or None."""
         if incarnation == self._me.incarnation:
             return self._me
-        seen = self._seen_by_incarnation.get(incarnation)
+        seen = self._observed_by_incarnation.get(incarnation)
         return None if seen is None else seen.info
 
     async def run(self) -> None:
-        """Beats and looks around until it is cancelled."""
+        """Sends heartbeats and reads those of others until it is cancelled."""
         while True:
             await self.step()
-            await asyncio.sleep(self.beat_s)
+            await asyncio.sleep(self.heartbeat_s)
 
     async def step(self) -> None:
         """Writes one heartbeat and reads all others once."""
@@ -148,37 +160,37 @@
             await self._write()
             listing = await list_all(self._store, f"{self._prefix}/")
         except StoreError as error:
-            logger.info("membership waits for the store: %s", error)
-            # Silence during an outage proves nothing, so the time is not counted.
+            logger.info("cannot update membership, retrying: %s", error)
+            # Time during a store outage does not count as silence.
             self._last_poll = None
             return
-        self._take(listing.objects)
+        self._apply_listing(listing.objects)
 
     async def leave(self) -> None:
-        """Removes this host's heartbeat object; used at the end of a planned stop."""
+        """Removes this host's heartbeat object, at the end of a planned stop."""
         if self._version is None:
             return
         try:
             await self._store.delete(self._key(self._me.incarnation), self._version)
         except StoreError as error:
-            logger.info("the heartbeat object stays until it is swept: %s", error)
+            logger.info("cannot remove the heartbeat object, leaving it to others: %s", error)
 
     async def forget(self, incarnation: str) -> None:
-        """Removes a dead host's heartbeat object, once its journal is sealed."""
+        """Removes a dead host's heartbeat object, after its journal was sealed."""
         key = self._key(incarnation)
         try:
             stored = await self._store.get(key)
             if stored is not None:
                 await self._store.delete(key, stored.version)
         except StoreError as error:
-            logger.info("heartbeat object %s is left for a later sweep: %s", key, error)
+            logger.info("cannot remove heartbeat object %s, will retry later: %s", key, error)
 
     def _key(self, incarnation: str) -> str:
         return f"{self._prefix}/{incarnation}"
 
     async def _write(self) -> None:
-        self._beat += 1
-        value = encode(_to_wire(self._me, self._beat))
+        self._heartbeat_count += 1
+        value = encode(_to_wire(self._me, self._heartbeat_count))
         key = self._key(self._me.incarnation)
         try:
             if self._version is None:
@@ -186,18 +198,18 @@
             else:
                 self._version = (await self._store.update(key, value, self._version)).version
         except (AlreadyExistsError, VersionConflictError):
-            # An earlier write took effect although its answer was lost.
+            # An earlier write took effect although its response was lost.
             stored = await self._store.get(key)
             if stored is None:
-                # Somebody held this host dead and settled its work.
+                # Another host declared this one dead and took over its programs.
                 self.on_removed()
             self._version = None if stored is None else stored.version
 
-    def _take(self, objects: tuple[StoredObject, ...]) -> None:
+    def _apply_listing(self, objects: tuple[StoredObject, ...]) -> None:
         now = asyncio.get_running_loop().time()
         elapsed = 0.0 if self._last_poll is None else now - self._last_poll
-        # A process that was paused must not blame the others for the time it slept.
-        elapsed = min(elapsed, 2 * self.beat_s)
+        # Time during which this process was paused is not silence of the others.
+        elapsed = min(elapsed, 2 * self.heartbeat_s)
         self._last_poll = now
         before = [info.incarnation for info in self.alive()]
         found = {
@@ -206,8 +218,8 @@
             if (info := self._read(stored)) is not None
         }
         for stored in objects:
-            # What stands there and can't be read is silence, not an object that was removed.
-            seen = self._seen_by_incarnation.get(stored.key.removeprefix(f"{self._prefix}/"))
+            # An object that can't be read counts as silence, not as removed.
+            seen = self._observed_by_incarnation.get(stored.key.removeprefix(f"{self._prefix}/"))
             if seen is not None:
                 found.setdefault(seen.info.incarnation, (seen.info, seen.version))
         self._count_silence(found, elapsed)
@@ -226,44 +238,44 @@
         return info
 
     def _count_silence(self, found: dict[str, tuple[HostInfo, int]], elapsed: float) -> None:
-        gone = self._seen_by_incarnation.keys() - found.keys()
-        for incarnation in sorted(gone):
-            # Its object was removed: a planned stop, or a death that others settled.
-            self.on_gone(self._seen_by_incarnation.pop(incarnation).info)
+        removed = self._observed_by_incarnation.keys() - found.keys()
+        for incarnation in sorted(removed):
+            # The host stopped as planned, or another host has already taken over.
+            self.on_gone(self._observed_by_incarnation.pop(incarnation).info)
         for incarnation, (info, version) in found.items():
             if incarnation == self._me.incarnation:
                 continue
-            seen = self._seen_by_incarnation.get(incarnation)
+            seen = self._observed_by_incarnation.get(incarnation)
             if seen is None and incarnation in self._dead_by_incarnation:
-                self._revive_if_beating(incarnation, info, version)
+                self._revive_if_heartbeat_changed(incarnation, info, version)
                 continue
             if seen is None or seen.version != version:
-                self._seen_by_incarnation[incarnation] = _Seen(info, version, 0.0)
+                self._observed_by_incarnation[incarnation] = _ObservedHost(info, version, 0.0)
                 continue
-            seen.silent_s += elapsed
-            if seen.silent_s >= self.dead_after_s:
+            seen.silence_s += elapsed
+            if seen.silence_s >= self.dead_after_s:
                 self._declare_dead(seen.info, version)
 
     def _declare_dead(self, info: HostInfo, version: int) -> None:
-        logger.warning("host %s (%s) is silent and held dead", info.host, info.incarnation)
-        del self._seen_by_incarnation[info.incarnation]
+        logger.warning("no heartbeat from host %s (%s), marked dead", info.host, info.incarnation)
+        del self._observed_by_incarnation[info.incarnation]
         self._dead_by_incarnation[info.incarnation] = info
-        self._dead_version[info.incarnation] = version
+        self._dead_version_by_incarnation[info.incarnation] = version
         self.on_death(info)
 
-    def _revive_if_beating(self, incarnation: str, info: HostInfo, version: int) -> None:
-        if self._dead_version.get(incarnation) == version:
+    def _revive_if_heartbeat_changed(self, incarnation: str, info: HostInfo, version: int) -> None:
+        if self._dead_version_by_incarnation.get(incarnation) == version:
             return
-        logger.warning("host %s beats again after it was held dead", info.host)
+        logger.warning("host %s sends heartbeats again after it was marked dead", info.host)
         del self._dead_by_incarnation[incarnation]
-        self._seen_by_incarnation[incarnation] = _Seen(info, version, 0.0)
+        self._observed_by_incarnation[incarnation] = _ObservedHost(info, version, 0.0)
 
     def dead(self) -> list[HostInfo]:
-        """Returns the hosts held dead whose objects are still there or were just removed."""
+        """Returns the hosts that were declared dead and have not returned."""
         return list(self._dead_by_incarnation.values())
 
 
-def _to_wire(info: HostInfo, beat: int) -> HostStatus:
+def _to_wire(info: HostInfo, heartbeat_count: int) -> HostStatus:
     return HostStatus(
         FORMAT,
         info.incarnation,
@@ -272,7 +284,7 @@
         info.peer_address,
         info.public_address,
         info.state.value,
-        beat,
+        heartbeat_count,
         info.applied_revision,
         info.load,
     )
--- a/src/bayhinge/coordination/pacing.py
+++ b/src/bayhinge/coordination/pacing.py
@@ -1,24 +1,29 @@
-"""Paces store writes: a burst when quiet, a steady rate when busy."""
+"""Rate limiting and backoff for writes to the store."""
 
 import asyncio
 from collections.abc import Callable
 
 
 class WritePacer:
-    """A token bucket over writes.
+    """A token bucket for writes.
 
-    A lone record is written at once. Under load writes are spaced, so that more
-    records share each one; this is how group commit's linger adapts by itself.
+    An idle writer writes at once. Under load writes are spaced out, so that each group
+    commit collects more records.
     """
 
     def __init__(self, writes_per_second: float, burst: int) -> None:
-        """Takes the steady rate and how many writes may go out back to back."""
+        """Creates a full bucket.
+
+        Args:
+            writes_per_second: the sustained rate.
+            burst: how many writes may start back to back.
+        """
         self._burst = burst
         self._interval = 1.0 / writes_per_second
         self._next = float("-inf")
 
     def set_rate(self, writes_per_second: float) -> None:
-        """Changes the steady rate, as when the share of a host shrinks with a larger fleet."""
+        """Changes the sustained rate, as when a host's share shrinks in a larger fleet."""
         self._interval = 1.0 / writes_per_second
 
     def delay(self, now: float) -> float:
@@ -26,7 +31,7 @@
         return max(0.0, self._next - self._interval * (self._burst - 1) - now)
 
     async def wait(self) -> None:
-        """Waits for the next write's turn and takes it."""
+        """Waits until a write may start, and consumes one token."""
         loop = asyncio.get_running_loop()
         delay = self.delay(loop.time())
         if delay > 0:
@@ -36,23 +41,29 @@
 
 
 class Backoff:
-    """Exponential delays with a cap and jitter from a seeded source."""
+    """Exponential backoff with a cap and jitter."""
 
     def __init__(
         self, random_unit: Callable[[], float], first_s: float = 0.05, cap_s: float = 2.0
     ) -> None:
-        """Takes a source of numbers in [0, 1), the first delay and the longest."""
+        """Starts at the first delay.
+
+        Args:
+            random_unit: returns random numbers in [0, 1).
+            first_s: the first delay before jitter, in seconds.
+            cap_s: the longest delay in seconds.
+        """
         self._random_unit = random_unit
         self._first_s = first_s
         self._cap_s = cap_s
         self._attempt = 0
 
     def next_delay(self) -> float:
-        """Returns the next delay: between half and the whole of the doubled value."""
+        """Returns the next delay in seconds, with a jitter of up to half of it."""
         whole = min(self._cap_s, self._first_s * 2**self._attempt)
         self._attempt = min(self._attempt + 1, 20)
         return whole * (0.5 + self._random_unit() / 2)
 
     def reset(self) -> None:
-        """Starts over after a success."""
+        """Starts over from the first delay, after a success."""
         self._attempt = 0
--- a/src/bayhinge/coordination/rendezvous.py
+++ b/src/bayhinge/coordination/rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: each key ranks the candidates by itself.
+"""Rendezvous (highest random weight) hashing.
 
-When a candidate goes, only its own keys move, and they spread over all others.
+When a candidate is removed, only its keys move, and they spread over all the others.
 """
 
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 def rank(key: str, candidates: Iterable[str]) -> list[str]:
-    """Returns the candidates, best first. The result depends on the set alone."""
+    """Returns the candidates, best first, whatever the order in which they are given."""
     return sorted(set(candidates), key=lambda candidate: _score(key, candidate), reverse=True)
 
 
--- a/src/bayhinge/coordination/store.py
+++ b/src/bayhinge/coordination/store.py
@@ -1,10 +1,9 @@
-"""The object store that everything durable goes through.
+"""The interface of the object store that holds all durable state.
 
-The contract is the one common to platforms' object APIs: versions, conditional
-updates, and watches. Implementations raise the errors of
-:mod:`bayhinge.coordination.errors`; any call may raise
-:class:`~bayhinge.coordination.errors.StoreUnavailableError`, also after a write
-took effect.
+It needs what the object APIs of platforms have in common: versions, conditional updates
+and watches. Implementations raise the errors of :mod:`bayhinge.coordination.errors`; any
+call may raise :class:`~bayhinge.coordination.errors.StoreUnavailableError`, even after a
+write took effect.
 """
 
 from abc import ABC, abstractmethod
@@ -16,16 +15,16 @@
 from bayhinge.coordination.store_contact import StoreContact
 
 MAX_VALUE_BYTES = 1_000_000
-"""Largest value that the store takes."""
+"""Maximum size of a value in the store."""
 
 
 WATCH_WAIT_S = 20.0
-"""Seconds that one waiting call of a watch lasts."""
+"""Maximum duration of one long poll of a watch."""
 
 
 @attrs.frozen
 class StoredObject:
-    """One object as the store holds it. ``version`` grows with each change of the key."""
+    """An object in the store. ``version`` grows with each change of the key."""
 
     key: str
     value: bytes
@@ -36,8 +35,8 @@
 class Listing:
     """A page of a listing, in key order.
 
-    ``revision`` is the store's own counter at the time of reading; a watch that
-    starts after it misses nothing. ``more`` says that further keys follow.
+    ``revision`` is the store-wide revision at the time of reading; a watch that starts
+    after it misses no change. ``more`` is true where further keys follow.
     """
 
     objects: tuple[StoredObject, ...]
@@ -47,7 +46,7 @@
 
 @attrs.frozen
 class Change:
-    """One change seen by a watch; ``value`` is None where the object was deleted."""
+    """One change reported by a watch; ``value`` is None where the object was deleted."""
 
     key: str
     value: bytes | None
@@ -57,25 +56,25 @@
 
 @attrs.frozen
 class ChangePage:
-    """Changes in order; a watch goes on behind ``revision``."""
+    """Changes in order; the watch continues after ``revision``."""
 
     changes: tuple[Change, ...]
     revision: int
 
 
 class ObjectStore(ABC):
-    """The platform's object API."""
+    """A versioned key-value store, implemented on the platform's object API."""
 
     @abstractmethod
     async def get(self, key: str) -> StoredObject | None:
-        """Returns the object, or None where the key is free."""
+        """Returns the object, or None where the key doesn't exist."""
 
     @abstractmethod
     async def create(self, key: str, value: bytes) -> StoredObject:
-        """Writes a key that must be free.
+        """Creates an object whose key must not exist.
 
         Raises:
-            AlreadyExistsError: the key is taken.
+            AlreadyExistsError: the key exists.
         """
 
     @abstractmethod
@@ -91,42 +90,42 @@
         """Deletes an object that must still be at ``version``.
 
         Raises:
-            VersionConflictError: it is not, or the key is free.
+            VersionConflictError: it is not, or the key doesn't exist.
         """
 
     @abstractmethod
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
-        """Returns the objects whose key starts with ``prefix`` and sorts behind ``after``."""
+        """Returns the objects whose key starts with ``prefix`` and sorts after ``after``."""
 
     @abstractmethod
     def watch(self, prefix: str, after_revision: int) -> AsyncIterator[Change]:
         """Yields the changes under ``prefix`` that follow ``after_revision``.
 
         Raises:
-            WatchEndedError: the revision is too old, or the watch was cut.
+            WatchEndedError: the revision is too old, or the watch was interrupted.
         """
 
     async def close(self) -> None:
-        """Closes connections, where there are any."""
+        """Closes the connections, if any."""
         return
 
 
 class PollingStore(ObjectStore):
-    """A store whose watches are calls that wait."""
+    """A store whose watches are long polls."""
 
     @property
     @abstractmethod
     def contact(self) -> StoreContact:
-        """What this client's calls tell of the store."""
+        """Whether the store answers this client's calls."""
 
     @abstractmethod
     async def poll(self, prefix: str, after_revision: int, wait_s: float) -> ChangePage:
-        """Returns the changes behind a revision, as soon as there are any.
+        """Returns the changes after a revision, as soon as there are any.
 
-        Without any, it returns an empty page after ``wait_s`` seconds.
+        Returns an empty page where there are none within ``wait_s`` seconds.
 
         Raises:
-            HistoryLostError: the store has forgotten changes behind the revision.
+            HistoryLostError: the store no longer keeps the changes after the revision.
         """
 
     async def watch(self, prefix: str, after_revision: int) -> AsyncIterator[Change]:
@@ -139,11 +138,10 @@
 
 
 async def list_all(store: ObjectStore, prefix: str) -> Listing:
-    """Reads every page under ``prefix``; the revision is the first page's.
+    """Reads all pages under ``prefix``; the revision is that of the first page.
 
     Raises:
-        StoreUnavailableError: a page says that more follows and tells nothing new: to go on would
-            be to ask without end, and to keep what comes.
+        StoreUnavailableError: a page has ``more`` set but no new key, which would loop forever.
     """
     object_by_key: dict[str, StoredObject] = {}
     page = await store.list(prefix)
@@ -154,7 +152,5 @@
         if not page.more:
             return Listing(tuple(object_by_key.values()), revision, more=False)
         if len(object_by_key) == known:
-            raise StoreUnavailableError(
-                f"list {prefix}", "it says that more follows, but does not go on"
-            )
+            raise StoreUnavailableError(f"list {prefix}", "the listing makes no progress")
         page = await store.list(prefix, after=page.objects[-1].key)
--- a/src/bayhinge/coordination/store_contact.py
+++ b/src/bayhinge/coordination/store_contact.py
@@ -1,4 +1,4 @@
-"""What all calls of one process together tell of the store: whether it answers."""
+"""Availability of the store, from the outcomes of all calls of one process."""
 
 import asyncio
 import math
@@ -6,24 +6,23 @@
 
 import attrs
 
-OUTAGE_S = 0.2
-"""Failures that an answer follows sooner are those of one connection, such as a watch that was cut:
-the next call comes at once, and the store answers within some 10 ms. Calls that were given up
-unanswered tell of an outage however soon the next one is answered."""
+MIN_OUTAGE_S = 0.2
+"""Failures that are followed by an answer sooner than this are no outage, only one broken
+connection, such as an interrupted watch. A timed-out call always counts as an outage."""
 
 
 @attrs.define
 class StoreContact:
-    """Shared by all who call one store.
+    """Outcomes of the calls of all clients of one store.
 
-    A call that was under way when the store fell silent is never answered, also after its return,
-    and a waiting watch looks the same then as one without news. What shows the return is the first
-    answer to any other call: those who wait with an older call learn of it here, and send it anew.
+    A call in flight when the store stops responding may never be answered, and a hanging watch
+    looks like one without changes. So the first answer to any call after an outage is reported
+    to all clients, which then resend their older calls.
 
     Attributes:
         on_return: called after an answer that follows failures.
-        on_watched: called when a watch was answered, with whether it brought news.
-        revision: the newest revision of the store that any watch has told of.
+        on_watched: called when a watch was answered, with whether it returned changes.
+        revision: the newest revision of the store that any watch has returned.
         returned_s: when the last outage ended, on the loop's clock in seconds.
     """
 
@@ -32,56 +31,56 @@
     returned_s: float = -math.inf
     revision: int = 0
     _failing_since_s: float | None = None
-    _was_silent: bool = False
-    _asker: object = None
-    _has_returned: asyncio.Event = attrs.field(factory=asyncio.Event)
+    _has_timed_out: bool = False
+    _prober: object = None
+    _has_recovered: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def note_failure(self, is_silent: bool) -> None:
-        """A call was not served; ``is_silent``: it was given up without an answer."""
-        self._was_silent = self._was_silent or is_silent
+        """Records a failed call; ``is_silent``: it timed out without an answer."""
+        self._has_timed_out = self._has_timed_out or is_silent
         if self._failing_since_s is None:
             self._failing_since_s = asyncio.get_running_loop().time()
 
-    def may_ask(self, asker: object) -> bool:
-        """Whether ``asker`` is the one that goes on asking a store that fails.
+    def may_ask(self, prober: object) -> bool:
+        """Returns whether ``prober`` may call the store.
 
-        The first that wants to is, until the store answers: each call is paid for, and its answer
-        tells all others as well. Where the store has answered meanwhile, everybody may ask.
+        During an outage only the first client that asks may, until the store answers: calls
+        cost money, and the answer to one is reported to all clients.
         """
         if self._failing_since_s is None:
             return True
-        if self._asker is None:
-            self._asker = asker
-        return self._asker is asker
+        if self._prober is None:
+            self._prober = prober
+        return self._prober is prober
 
-    async def wait_for_return(self, longest_s: float) -> None:
-        """Waits until the store answers anybody, for ``longest_s`` at most."""
+    async def wait_for_return(self, max_wait_s: float) -> None:
+        """Waits until the store answers any client, for at most ``max_wait_s``."""
         try:
-            async with asyncio.timeout(longest_s):
-                await self._has_returned.wait()
+            async with asyncio.timeout(max_wait_s):
+                await self._has_recovered.wait()
         except TimeoutError:
             return
 
     def note_answer(self) -> None:
-        """The store served a call, whatever it said."""
+        """Records that the store answered a call, also where the answer is an error."""
         if self._failing_since_s is None:
             return
         now = asyncio.get_running_loop().time()
-        if self._was_silent or now - self._failing_since_s >= OUTAGE_S:
+        if self._has_timed_out or now - self._failing_since_s >= MIN_OUTAGE_S:
             self.returned_s = now
         self._failing_since_s = None
-        self._was_silent = False
-        self._asker = None
-        self._has_returned.set()
-        self._has_returned = asyncio.Event()
+        self._has_timed_out = False
+        self._prober = None
+        self._has_recovered.set()
+        self._has_recovered = asyncio.Event()
         for listener in self.on_return:
             listener()
 
     def note_watched(self, revision: int, has_news: bool) -> None:
-        """A watch was answered; ``revision`` is the store's, over all prefixes.
+        """Records a watch's answer; ``revision`` is store-wide, over all prefixes.
 
-        Others that were sent before this revision was known may hang, though this one is well: it
-        may be younger than a silence.
+        Other watches sent before this revision was known may still hang: they may be older
+        than an outage.
         """
         self.revision = max(self.revision, revision)
         for listener in self.on_watched:
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -75,7 +75,7 @@
         objects = MemoryObjects()
         first, second = make_lease(objects, "a~1"), make_lease(objects, "b~1")
         await first.step()
-        await first.give_up()
+        await first.release()
         assert not first.is_held()
         assert (await second.step()).role is LeaseRole.HELD
         assert second.fencing == first.fencing + 1
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -9,7 +9,7 @@
 from bayhinge_standins.faults import StoreFaults
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 
-TIMES = MembershipTimes(beat_s=1.0, dead_after_s=3.7)
+TIMES = MembershipTimes(heartbeat_s=1.0, dead_after_s=3.7)
 
 
 def make_member(objects: MemoryObjects, name: str, faults: StoreFaults) -> Membership:
@@ -101,7 +101,7 @@
         await asyncio.sleep(30)
         beats_a_second = (fleet.objects.revision - before) / 30
         assert beats_a_second <= 61
-        assert fleet.members[0].beat_s > 2 * TIMES.beat_s
+        assert fleet.members[0].heartbeat_s > 2 * TIMES.heartbeat_s
         assert fleet.deaths == []
         fleet.stop()
 
--- a/tests/unit/test_odd_own_objects.py
+++ b/tests/unit/test_odd_own_objects.py
@@ -21,7 +21,7 @@
 from bayhinge_standins.http_service import StandinServer
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 
-TIMES = MembershipTimes(beat_s=1.0, dead_after_s=3.7)
+TIMES = MembershipTimes(heartbeat_s=1.0, dead_after_s=3.7)
 TEMPLATE = "[template]\nbudget_tokens = 1000\n"
 ACCOUNT = "[account]\ntemplate = desk\nkey_sha256 = " + "ab" * 32 + "\n"
 
--- a/tests/unit/test_store_pages.py
+++ b/tests/unit/test_store_pages.py
@@ -48,5 +48,5 @@
     ],
 )
 def test_pages_that_do_not_go_on_are_an_error_and_not_a_loop(endless: tuple[Listing, ...]) -> None:
-    with pytest.raises(StoreUnavailableError, match="does not go on"):
+    with pytest.raises(StoreUnavailableError, match="makes no progress"):
         asyncio.run(list_all(PagedStore(*endless), "hosts/"))
