--- a/src/bayhinge/_internal/queries/__init__.py
+++ b/src/bayhinge/_internal/queries/__init__.py
@@ -1,1 +1,1 @@
-"""What only reads state."""
+"""Read-only operations."""
--- a/src/bayhinge/_internal/queries/html_report.py
+++ b/src/bayhinge/_internal/queries/html_report.py
@@ -1,6 +1,6 @@
-"""The time line of a run as one static page: a lane for each host and endpoint.
+"""Renders the timeline as one HTML page, with a lane for each host and endpoint.
 
-The page needs no server and loads nothing: it can be mailed and opened years later.
+The page is self-contained: it needs no server and loads no other resources.
 """
 
 import html
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class _Scale:
-    """Turns a stamp into a place from left to right."""
+    """Maps timestamps to horizontal positions."""
 
     first_ms: int
     last_ms: int
@@ -75,7 +75,7 @@
 
 
 def html_report(title: str, events: list[Event]) -> str:
-    """Returns the page."""
+    """Returns the page as HTML."""
     return "\n".join(_page(title, events))
 
 
@@ -84,11 +84,11 @@
     yield f"<title>{html.escape(title)}</title><style>{STYLE}</style></head><body>"
     yield f"<h1>{html.escape(title)}</h1>"
     if not events:
-        yield "<p>No host remembers an event.</p></body></html>"
+        yield "<p>No host has recorded an event.</p></body></html>"
         return
-    yield f"<p>{len(events)} events of {len(_hosts(events))} hosts, in the order of cause and "
-    yield "effect. Hold the pointer over a mark to read why. Marks in a host's lane are its own "
-    yield "decisions; those that concern an endpoint stand in the endpoint's lane too.</p>"
+    yield f"<p>{len(events)} events of {len(_hosts(events))} hosts, in causal order. "
+    yield "Hover over a mark to see the reason. Marks in a host's lane are its own "
+    yield "decisions; those about an endpoint are in the endpoint's lane too.</p>"
     yield "<p class='legend'>" + "".join(_legend(events)) + "</p>"
     yield from _chart(events)
     yield "<input id='filter' placeholder='show only events that mention...'>"
--- a/src/bayhinge/_internal/queries/log_calls.py
+++ b/src/bayhinge/_internal/queries/log_calls.py
@@ -1,7 +1,8 @@
-"""Finds the lines that code writes: the calls of ``eliot.log_message``, by reading the source.
+"""Finds the log messages that modules write, from the ``eliot.log_message`` calls in their source.
 
-A type is a text, one of two texts, a local name, an argument, or what an object was made with; the
-last two are looked up where the function is called or the object is made.
+A message type may be given as a literal, a conditional of two literals, a local or module variable,
+a function argument, or an attribute set from a constructor argument. Arguments are resolved at the
+calls of the function or constructor.
 """
 
 import ast
@@ -11,123 +12,123 @@
 
 from bayhinge._internal.models.events import Event
 
-FIELDS_BY_SPREAD = {"event.to_fields()": tuple(field.name for field in attrs.fields(Event))}
-"""What is passed on as a whole, and the fields that it has."""
+FIELDS_BY_UNPACKED = {"event.to_fields()": tuple(field.name for field in attrs.fields(Event))}
+"""The fields of each expression that is passed as ``**expression``."""
 
 _Function = ast.FunctionDef | ast.AsyncFunctionDef
 
 
 @attrs.frozen
 class LogCall:
-    """One type of line, as one place writes it."""
+    """One message type, as written by one function."""
 
-    what: str
+    message_type: str
     fields: tuple[str, ...]
     writer: str
 
 
 @attrs.frozen
-class _Place:
-    """Where a call stands."""
+class _CallSite:
+    """The place of a call in the source; ``scopes`` are the enclosing definitions."""
 
     module: str
     tree: ast.Module
-    within: tuple[ast.AST, ...]
+    scopes: tuple[ast.AST, ...]
 
     @property
     def function(self) -> _Function | None:
-        """The innermost function."""
-        found = [node for node in self.within if isinstance(node, _Function)]
+        """The innermost enclosing function."""
+        found = [node for node in self.scopes if isinstance(node, _Function)]
         return found[-1] if found else None
 
     @property
-    def owner(self) -> ast.ClassDef | None:
-        """The innermost class."""
-        found = [node for node in self.within if isinstance(node, ast.ClassDef)]
+    def enclosing_class(self) -> ast.ClassDef | None:
+        """The innermost enclosing class."""
+        found = [node for node in self.scopes if isinstance(node, ast.ClassDef)]
         return found[-1] if found else None
 
     def __str__(self) -> str:
-        """Returns the module and the function, with its class."""
-        names = [node.name for node in self.within if isinstance(node, ast.ClassDef | _Function)]
+        """Returns the module and the qualified name of the function."""
+        names = [node.name for node in self.scopes if isinstance(node, ast.ClassDef | _Function)]
         return f"{self.module}: {'.'.join(names)}"
 
 
 def log_calls(text_by_module: Mapping[str, str]) -> Iterator[LogCall]:
-    """Yields every type that the modules write.
+    """Yields every message type that the modules write.
 
     Raises:
-        ValueError: a type can't be worked out.
+        ValueError: a message type can't be resolved.
     """
     trees = {module: ast.parse(text) for module, text in text_by_module.items()}
-    finder = _Finder(list(trees.values()))
+    resolver = _TextResolver(list(trees.values()))
     for module, tree in trees.items():
-        for node, within in _walk(tree, ()):
-            place = _Place(module, tree, within)
+        for node, scopes in _walk(tree, ()):
+            site = _CallSite(module, tree, scopes)
             if isinstance(node, ast.Call) and ast.unparse(node.func) == "eliot.log_message":
-                yield from _calls_of(finder, place, node)
+                yield from _log_calls_at(resolver, site, node)
             if isinstance(node, ast.Dict):
-                yield from _calls_of_dict(place, node)
+                yield from _log_calls_of_dict(site, node)
 
 
 def _walk(
-    node: ast.AST, within: tuple[ast.AST, ...]
+    node: ast.AST, scopes: tuple[ast.AST, ...]
 ) -> Iterator[tuple[ast.AST, tuple[ast.AST, ...]]]:
     for child in ast.iter_child_nodes(node):
-        yield child, within
+        yield child, scopes
         is_scope = isinstance(child, ast.ClassDef | _Function)
-        yield from _walk(child, (*within, child) if is_scope else within)
+        yield from _walk(child, (*scopes, child) if is_scope else scopes)
 
 
-def _calls_of(finder: "_Finder", place: _Place, call: ast.Call) -> Iterator[LogCall]:
-    named = {word.arg: word.value for word in call.keywords if word.arg is not None}
-    kind = call.args[0] if call.args else named.pop("message_type")
+def _log_calls_at(resolver: "_TextResolver", site: _CallSite, call: ast.Call) -> Iterator[LogCall]:
+    named = {keyword.arg: keyword.value for keyword in call.keywords if keyword.arg is not None}
+    type_node = call.args[0] if call.args else named.pop("message_type")
     fields = list(named)
-    for word in call.keywords:
-        if word.arg is None:
-            fields += FIELDS_BY_SPREAD[ast.unparse(word.value)]
-    whats = finder.texts(kind, place)
-    if not whats:
-        raise ValueError(f"{place.module}:{call.lineno}: which type is {ast.unparse(kind)}?")
-    for what in whats:
-        yield LogCall(what, tuple(fields), str(place))
-
-
-def _calls_of_dict(place: _Place, node: ast.Dict) -> Iterator[LogCall]:
-    """A line that is written past eliot is a table with its type."""
+    for keyword in call.keywords:
+        if keyword.arg is None:
+            fields += FIELDS_BY_UNPACKED[ast.unparse(keyword.value)]
+    message_types = resolver.resolve(type_node, site)
+    if not message_types:
+        raise ValueError(f"{site.module}:{call.lineno}: which type is {ast.unparse(type_node)}?")
+    for message_type in message_types:
+        yield LogCall(message_type, tuple(fields), str(site))
+
+
+def _log_calls_of_dict(site: _CallSite, node: ast.Dict) -> Iterator[LogCall]:
+    """Yields the message of a dict literal with a ``message_type``, as code without eliot does."""
     keys = [key.value if isinstance(key, ast.Constant) else "" for key in node.keys]
     if "message_type" in keys:
-        kind = node.values[keys.index("message_type")]
-        if isinstance(kind, ast.Constant):
+        type_node = node.values[keys.index("message_type")]
+        if isinstance(type_node, ast.Constant):
             fields = tuple(str(key) for key in keys if key != "message_type")
-            yield LogCall(str(kind.value), fields, str(place))
+            yield LogCall(str(type_node.value), fields, str(site))
 
 
-class _Finder:
-    """Works out which texts an expression may be."""
+class _TextResolver:
+    """Resolves an expression to the strings that it may evaluate to."""
 
     def __init__(self, trees: list[ast.Module]) -> None:
         self._trees = trees
 
-    def texts(self, node: ast.expr, place: _Place) -> list[str]:
-        """Returns them in the order of the source; none where they can't be worked out."""
+    def resolve(self, node: ast.expr, site: _CallSite) -> list[str]:
+        """Returns the strings in source order; an empty list where they can't be resolved."""
         if isinstance(node, ast.Constant):
             return [str(node.value)]
         if isinstance(node, ast.IfExp):
-            return [*self.texts(node.body, place), *self.texts(node.orelse, place)]
+            return [*self.resolve(node.body, site), *self.resolve(node.orelse, site)]
         if isinstance(node, ast.Name):
             return (
-                _assigned(node.id, place.function)
-                or self._passed(node.id, place.function, [place.tree])
-                or _assigned(node.id, place.tree)
+                _assigned_texts(node.id, site.function)
+                or self._argument_texts(node.id, site.function, [site.tree])
+                or _assigned_texts(node.id, site.tree)
             )
-        if isinstance(node, ast.Attribute) and place.owner is not None:
-            return self._made_with(node.attr, place.owner)
+        if isinstance(node, ast.Attribute) and site.enclosing_class is not None:
+            return self._attribute_texts(node.attr, site.enclosing_class)
         return []
 
-    def _passed(
+    def _argument_texts(
         self, argument: str, function: _Function | None, trees: list[ast.Module], name: str = ""
     ) -> list[str]:
-        """Returns the texts that callers pass for an argument."""
+        """Returns the literals that callers pass for an argument."""
         if function is None:
             return []
         names = [each.arg for each in function.args.args if each.arg != "self"]
@@ -135,22 +136,24 @@
             return []
         found: list[str] = []
         for call in _calls_named(name or function.name, trees):
-            passed = {word.arg: word.value for word in call.keywords}
+            passed = {keyword.arg: keyword.value for keyword in call.keywords}
             passed |= dict(zip(names, call.args, strict=False))
             value = passed.get(argument)
             if isinstance(value, ast.Constant):
                 found.append(str(value.value))
         return found
 
-    def _made_with(self, attribute: str, owner: ast.ClassDef) -> list[str]:
-        """Returns the texts that objects were made with, where one was kept as an attribute."""
-        for function in owner.body:
+    def _attribute_texts(self, attribute: str, enclosing_class: ast.ClassDef) -> list[str]:
+        """Returns the literals passed for the constructor argument stored in an attribute."""
+        for function in enclosing_class.body:
             if isinstance(function, _Function) and function.name == "__init__":
                 for node in ast.walk(function):
                     if not isinstance(node, ast.Assign) or not isinstance(node.value, ast.Name):
                         continue
                     if ast.unparse(node.targets[0]) == f"self.{attribute}":
-                        return self._passed(node.value.id, function, self._trees, owner.name)
+                        return self._argument_texts(
+                            node.value.id, function, self._trees, enclosing_class.name
+                        )
         return []
 
 
@@ -165,10 +168,10 @@
     return ast.unparse(called).rpartition(".")[2]
 
 
-def _assigned(name: str, within: _Function | ast.Module | None) -> list[str]:
-    if within is None:
+def _assigned_texts(name: str, scopes: _Function | ast.Module | None) -> list[str]:
+    if scopes is None:
         return []
-    nodes = ast.walk(within) if isinstance(within, _Function) else within.body
+    nodes = ast.walk(scopes) if isinstance(scopes, _Function) else scopes.body
     return [
         str(node.value.value)
         for node in nodes
--- a/src/bayhinge/_internal/queries/log_events.py
+++ b/src/bayhinge/_internal/queries/log_events.py
@@ -1,4 +1,4 @@
-"""The page of log events: every type of line, its fields and who writes it, made from the code."""
+"""Generates the reference of log events: each message type, its fields and its writers."""
 
 from collections.abc import Iterator, Mapping
 from pathlib import Path
@@ -10,8 +10,8 @@
 from bayhinge._internal.queries.log_calls import log_calls
 from bayhinge._internal.queries.refusal_causes import EXPLANATION_BY_CODE
 
-GENERATED = "wire"
-"""Folders of generated code, which writes nothing."""
+GENERATED_FOLDER = "wire"
+"""Folders of generated code, which logs nothing."""
 
 HEAD = """# Log events
 
@@ -24,23 +24,25 @@
 
 @attrs.frozen
 class LogEvent:
-    """One type of line."""
+    """One message type."""
 
-    what: str
+    message_type: str
     fields: tuple[str, ...]
     writers: tuple[str, ...]
 
 
 def events_of(text_by_module: Mapping[str, str]) -> list[LogEvent]:
-    """Returns the types that modules write, by name."""
-    fields_by_what: dict[str, dict[str, None]] = {}
-    writers_by_what: dict[str, dict[str, None]] = {}
+    """Returns the message types that modules write, sorted by name."""
+    fields_by_type: dict[str, dict[str, None]] = {}
+    writers_by_type: dict[str, dict[str, None]] = {}
     for call in log_calls(text_by_module):
-        fields_by_what.setdefault(call.what, {}).update(dict.fromkeys(call.fields))
-        writers_by_what.setdefault(call.what, {})[call.writer] = None
+        fields_by_type.setdefault(call.message_type, {}).update(dict.fromkeys(call.fields))
+        writers_by_type.setdefault(call.message_type, {})[call.writer] = None
     return [
-        LogEvent(what, tuple(fields_by_what[what]), tuple(writers_by_what[what]))
-        for what in sorted(fields_by_what)
+        LogEvent(
+            message_type, tuple(fields_by_type[message_type]), tuple(writers_by_type[message_type])
+        )
+        for message_type in sorted(fields_by_type)
     ]
 
 
@@ -57,13 +59,13 @@
     for event in events_of(_own_modules()):
         fields = ", ".join(f"`{field}`" for field in event.fields)
         writers = "; ".join(f"`{writer}`" for writer in event.writers)
-        yield f"| `{event.what}` | {fields} | {writers} |"
+        yield f"| `{event.message_type}` | {fields} | {writers} |"
     yield "\n## Codes of `request.refused`\n"
-    yield "`bayhinge logs trace ID FILE...` looks for the lines that begin so before a refusal.\n"
+    yield "`bayhinge logs trace ID FILE...` looks for lines of these types before a refusal.\n"
     yield "| code | status | meaning | lines that may explain it |"
     yield "| --- | --- | --- | --- |"
     for code, explanation in EXPLANATION_BY_CODE.items():
-        lines = ", ".join(f"`{line}`" for line in explanation.lines) or "none: its own reason does"
+        lines = ", ".join(f"`{line}`" for line in explanation.lines) or "none, see its `why` field"
         yield f"| `{code.value}` | {STATUS_BY_CODE[code]} | {explanation.meaning} | {lines} |"
 
 
@@ -72,5 +74,5 @@
     return {
         path.relative_to(folder.parent).as_posix(): path.read_text(encoding="utf-8")
         for path in sorted(folder.rglob("*.py"))
-        if GENERATED not in path.parts
+        if GENERATED_FOLDER not in path.parts
     }
--- a/src/bayhinge/_internal/queries/log_files.py
+++ b/src/bayhinge/_internal/queries/log_files.py
@@ -1,7 +1,7 @@
-"""The log files of many hosts as one run of lines that can be gone through again.
+"""The log files of many hosts as one iterable that can be read repeatedly.
 
-A report that needs two looks at a line reads the files twice instead of keeping them: a large
-site writes 10 MB a minute.
+Reports that need several passes read the files again, since logs may not fit in memory: a large
+site writes 10 MB per minute.
 """
 
 from collections.abc import Iterator, Sequence
@@ -11,14 +11,13 @@
 
 
 class LogFiles:
-    """Files in the order of their first lines, so that a host's older file comes first."""
+    """Log files, sorted by their first timestamps, so that a host's older files come first."""
 
     def __init__(self, files: Sequence[Path]) -> None:
-        """Takes the files in any order."""
         self._files = sorted(files, key=_begins_s)
 
     def __iter__(self) -> Iterator[LogLine]:
-        """Yields the lines that are log lines, file by file."""
+        """Yields the log lines, file by file."""
         for file in self._files:
             with file.open("rb") as texts:
                 yield from read_lines(texts)
--- a/src/bayhinge/_internal/queries/log_trace.py
+++ b/src/bayhinge/_internal/queries/log_trace.py
@@ -1,7 +1,7 @@
-"""Reads log lines of hosts.
+"""Parses the log lines of hosts.
 
-A line is a JSON object; whatever stands before it (a time, the name of a host) is passed
-over, so that logs may be read as a platform collected them.
+A line is a JSON object. Any text before it, such as a time or a host name added by a log
+collector, is skipped.
 """
 
 from collections.abc import Iterable, Iterator
@@ -11,9 +11,9 @@
 import orjson
 
 CONTEXT_S = 5.0
-"""Changes of belief that came within this time before a request's end may explain it."""
+"""State changes up to this long before a request's end may explain it."""
 
-BELIEFS = (
+STATE_CHANGE_PREFIXES = (
     "store.",
     "configuration.",
     "endpoint.",
@@ -27,37 +27,39 @@
     "settings.",
     "log.",
 )
-"""Beginnings of the types of lines that tell of a change of belief."""
+"""Prefixes of the message types of state changes."""
 
 _ENVELOPE = frozenset({"timestamp", "message_type", "host"})
 
 
 @attrs.frozen
 class LogLine:
-    """One line: when, on which host, what, and its fields."""
+    """One log line; ``fields`` are without the time, the message type and the host."""
 
     at_s: float
     host: str
-    what: str
+    message_type: str
     fields: dict[str, Any]
 
     @property
-    def is_belief(self) -> bool:
-        """Whether it tells of a change of belief."""
-        return self.what.startswith(BELIEFS)
+    def is_state_change(self) -> bool:
+        """Whether the line reports a change of a host's state or of its view of others."""
+        return self.message_type.startswith(STATE_CHANGE_PREFIXES)
 
     def names(self, identifier: str) -> bool:
-        """Tells whether it is about a request or a program."""
+        """Returns whether the line has this id as its attempt or program."""
         return identifier in {self.fields.get("attempt"), self.fields.get("program")}
 
     def __str__(self) -> str:
-        """Returns the line for a person."""
-        told = (f"{name}={value}" for name, value in self.fields.items() if value not in (None, ""))
-        return f"{self.at_s:.3f} {self.host} {self.what}: {', '.join(told)}"
+        """Returns the line in readable form."""
+        outcome = (
+            f"{name}={value}" for name, value in self.fields.items() if value not in (None, "")
+        )
+        return f"{self.at_s:.3f} {self.host} {self.message_type}: {', '.join(outcome)}"
 
 
 def read_lines(texts: Iterable[bytes]) -> Iterator[LogLine]:
-    """Yields the lines that are log lines."""
+    """Yields the log lines, and skips all other text."""
     for text in texts:
         start = text.find(b"{")
         if start < 0:
--- a/src/bayhinge/_internal/queries/losses/__init__.py
+++ b/src/bayhinge/_internal/queries/losses/__init__.py
@@ -3,7 +3,7 @@
 from bayhinge._internal.queries.losses.models import Cause, Kind, Losses, Phase, ProgramLoss
 from bayhinge._internal.queries.losses.page import loss_chart, loss_page
 from bayhinge._internal.queries.losses.report import report
-from bayhinge._internal.queries.losses.summing import losses_of
+from bayhinge._internal.queries.losses.second_pass import losses_of
 
 __all__ = [
     "Cause",
--- a/src/bayhinge/_internal/queries/losses/chart.py
+++ b/src/bayhinge/_internal/queries/losses/chart.py
@@ -8,7 +8,7 @@
 
 SIZE_INCHES = (12.0, 6.0)
 COLOUR_BY_BAR = {"served": "#2e8b57", "late": "#e0a100", "lost": "#c0392b"}
-COLOUR_AWAY = "#c0392b"
+COLOUR_DOWN = "#c0392b"
 SHAPE_BY_MARK = {"started": "^", "in_force": "^", "restarted": "^"}
 """What comes points up; what goes is a cross."""
 
@@ -58,22 +58,22 @@
 
 def _draw_lanes(axes: Any, losses: Losses, start_s: float) -> None:
     place_by_lane = {lane: -number for number, lane in enumerate(Lane)}
-    for absence in losses.absences:
+    for downtime in losses.downtimes:
         # One that was away at the same time as others shows through them.
         axes.hlines(
             place_by_lane[Lane.HOSTS],
-            absence.from_s - start_s,
-            absence.to_s - start_s,
-            color=COLOUR_AWAY,
+            downtime.from_s - start_s,
+            downtime.to_s - start_s,
+            color=COLOUR_DOWN,
             linewidth=8,
             alpha=0.25,
         )
-    for what, kind in MARKS.items():
-        places = [mark.at_s - start_s for mark in losses.marks if mark.what == what]
+    for message_type, kind in MARKS.items():
+        places = [mark.at_s - start_s for mark in losses.marks if mark.message_type == message_type]
         if places:
-            shape = SHAPE_BY_MARK.get(what.partition(".")[2], "x")
+            shape = SHAPE_BY_MARK.get(message_type.partition(".")[2], "x")
             heights = [place_by_lane[kind.lane]] * len(places)
-            axes.plot(places, heights, shape, label=what)
+            axes.plot(places, heights, shape, label=message_type)
     axes.set_yticks(list(place_by_lane.values()), [lane.value for lane in place_by_lane])
     axes.set_ylim(min(place_by_lane.values()) - 0.6, 0.6)
     axes.set_xlabel("seconds since the first window began; bars: hosts that were away")
--- a/src/bayhinge/_internal/queries/losses/facts.py
+++ b/src/bayhinge/_internal/queries/losses/first_pass.py
@@ -8,23 +8,23 @@
 
 from bayhinge._internal import status_codes
 from bayhinge._internal.queries.log_trace import LogLine
-from bayhinge._internal.queries.losses.models import Absence
+from bayhinge._internal.queries.losses.models import Downtime
 
-ENDS = frozenset({"request.served", "request.ended", "request.refused"})
-STARTS = frozenset({"host.started", "disk.started"})
-FAILED_SENDS = frozenset({"send.failed", "send.not_taken"})
+END_TYPES = frozenset({"request.served", "request.ended", "request.refused"})
+START_TYPES = frozenset({"host.started", "disk.started"})
+FAILED_SEND_TYPES = frozenset({"send.failed", "send.not_taken"})
 
-DOUBT = "not heard for "
+SUSPICION_PREFIX = "not heard for "
 """So begins the ``why`` of a ``send.failed`` that ends no try: the request goes on waiting."""
 
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 """Digits that are kept of a time: a median is right to half a percent, and a service needs at most
 900 counters for each power of ten whatever the length of the logs."""
 
 UNKNOWN_SERVICE = "?"
 
 
-class Times:
+class DurationCounts:
     """Times by how often they came, so that a median needs no list of them."""
 
     def __init__(self) -> None:
@@ -33,10 +33,10 @@
 
     def add(self, took_ms: float) -> None:
         """Counts one."""
-        digits = DIGITS - 1 - math.floor(math.log10(took_ms)) if took_ms > 0 else 0
+        digits = SIGNIFICANT_DIGITS - 1 - math.floor(math.log10(took_ms)) if took_ms > 0 else 0
         self._count_by_ms[round(took_ms, digits)] += 1
 
-    def add_all(self, others: "Times") -> None:
+    def merge(self, others: "DurationCounts") -> None:
         """Counts what others have counted."""
         self._count_by_ms.update(others._count_by_ms)
 
@@ -51,38 +51,42 @@
 
 
 @attrs.define
-class Troubles:
+class RequestDelays:
     """What lines before a request's end say of it."""
 
     first_failure_s: float | None = None
     last_failure_s: float | None = None
-    held_since_s: float | None = None
-    news_s: float = 0.0
+    durable_wait_since_s: float | None = None
+    sync_wait_s: float = 0.0
 
-    def note(self, line: LogLine) -> None:
+    def record(self, line: LogLine) -> None:
         """Takes one of them."""
-        if line.what in FAILED_SENDS and not str(line.fields.get("why")).startswith(DOUBT):
+        if line.message_type in FAILED_SEND_TYPES and not str(line.fields.get("why")).startswith(
+            SUSPICION_PREFIX
+        ):
             if self.first_failure_s is None:
                 self.first_failure_s = line.at_s
             self.last_failure_s = line.at_s
-        elif line.what == "turn.not_durable_yet":
-            self.held_since_s = line.at_s
-        elif line.what == "request.waited_for_news":
-            self.news_s += _number(line.fields.get("waited_ms")) / 1000
+        elif line.message_type == "turn.not_durable_yet":
+            self.durable_wait_since_s = line.at_s
+        elif line.message_type == "request.waited_for_news":
+            self.sync_wait_s += _number(line.fields.get("waited_ms")) / 1000
 
 
-TROUBLES = FAILED_SENDS | {"turn.not_durable_yet", "request.waited_for_news"}
+DELAY_TYPES = FAILED_SEND_TYPES | {"turn.not_durable_yet", "request.waited_for_news"}
 
 
 @attrs.define
-class Facts:
+class FirstPass:
     """What the first look found. Holds nothing for a request that was served as usual."""
 
     service_by_endpoint: dict[str, str] = attrs.field(factory=dict)
-    times_by_endpoint: defaultdict[str, Times] = attrs.field(factory=lambda: defaultdict(Times))
-    troubles_by_attempt: dict[str, Troubles] = attrs.field(factory=dict)
-    troubled_programs: set[str] = attrs.field(factory=set)
-    absences: list[Absence] = attrs.field(factory=list)
+    durations_by_endpoint: defaultdict[str, DurationCounts] = attrs.field(
+        factory=lambda: defaultdict(DurationCounts)
+    )
+    delays_by_attempt: dict[str, RequestDelays] = attrs.field(factory=dict)
+    affected_programs: set[str] = attrs.field(factory=set)
+    downtimes: list[Downtime] = attrs.field(factory=list)
     _last_s_by_host: dict[str, float] = attrs.field(factory=dict)
 
     def service_of(self, line: LogLine) -> str:
@@ -91,50 +95,50 @@
 
     def usual_s_by_service(self) -> dict[str, float]:
         """Returns the medians."""
-        times_by_service: dict[str, Times] = {}
-        for endpoint, times in self.times_by_endpoint.items():
+        durations_by_service: dict[str, DurationCounts] = {}
+        for endpoint, durations in self.durations_by_endpoint.items():
             service = self.service_by_endpoint.get(endpoint, UNKNOWN_SERVICE)
-            times_by_service.setdefault(service, Times()).add_all(times)
+            durations_by_service.setdefault(service, DurationCounts()).merge(durations)
         return {
-            service: times_by_service[service].median_ms() / 1000
-            for service in sorted(times_by_service)
+            service: durations_by_service[service].median_ms() / 1000
+            for service in sorted(durations_by_service)
         }
 
-    def note(self, line: LogLine) -> None:
+    def record(self, line: LogLine) -> None:
         """Takes a line."""
-        self._note_presence(line)
+        self._record_presence(line)
         attempt = str(line.fields.get("attempt"))
-        if line.what == "endpoint.known":
+        if line.message_type == "endpoint.known":
             endpoint = str(line.fields.get("endpoint"))
             self.service_by_endpoint[endpoint] = str(line.fields.get("service"))
-        elif line.what in TROUBLES:
-            self.troubles_by_attempt.setdefault(attempt, Troubles()).note(line)
-        elif line.what == "request.served":
+        elif line.message_type in DELAY_TYPES:
+            self.delays_by_attempt.setdefault(attempt, RequestDelays()).record(line)
+        elif line.message_type == "request.served":
             took = took_s(line)
-            if took is not None and attempt not in self.troubles_by_attempt:
-                self.times_by_endpoint[str(line.fields.get("endpoint"))].add(took * 1000)
-        elif line.what in ENDS and not is_declined(line):
-            self.troubled_programs.add(name_of(line))
+            if took is not None and attempt not in self.delays_by_attempt:
+                self.durations_by_endpoint[str(line.fields.get("endpoint"))].add(took * 1000)
+        elif line.message_type in END_TYPES and not is_declined(line):
+            self.affected_programs.add(name_of(line))
 
-    def _note_presence(self, line: LogLine) -> None:
+    def _record_presence(self, line: LogLine) -> None:
         last_s = self._last_s_by_host.get(line.host)
-        if line.what in STARTS and last_s is not None and line.at_s > last_s:
-            self.absences.append(Absence(line.host, last_s, line.at_s))
+        if line.message_type in START_TYPES and last_s is not None and line.at_s > last_s:
+            self.downtimes.append(Downtime(line.host, last_s, line.at_s))
         self._last_s_by_host[line.host] = max(line.at_s, last_s or line.at_s)
 
 
-def facts_of(lines: Iterable[LogLine]) -> Facts:
+def run_first_pass(lines: Iterable[LogLine]) -> FirstPass:
     """Takes all lines; those of one host must come in the order of its writing."""
-    facts = Facts()
+    first_pass = FirstPass()
     for line in lines:
-        facts.note(line)
-    facts.absences.sort(key=lambda absence: (absence.from_s, absence.host))
-    return facts
+        first_pass.record(line)
+    first_pass.downtimes.sort(key=lambda downtime: (downtime.from_s, downtime.host))
+    return first_pass
 
 
 def ends_of(lines: Iterable[LogLine]) -> Iterator[LogLine]:
     """Yields the lines that end a request."""
-    return (line for line in lines if line.what in ENDS)
+    return (line for line in lines if line.message_type in END_TYPES)
 
 
 def took_s(line: LogLine) -> float | None:
--- a/src/bayhinge/_internal/queries/losses/marks.py
+++ b/src/bayhinge/_internal/queries/losses/marks.py
@@ -46,7 +46,7 @@
 """Each window counts them."""
 
 
-def who_of(line: LogLine) -> str:
+def subject_of(line: LogLine) -> str:
     """Returns whom a mark is about."""
-    field = MARKS[line.what].field
+    field = MARKS[line.message_type].field
     return str(line.fields.get(field)) if field else line.host
--- a/src/bayhinge/_internal/queries/losses/models.py
+++ b/src/bayhinge/_internal/queries/losses/models.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-SLOW_TIMES = 3.0
+LATE_FACTOR = 3.0
 """Times the usual beyond which a turn counts as late: endpoints take up to twice as long when
 their batch is full, so that alone stays below."""
 
@@ -13,11 +13,11 @@
 class Phase(StrEnum):
     """Where time goes, as far as lines tell."""
 
-    FAILED_TRIES = "failed tries"
+    FAILED_SENDS = "failed tries"
     DISKS = "disks"
-    FIRST_NEWS = "first news of its host"
-    BETWEEN_TRIES = "between tries"
-    HOST_AWAY = "host away"
+    INITIAL_SYNC = "first news of its host"
+    BETWEEN_REQUESTS = "between tries"
+    HOST_DOWN = "host away"
     NOT_SPLIT = "not split"
 
 
@@ -33,7 +33,7 @@
     DECLINED = "declined"
 
 
-UNTOLD = (
+LIMITATIONS = (
     "Phases hold the whole of a try, the usual time included.",
     "A served request has one time, took_ms: what it spent on disks (before its end), choosing, "
     "connecting, waiting for the first event and pauses between events stands as 'not split'.",
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen
-class Absence:
+class Downtime:
     """A host between its last line and its next start."""
 
     host: str
@@ -101,8 +101,8 @@
     """Something went, in one window, as one or many hosts' lines say."""
 
     at_s: float
-    what: str
-    who: str
+    message_type: str
+    subject: str
     count: int
 
 
@@ -141,7 +141,7 @@
     window_s: float
     windows: list[Window]
     programs: list[ProgramLoss]
-    absences: list[Absence]
+    downtimes: list[Downtime]
     marks: list[Mark]
     count_by_cause: Counter[Cause]
     usual_s_by_service: dict[str, float]
--- a/src/bayhinge/_internal/queries/losses/page.py
+++ b/src/bayhinge/_internal/queries/losses/page.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable, Iterator
 
 from bayhinge._internal.queries.losses.chart import chart_svg
-from bayhinge._internal.queries.losses.models import UNTOLD, Kind, Losses
+from bayhinge._internal.queries.losses.models import LIMITATIONS, Kind, Losses
 from bayhinge._internal.queries.losses.report import causes_text, phases_text
 
-MOST_ROWS = 500
+MAX_ROWS = 500
 """Rows of a table; with more of them a page opens slowly. What is left out is counted."""
 
 STYLE = """
@@ -54,7 +54,7 @@
     yield "<h2>What went</h2>"
     yield from _table(("at, s", "what", "who", "lines"), _marks(losses))
     yield "<h2>What the logs can't tell</h2><ul>"
-    yield from (f"<li>{html.escape(sentence)}</li>" for sentence in UNTOLD)
+    yield from (f"<li>{html.escape(sentence)}</li>" for sentence in LIMITATIONS)
     yield "</ul></body></html>"
 
 
@@ -73,18 +73,18 @@
 
 def _marks(losses: Losses) -> Iterator[tuple[str, ...]]:
     start_s = losses.windows[0].from_s
-    for absence in losses.absences:
-        until = f"away until {absence.to_s - start_s:.2f}"
-        yield f"{absence.from_s - start_s:.2f}", until, absence.host, ""
+    for downtime in losses.downtimes:
+        until = f"away until {downtime.to_s - start_s:.2f}"
+        yield f"{downtime.from_s - start_s:.2f}", until, downtime.host, ""
     for mark in losses.marks:
-        yield f"{mark.at_s - start_s:.2f}", mark.what, mark.who, str(mark.count)
+        yield f"{mark.at_s - start_s:.2f}", mark.message_type, mark.subject, str(mark.count)
 
 
 def _table(heads: tuple[str, ...], rows: Iterable[tuple[str, ...]]) -> Iterator[str]:
     yield "<table><tr>" + "".join(f"<th>{html.escape(head)}</th>" for head in heads) + "</tr>"
     left_out = 0
     for number, row in enumerate(rows):
-        if number >= MOST_ROWS:
+        if number >= MAX_ROWS:
             left_out += 1
             continue
         yield "<tr>" + "".join(f"<td>{html.escape(cell)}</td>" for cell in row) + "</tr>"
--- a/src/bayhinge/_internal/queries/losses/report.py
+++ b/src/bayhinge/_internal/queries/losses/report.py
@@ -2,16 +2,16 @@
 
 from collections.abc import Iterator
 
-from bayhinge._internal.queries.losses.models import UNTOLD, Kind, Losses, ProgramLoss
+from bayhinge._internal.queries.losses.models import LIMITATIONS, Kind, Losses, ProgramLoss
 
-MOST_CAUSES = 12
+MAX_CAUSES = 12
 """Causes that are told; the rest are summed."""
 
-MOST_PROGRAMS = 20
+MAX_PROGRAMS = 20
 """Programs that are told, worst first; a page has more."""
 
 
-def report(losses: Losses, most_programs: int = MOST_PROGRAMS) -> Iterator[str]:
+def report(losses: Losses, most_programs: int = MAX_PROGRAMS) -> Iterator[str]:
     """Yields the lines of tables."""
     yield from _windows(losses)
     yield ""
@@ -25,7 +25,7 @@
         yield f"usual of {service}: {usual_s * 1000:.0f} ms (median of the turns served well)"
     yield ""
     yield "What the logs can't tell:"
-    for sentence in UNTOLD:
+    for sentence in LIMITATIONS:
         yield f"- {sentence}"
 
 
@@ -35,7 +35,10 @@
         f" {'programs':>8}"
     )
     for window in losses.windows:
-        marks = ", ".join(f"{what} {count}" for what, count in sorted(window.count_by_mark.items()))
+        marks = ", ".join(
+            f"{message_type} {count}"
+            for message_type, count in sorted(window.count_by_mark.items())
+        )
         yield (
             f"{window.from_s:10.1f} {window.served:7} {window.late:6} {window.lost_s:8.2f}"
             f" {window.unanswered:9} {window.declined:8} {len(window.programs):8}  {marks}"
@@ -45,9 +48,9 @@
 def _causes(losses: Losses) -> Iterator[str]:
     ranked = sorted(losses.count_by_cause.items(), key=lambda item: (-item[1], str(item[0])))
     yield f"{'requests':>8}  cause"
-    for cause, count in ranked[:MOST_CAUSES]:
+    for cause, count in ranked[:MAX_CAUSES]:
         yield f"{count:8}  {cause}"
-    rest = sum(count for _, count in ranked[MOST_CAUSES:])
+    rest = sum(count for _, count in ranked[MAX_CAUSES:])
     if rest:
         yield f"{rest:8}  other causes"
 
@@ -77,8 +80,8 @@
     """Returns where a program's time went."""
     parts = [f"{phase} {seconds:.2f} s" for phase, seconds in program.s_by_phase.most_common()]
     if program.untimed:
-        tries = "try" if program.untimed == 1 else "tries"
-        parts.append(f"{program.untimed} {tries} without a time")
+        requests = "try" if program.untimed == 1 else "tries"
+        parts.append(f"{program.untimed} {requests} without a time")
     told = ", ".join(parts) or "no time told"
     return f"{told}, against {program.usual_s:.2f} s usual" if program.usual_s else told
 
--- a/src/bayhinge/_internal/queries/losses/summing.py
+++ b/src/bayhinge/_internal/queries/losses/second_pass.py
@@ -14,70 +14,78 @@
 import attrs
 
 from bayhinge._internal.queries.log_trace import LogLine
-from bayhinge._internal.queries.losses.facts import (
-    ENDS,
-    Facts,
-    facts_of,
+from bayhinge._internal.queries.losses.first_pass import (
+    END_TYPES,
+    FirstPass,
     is_declined,
     name_of,
+    run_first_pass,
     took_s,
 )
-from bayhinge._internal.queries.losses.marks import MARKS, who_of
+from bayhinge._internal.queries.losses.marks import MARKS, subject_of
 from bayhinge._internal.queries.losses.models import (
-    SLOW_TIMES,
-    Absence,
+    LATE_FACTOR,
     Cause,
+    Downtime,
     Losses,
     Mark,
     Window,
 )
-from bayhinge._internal.queries.losses.programs import Tries, Try, worst_first
+from bayhinge._internal.queries.losses.program_losses import (
+    ProgramRequests,
+    RequestEnd,
+    worst_first,
+)
 
 _FIGURE = re.compile(r"\d+(\.\d+)?")
 
 
 def losses_of(lines: Iterable[LogLine], window_s: float) -> Losses:
     """Sums the losses of all requests; goes through the lines twice."""
-    facts = facts_of(lines)
-    sums = _Sums(facts, window_s, facts.usual_s_by_service())
+    first_pass = run_first_pass(lines)
+    summary = _Summary(first_pass, window_s, first_pass.usual_s_by_service())
     for line in lines:
-        sums.note(line)
-    return sums.finish()
+        summary.record(line)
+    return summary.finish()
 
 
 @attrs.define
-class _Sums:
-    facts: Facts
+class _Summary:
+    first_pass: FirstPass
     window_s: float
     usual_s_by_service: dict[str, float]
     windows_by_from_s: dict[float, Window] = attrs.field(factory=dict)
-    tries_by_program: dict[str, Tries] = attrs.field(factory=dict)
+    requests_by_program: dict[str, ProgramRequests] = attrs.field(factory=dict)
     count_by_cause: Counter[Cause] = attrs.field(factory=Counter)
     marks_by_place: dict[tuple[float, str, str], Mark] = attrs.field(factory=dict)
 
-    def note(self, line: LogLine) -> None:
+    def record(self, line: LogLine) -> None:
         """Takes a line."""
         window = self._window_of(line)
-        if line.what in MARKS:
-            window.count_by_mark[line.what] += 1
+        if line.message_type in MARKS:
+            window.count_by_mark[line.message_type] += 1
             self._mark(line, window)
-        if line.what in ENDS:
+        if line.message_type in END_TYPES:
             self._end(line, window)
 
     def finish(self) -> Losses:
         """Returns the sums in order."""
-        absences_by_host: dict[str, list[Absence]] = {}
-        for absence in self.facts.absences:
-            absences_by_host.setdefault(absence.host, []).append(absence)
+        downtimes_by_host: dict[str, list[Downtime]] = {}
+        for downtime in self.first_pass.downtimes:
+            downtimes_by_host.setdefault(downtime.host, []).append(downtime)
         programs = [
-            tries.sum_up(name, absences_by_host) for name, tries in self.tries_by_program.items()
+            requests.sum_up(name, downtimes_by_host)
+            for name, requests in self.requests_by_program.items()
         ]
         return Losses(
             self.window_s,
             [self.windows_by_from_s[from_s] for from_s in sorted(self.windows_by_from_s)],
             worst_first(programs),
-            self.facts.absences,
-            sorted(self.marks_by_place.values(), key=lambda mark: (mark.at_s, mark.what, mark.who)),
+            self.first_pass.downtimes,
+            sorted(
+                self.marks_by_place.values(),
+                key=lambda mark: (mark.at_s, mark.message_type, mark.subject),
+            ),
             self.count_by_cause,
             self.usual_s_by_service,
         )
@@ -90,40 +98,49 @@
         return window
 
     def _mark(self, line: LogLine, window: Window) -> None:
-        place = (window.from_s, line.what, who_of(line))
+        place = (window.from_s, line.message_type, subject_of(line))
         mark = self.marks_by_place.get(place)
         at_s = line.at_s if mark is None else min(mark.at_s, line.at_s)
         self.marks_by_place[place] = Mark(
-            at_s, line.what, place[2], 1 if mark is None else mark.count + 1
+            at_s, line.message_type, place[2], 1 if mark is None else mark.count + 1
         )
 
     def _end(self, line: LogLine, window: Window) -> None:
         took = took_s(line)
         usual_s = None
-        if line.what == "request.served":
-            usual_s = self.usual_s_by_service.get(self.facts.service_of(line))
+        if line.message_type == "request.served":
+            usual_s = self.usual_s_by_service.get(self.first_pass.service_of(line))
         cause = self._count(line, window, took, usual_s)
         name = name_of(line)
         if cause is not None:
             self.count_by_cause[cause] += 1
             window.programs.add(name)
-        if cause is None and name not in self.facts.troubled_programs:
+        if cause is None and name not in self.first_pass.affected_programs:
             return
-        troubles = self.facts.troubles_by_attempt.get(str(line.fields.get("attempt")))
-        self.tries_by_program.setdefault(name, Tries()).tries.append(
-            Try(line.at_s, line.host, line.what, took, usual_s, cause, is_declined(line), troubles)
+        delays = self.first_pass.delays_by_attempt.get(str(line.fields.get("attempt")))
+        self.requests_by_program.setdefault(name, ProgramRequests()).requests.append(
+            RequestEnd(
+                line.at_s,
+                line.host,
+                line.message_type,
+                took,
+                usual_s,
+                cause,
+                is_declined(line),
+                delays,
+            )
         )
 
     def _count(
         self, line: LogLine, window: Window, took: float | None, usual_s: float | None
     ) -> Cause | None:
         """Counts the end of one request; returns what it lost by, or None."""
-        if line.what == "request.refused":
+        if line.message_type == "request.refused":
             is_own = is_declined(line)
             window.declined += is_own
             window.unanswered += not is_own
             return Cause("declined" if is_own else "refused", str(line.fields.get("code", "")))
-        if line.what == "request.ended":
+        if line.message_type == "request.ended":
             window.unanswered += 1
             outcome = str(line.fields.get("outcome", "ended"))
             return Cause(outcome, _without_figures(str(line.fields.get("why") or "")))
@@ -131,10 +148,10 @@
         if took is None or usual_s is None:
             return None
         window.lost_s += max(0.0, took - usual_s)
-        if took <= SLOW_TIMES * usual_s:
+        if took <= LATE_FACTOR * usual_s:
             return None
         window.late += 1
-        return Cause("late", self.facts.service_of(line))
+        return Cause("late", self.first_pass.service_of(line))
 
 
 def _without_figures(why: str) -> str:
--- a/src/bayhinge/_internal/queries/program_views.py
+++ b/src/bayhinge/_internal/queries/program_views.py
@@ -1,11 +1,11 @@
-"""Views of programs."""
+"""Builds the views of programs that the APIs return."""
 
 from bayhinge._internal.models.programs import ProgramState
 from bayhinge._internal.models.views import ProgramView
 
 
 def view_program(state: ProgramState, owner: str, running_call: int | None) -> ProgramView:
-    """Returns a program as callers and operators see it."""
+    """Returns the view of a program for callers and operators."""
     return ProgramView(
         id=str(state.program_id),
         account=state.account,
--- a/src/bayhinge/_internal/queries/refusal_causes.py
+++ b/src/bayhinge/_internal/queries/refusal_causes.py
@@ -1,4 +1,4 @@
-"""What each refusal means, and which lines may explain it."""
+"""What each refusal means, and which log lines may explain it."""
 
 import attrs
 
@@ -25,7 +25,7 @@
     "disk_set.",
 )
 STORE = ("store.lost", "store.fails_again")
-NEWS = ("request.waited_for_news", *STORE)
+UPDATES = ("request.waited_for_news", *STORE)
 CONFIGURATION = ("configuration.",)
 HOSTS = ("host.", "home.", "hall.", "peer.")
 PROOFS = ("proof.", "request.waited_for_proof")
@@ -34,79 +34,83 @@
 
 @attrs.frozen
 class Explanation:
-    """What a refusal means, and beginnings of the types of lines that may explain it.
+    """What a refusal means, and prefixes of the message types that may explain it.
 
-    A refusal without such lines explains itself: its own reason and figures are the cause.
+    Without such prefixes, the reason and figures of the refusal itself are the explanation.
     """
 
     meaning: str
     lines: tuple[str, ...] = ()
 
 
-_CALLERS = "The caller's doing; the reason and the figures say what to change."
+_CALLER_ERROR = "Caused by the caller; the reason and the figures say what to change."
 
 EXPLANATION_BY_CODE = {
-    RefusalCode.BAD_REQUEST: Explanation(_CALLERS),
-    RefusalCode.TOO_LARGE: Explanation(_CALLERS),
+    RefusalCode.BAD_REQUEST: Explanation(_CALLER_ERROR),
+    RefusalCode.TOO_LARGE: Explanation(_CALLER_ERROR),
     RefusalCode.UNAUTHORIZED: Explanation(
-        "No account has the key in the configuration that its host has in force.",
+        "No account has the key in the configuration that the host has applied.",
         (*CONFIGURATION, *PROOFS),
     ),
-    RefusalCode.FORBIDDEN: Explanation(_CALLERS),
+    RefusalCode.FORBIDDEN: Explanation(_CALLER_ERROR),
     RefusalCode.UNKNOWN_PROGRAM: Explanation(
-        "No such program, or no route leads there; a host may lack the newest configuration.",
+        "There is no such program or route; the host may lack the newest configuration.",
         (*CONFIGURATION, *STORE),
     ),
-    RefusalCode.PROGRAM_ENDED: Explanation(_CALLERS),
-    RefusalCode.INDEX_GAP: Explanation(_CALLERS),
-    RefusalCode.INDEX_REUSED: Explanation(_CALLERS),
-    RefusalCode.HISTORY_DIFFERS: Explanation(_CALLERS),
+    RefusalCode.PROGRAM_ENDED: Explanation(_CALLER_ERROR),
+    RefusalCode.INDEX_GAP: Explanation(_CALLER_ERROR),
+    RefusalCode.INDEX_REUSED: Explanation(_CALLER_ERROR),
+    RefusalCode.HISTORY_DIFFERS: Explanation(_CALLER_ERROR),
     RefusalCode.NOT_RECORDED: Explanation(
-        "No disk has that turn: it was never whole, or is past its retention.",
+        "No disk has the turn: it was never completed, or its retention has expired.",
         DISKS,
     ),
     RefusalCode.BUDGET_EXCEEDED: Explanation(
-        "The program's other turns have used or set aside its tokens: trace the program by its id."
+        "The program's other turns have used or reserved its tokens: trace the program by its id."
     ),
-    RefusalCode.PROGRAM_LIMIT: Explanation(_CALLERS),
+    RefusalCode.PROGRAM_LIMIT: Explanation(_CALLER_ERROR),
     RefusalCode.LOOP_DETECTED: Explanation(
-        "The program asks the same again and again: trace the program by its id."
+        "The program repeats the same request: trace the program by its id."
+    ),
+    RefusalCode.OVERLOADED: Explanation(
+        "More requests arrived than can be served.", (*SENDS, *ENDPOINTS)
     ),
-    RefusalCode.OVERLOADED: Explanation("More came than can be served now.", (*SENDS, *ENDPOINTS)),
     RefusalCode.QUOTA_EXCEEDED: Explanation(
-        "Its account sends more over all hosts than it may.", (*QUOTAS, *CONFIGURATION)
+        "The account exceeds its quota, which applies across all hosts.", (*QUOTAS, *CONFIGURATION)
     ),
     RefusalCode.PATIENCE_EXCEEDED: Explanation(
-        "The time was over before an answer had come.", (*SENDS, *ENDPOINTS, *DISKS, *NEWS)
+        "The time limit expired before an answer arrived.", (*SENDS, *ENDPOINTS, *DISKS, *UPDATES)
     ),
     RefusalCode.NO_ENDPOINT: Explanation(
-        "No endpoint of the service took the request, or none is known.",
-        (*SENDS, *ENDPOINTS, *NEWS),
+        "No endpoint of the service accepted the request, or none is known.",
+        (*SENDS, *ENDPOINTS, *UPDATES),
     ),
     RefusalCode.ENDPOINT_FAILED: Explanation("The endpoint failed.", (*SENDS, *ENDPOINTS)),
     RefusalCode.OUTCOME_UNKNOWN: Explanation(
-        "An endpoint may have run it and gave no whole answer, and it may not run again.",
+        "An endpoint may have run it without a complete answer, and it may not run twice.",
         (*SENDS, *ENDPOINTS),
     ),
     RefusalCode.STORE_UNAVAILABLE: Explanation(
-        "Too few disks answered, or the store did not.", (*DISKS, *STORE)
+        "Too few disks answered, or the store did not answer.", (*DISKS, *STORE)
     ),
     RefusalCode.CONFIG_UNKNOWN: Explanation(
-        "Its host can't read a route or an account, has not heard of it, or can't be sure of it.",
-        (*CONFIGURATION, *NEWS, *PROOFS),
+        "The host can't read a route or an account, has not received it, or can't confirm it.",
+        (*CONFIGURATION, *UPDATES, *PROOFS),
     ),
     RefusalCode.OWNER_UNREACHABLE: Explanation(
-        "The program's owner, or the home of its account's quota, did not answer.",
+        "The program's owner, or the coordinator of its account's quota, did not answer.",
         (*HOSTS, *QUOTAS),
     ),
-    RefusalCode.HOST_LEAVING: Explanation("Its host was on its way out.", HOSTS),
-    RefusalCode.CANCELLED: Explanation(_CALLERS),
+    RefusalCode.HOST_LEAVING: Explanation("The host was shutting down.", HOSTS),
+    RefusalCode.CANCELLED: Explanation(_CALLER_ERROR),
 }
 
-BROKEN_OFF = Explanation(
-    "A part of the answer had gone out, and the rest could not follow.",
+INTERRUPTED = Explanation(
+    "Part of the answer had been sent, and the rest could not be sent.",
     (*SENDS, *ENDPOINTS, *DISKS),
 )
-CALLER_LEFT = Explanation("The caller closed its connection before the answer was whole.", SENDS)
-EXPLANATION_BY_OUTCOME = {"broken_off": BROKEN_OFF, "caller_left": CALLER_LEFT}
+CALLER_DISCONNECTED = Explanation(
+    "The caller closed its connection before the answer was complete.", SENDS
+)
+EXPLANATION_BY_OUTCOME = {"broken_off": INTERRUPTED, "caller_left": CALLER_DISCONNECTED}
 """Requests that ended without a refusal."""
--- a/src/bayhinge/_internal/queries/sentences.py
+++ b/src/bayhinge/_internal/queries/sentences.py
@@ -1,4 +1,4 @@
-"""Events in sentences that an operator can check."""
+"""Formats events as sentences for operators."""
 
 from collections.abc import Iterable, Iterator
 from datetime import UTC, datetime
@@ -23,16 +23,16 @@
 
 
 def timeline_lines(events: Iterable[Event]) -> Iterator[str]:
-    """Yields a line for each event, for a reader who follows many programs."""
+    """Yields one line for each event, with its program."""
     for event in events:
         program = f" {event.program}" if event.program else ""
         yield f"{clock_text(event)} {event.host:10} {describe(event)}{program}"
 
 
 def explanation_lines(program: str, events: list[Event]) -> Iterator[str]:
-    """Yields the story of one program."""
+    """Yields the history of one program."""
     if not events:
-        yield f"No host remembers an event of program {program}."
+        yield f"No host has recorded an event of program {program}."
         return
     yield f"Program {program} of client account {events[0].account or 'unknown'}:"
     for event in events:
--- a/src/bayhinge/_internal/queries/settings_reference.py
+++ b/src/bayhinge/_internal/queries/settings_reference.py
@@ -1,4 +1,4 @@
-"""The settings reference, made from the same tables that check the settings."""
+"""Generates the settings reference from the schema that validates the settings."""
 
 from collections.abc import Iterator
 
@@ -15,7 +15,7 @@
 
 
 def reference_page() -> str:
-    """Returns the whole page as Markdown."""
+    """Returns the page as Markdown."""
     return "\n".join(_lines())
 
 
--- a/src/bayhinge/coordination/membership.py
+++ b/src/bayhinge/coordination/membership.py
@@ -183,7 +183,7 @@
             if stored is not None:
                 await self._store.delete(key, stored.version)
         except StoreError as error:
-            logger.info("cannot remove heartbeat object %s, will retry later: %s", key, error)
+            logger.info("cannot remove heartbeat object %s: %s", key, error)
 
     def _key(self, incarnation: str) -> str:
         return f"{self._prefix}/{incarnation}"
--- a/tests/unit/test_log_events.py
+++ b/tests/unit/test_log_events.py
@@ -12,7 +12,7 @@
 
 
 def read(text: str) -> dict[str, LogEvent]:
-    return {event.what: event for event in events_of({"some/module.py": text})}
+    return {event.message_type: event for event in events_of({"some/module.py": text})}
 
 
 def test_a_type_comes_with_its_fields_and_its_writer() -> None:
@@ -48,7 +48,7 @@
     def _log(self, what, who):
         eliot.log_message(what, who=who)
 """
-    assert {what: event.fields for what, event in read(text).items()} == {
+    assert {message_type: event.fields for message_type, event in read(text).items()} == {
         "thing.went": ("who",),
         "thing.came": ("who",),
     }
@@ -75,8 +75,13 @@
 
 def test_every_type_that_is_named_in_the_code_is_on_the_page() -> None:
     page = log_events_page()
-    for what in ("request.served", "send.failed", "endpoint.unreadable", "store.fails_again"):
-        assert f"| `{what}` |" in page
+    for message_type in (
+        "request.served",
+        "send.failed",
+        "endpoint.unreadable",
+        "store.fails_again",
+    ):
+        assert f"| `{message_type}` |" in page
     for code in RefusalCode:
         assert f"| `{code.value}` |" in page
 
--- a/tests/unit/test_log_trace.py
+++ b/tests/unit/test_log_trace.py
@@ -16,8 +16,8 @@
 FILES = sorted((Path(__file__).parents[1] / "data" / "losses").glob("*.log"))
 
 
-def line(at_s: float, host: str, what: str, **fields: object) -> bytes:
-    return orjson.dumps({"timestamp": at_s, "host": host, "message_type": what, **fields})
+def line(at_s: float, host: str, message_type: str, **fields: object) -> bytes:
+    return orjson.dumps({"timestamp": at_s, "host": host, "message_type": message_type, **fields})
 
 
 LOGS = [
@@ -42,7 +42,7 @@
 
 def test_a_request_comes_with_its_hosts_beliefs_before_it() -> None:
     found = found_in("a1").lines
-    assert [(each.host, each.what) for each in found] == [
+    assert [(each.host, each.message_type) for each in found] == [
         ("entry-1", "disk.silent"),
         ("entry-1", "request.refused"),
     ]
@@ -60,17 +60,17 @@
 
 def test_a_host_that_is_cut_from_the_disks_is_shown() -> None:
     cut = line(101.5, "entry-1", "disks.cut_off")
-    assert "disks.cut_off" in [each.what for each in found_in("a1", [cut, *LOGS]).lines]
+    assert "disks.cut_off" in [each.message_type for each in found_in("a1", [cut, *LOGS]).lines]
 
 
 def test_a_program_comes_with_the_sends_of_its_requests() -> None:
     sent = line(101.5, "entry-1", "send.failed", attempt="a1", endpoint="e-1", why="reset")
-    assert "send.failed" in [each.what for each in found_in("p", [sent, *LOGS]).lines]
+    assert "send.failed" in [each.message_type for each in found_in("p", [sent, *LOGS]).lines]
 
 
 def test_a_refusal_is_followed_to_the_disk_that_could_not_write() -> None:
     found = trace("a-30", LogFiles(FILES))
-    assert [(each.host, each.what) for each in found.lines] == [
+    assert [(each.host, each.message_type) for each in found.lines] == [
         ("disk-1", "disk.refused"),
         ("entry-1", "disk.silent"),
         ("entry-1", "turn.too_few_disks"),
@@ -89,7 +89,7 @@
 
 
 def test_other_hosts_that_say_the_same_are_named() -> None:
-    assert "also said by entry-2" in told(found_in("a1", [*LOGS, refused("store_unavailable")]))
+    assert "also reported by entry-2" in told(found_in("a1", [*LOGS, refused("store_unavailable")]))
 
 
 def refused(code: str) -> bytes:
@@ -98,7 +98,7 @@
 
 def test_what_nothing_explains_is_said_so() -> None:
     text = told(found_in("a1", [refused("no_endpoint")]))
-    assert "no line of these files explains it" in text
+    assert "no line in these files explains it" in text
 
 
 def test_an_answer_that_broke_off_names_the_endpoint_that_failed() -> None:
@@ -168,8 +168,11 @@
         *(shared(10.0 + number, "entry-1", number) for number in range(3)),
         *(shared(12.0 + number + number / 100, "entry-2", number) for number in range(3)),
     )
-    assert "entry-2 seems ahead of entry-1, the same news stands 2.000 to 2.020 s later" in told_by
-    assert "(3 lines of both" in told_by
+    assert (
+        "entry-2 seems ahead of entry-1, the same events are logged 2.000 to 2.020 s later"
+        in told_by
+    )
+    assert "(3 common events" in told_by
 
 
 def test_news_that_came_first_to_either_host_shows_no_difference() -> None:
@@ -178,7 +181,7 @@
         shared(9.9, "entry-2", 0),
         shared(11.2, "entry-2", 1),
     )
-    assert "no difference shows, the same news stands -0.100 to 0.200 s later" in text
+    assert "no skew detected, the same events are logged -0.100 to 0.200 s later" in text
 
 
 def test_a_host_that_has_just_started_hears_old_news_which_tells_nothing_of_clocks() -> None:
@@ -188,7 +191,7 @@
 
 
 def test_without_shared_lines_the_difference_of_clocks_is_unknown() -> None:
-    assert "entry-2 against entry-1: unknown, no line is of both" in clocks()
+    assert "entry-2 against entry-1: unknown, both logged no common event" in clocks()
 
 
 def test_the_lines_of_one_host_have_one_clock() -> None:
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -25,8 +25,10 @@
 FILES = sorted(DATA.glob("*.log"))
 
 
-def line(at_s: float, what: str, **fields: object) -> bytes:
-    return orjson.dumps({"timestamp": at_s, "host": "entry-1", "message_type": what, **fields})
+def line(at_s: float, message_type: str, **fields: object) -> bytes:
+    return orjson.dumps(
+        {"timestamp": at_s, "host": "entry-1", "message_type": message_type, **fields}
+    )
 
 
 def served(at_s: float, took_ms: float, endpoint: str = "e-1", program: str | None = None) -> bytes:
@@ -110,7 +112,7 @@
     assert late.kind is Kind.LATE
     assert late.lost_s == pytest.approx(1.0)
     # A doubt ("not heard for") ends no try: the time runs to the line that ended it.
-    assert late.s_by_phase == pytest.approx({Phase.FAILED_TRIES: 0.5, Phase.NOT_SPLIT: 0.7})
+    assert late.s_by_phase == pytest.approx({Phase.FAILED_SENDS: 0.5, Phase.NOT_SPLIT: 0.7})
 
 
 def test_an_end_that_waits_for_disks_is_time_of_disks(found: Losses) -> None:
@@ -122,7 +124,7 @@
 def test_a_refused_program_lost_the_time_until_its_next_try(found: Losses) -> None:
     refused = program(found, "refused-1")
     assert refused.kind is Kind.REFUSED
-    assert refused.s_by_phase == pytest.approx({Phase.BETWEEN_TRIES: 0.6, Phase.NOT_SPLIT: 0.2})
+    assert refused.s_by_phase == pytest.approx({Phase.BETWEEN_REQUESTS: 0.6, Phase.NOT_SPLIT: 0.2})
     assert refused.lost_s == pytest.approx(0.6)
     assert refused.untimed == 1
 
@@ -132,9 +134,9 @@
     assert away.kind is Kind.REFUSED
     assert away.s_by_phase == pytest.approx(
         {
-            Phase.HOST_AWAY: 2.0,
-            Phase.BETWEEN_TRIES: 0.6,
-            Phase.FIRST_NEWS: 0.3,
+            Phase.HOST_DOWN: 2.0,
+            Phase.BETWEEN_REQUESTS: 0.6,
+            Phase.INITIAL_SYNC: 0.3,
             Phase.NOT_SPLIT: 0.7 + 0.4,
         }
     )
@@ -147,7 +149,7 @@
     assert lost.kind is Kind.FAILED
     assert lost.untimed == 2
     # The second try was refused, and no line says when it began.
-    assert lost.s_by_phase == pytest.approx({Phase.FAILED_TRIES: 0.5, Phase.NOT_SPLIT: 2.0})
+    assert lost.s_by_phase == pytest.approx({Phase.FAILED_SENDS: 0.5, Phase.NOT_SPLIT: 2.0})
     assert lost.causes == {
         Cause("refused", "outcome_unknown"): 1,
         Cause("refused", "no_endpoint"): 1,
@@ -174,12 +176,12 @@
 
 
 def test_hosts_that_went_without_a_word_are_found_by_their_next_start(found: Losses) -> None:
-    away = [(each.host, each.from_s, each.to_s) for each in found.absences]
+    away = [(each.host, each.from_s, each.to_s) for each in found.downtimes]
     assert away == [("disk-1", 1004.8, 1006.9), ("entry-1", 1007.0, 1009.0)]
 
 
 def test_sums_by_phase_and_kind(found: Losses) -> None:
-    assert found.s_by_phase[Phase.HOST_AWAY] == pytest.approx(2.0)
+    assert found.s_by_phase[Phase.HOST_DOWN] == pytest.approx(2.0)
     assert found.count_by_kind == {
         Kind.FAILED: 1,
         Kind.REFUSED: 2,
@@ -200,7 +202,7 @@
     (tmp_path / "a.log").write_bytes(b"".join(texts[20:]))
     (tmp_path / "b.log").write_bytes(b"".join(texts[:20]))
     found = losses_of(LogFiles(sorted(tmp_path.iterdir())), 2.0)
-    assert [(each.from_s, each.to_s) for each in found.absences] == [(1007.0, 1009.0)]
+    assert [(each.from_s, each.to_s) for each in found.downtimes] == [(1007.0, 1009.0)]
 
 
 def test_the_page_shows_the_chart_and_every_program(found: Losses) -> None:
