--- a/src/bayhinge/_internal/cli/__init__.py
+++ b/src/bayhinge/_internal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Entry points of the daemon and the tool."""
+"""Entry points of the daemon and the command-line tool."""
--- a/src/bayhinge/_internal/cli/daemon.py
+++ b/src/bayhinge/_internal/cli/daemon.py
@@ -1,6 +1,6 @@
-"""``bayhinged --settings host.ini``: one host's daemon.
+"""``bayhinged --settings host.ini``: the daemon of one host.
 
-SIGTERM and SIGINT begin a planned stop; a second one ends it at once.
+SIGTERM and SIGINT start a planned stop; a second signal exits at once.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
     *,
     check: Annotated[bool, cyclopts.Parameter(help="Check the settings and exit.")] = False,
 ) -> int:
-    """Runs one host until a signal asks it to stop."""
+    """Runs the host until a signal stops it."""
     read = read_settings_file(settings)
     if read.is_error():
         for finding in read.error:
@@ -48,7 +48,7 @@
     if settings.host.log_file == "-":
         eliot.to_file(sys.stdout)
         return
-    # Kept open for the life of the process.
+    # Stays open until the process exits.
     log = Path(settings.host.log_file).open("a", encoding="utf-8")  # noqa: SIM115
     eliot.to_file(log)
 
@@ -58,22 +58,22 @@
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, _ask_to_stop, stopping)
+        loop.add_signal_handler(number, _request_stop, stopping)
     try:
         await host.start()
     except OSError as error:
         print(f"{settings.host.name}: can't start: {error}", file=sys.stderr)
         return status_codes.EXIT_FAILURE
-    # Who starts daemons waits for this line.
+    # Scripts that start daemons wait for this line.
     print(f"{settings.host.name} serves at {host.base_url}", file=sys.stderr, flush=True)
     ending = [asyncio.create_task(event.wait()) for event in (stopping, host.fenced)]
     await asyncio.wait(ending, return_when=asyncio.FIRST_COMPLETED)
     await host.stop()
-    # Fenced: whoever supervises the daemon should start it again, as a new incarnation.
+    # A fenced daemon must be restarted by its supervisor, as a new incarnation.
     return status_codes.EXIT_FENCED if host.fenced.is_set() else status_codes.EXIT_OK
 
 
-def _ask_to_stop(stopping: asyncio.Event) -> None:
+def _request_stop(stopping: asyncio.Event) -> None:
     if stopping.is_set():
         raise SystemExit(status_codes.EXIT_FAILURE)
     stopping.set()
--- a/src/bayhinge/_internal/cli/tool/accounts.py
+++ b/src/bayhinge/_internal/cli/tool/accounts.py
@@ -33,7 +33,7 @@
     Args:
         name: the account's name.
         template: the template that its parameters come from.
-        wait: seconds to wait until every host has it.
+        wait: seconds to wait until every host has applied it.
         author: who makes the change.
         connection: which host to ask.
     """
@@ -50,7 +50,7 @@
 
 @app.command
 def parameters(name: str, *, connection: Connection | None = None) -> None:
-    """Shows every parameter with the place its value comes from.
+    """Shows every parameter with the source of its value.
 
     Args:
         name: the account's name.
--- a/src/bayhinge/_internal/cli/tool/bench.py
+++ b/src/bayhinge/_internal/cli/tool/bench.py
@@ -1,4 +1,4 @@
-"""``bayhinge bench``: measurements of this code, compared within one run."""
+"""``bayhinge bench``: benchmarks of this code against its baselines."""
 
 import logging
 from pathlib import Path
@@ -11,12 +11,12 @@
 
 @app.command
 def decisions(*, quick: bool = False, json: bool = False, plots: Path | None = None) -> None:
-    """Compares queueing and placement policies on modelled engines, in virtual time.
+    """Compares queueing and placement policies on simulated engines, in virtual time.
 
     Args:
-        quick: one seed, the headline alone, under 50 s.
-        json: print one JSON object, last.
-        plots: a folder for pictures of the load sweep (takes minutes).
+        quick: one seed and only the headline figures, under 50 s.
+        json: print one JSON object as the last line.
+        plots: a folder for plots of the load sweep (takes minutes).
     """
     from bayhinge._internal.bench.decisions import run
 
@@ -28,7 +28,7 @@
         for name, comparison in run.run_sensitivity():
             print(
                 f"{name:42} p95 {comparison.chosen.p95_s:7.1f} s against "
-                f"{comparison.baseline.p95_s:7.1f} s, read again "
+                f"{comparison.baseline.p95_s:7.1f} s, recomputed "
                 f"{comparison.chosen.wasted_tokens / 1e6:6.1f} M against "
                 f"{comparison.baseline.wasted_tokens / 1e6:6.1f} M tokens, "
                 f"finished {comparison.chosen.finished_share:.3f}"
@@ -36,18 +36,18 @@
     if plots is not None:
         figures = list(run.run_table())
         for path in run.plot_loads(figures, plots):
-            print(f"drawn: {path}")
+            print(f"written: {path}")
     if json:
         _print_last(attrs.asdict(headline))
 
 
 @app.command
 def path(*, quick: bool = False, json: bool = False) -> None:
-    """Measures what the whole path adds to a call, over real loopback sockets.
+    """Measures the latency that the scheduler adds to a call, over loopback sockets.
 
     Args:
         quick: fewer calls, under 50 s.
-        json: print one JSON object, last.
+        json: print one JSON object as the last line.
     """
     from bayhinge._internal.bench.path import run
 
@@ -63,9 +63,9 @@
 
     Args:
         quick: fewer schedules, under 50 s.
-        json: print one JSON object, last.
-        first_seed: the first schedule's seed.
-        schedules: how many schedules to run in place of the usual number.
+        json: print one JSON object as the last line.
+        first_seed: the seed of the first schedule.
+        schedules: how many schedules to run; 0 for the default number.
     """
     from bayhinge._internal.bench.recovery import run
 
@@ -78,11 +78,11 @@
 
 @app.command
 def config(*, quick: bool = False, json: bool = False) -> None:
-    """Measures how fast a change of configuration is in force on 350 hosts.
+    """Measures how fast 350 hosts apply a configuration change.
 
     Args:
         quick: fewer changes, under 50 s.
-        json: print one JSON object, last.
+        json: print one JSON object as the last line.
     """
     from bayhinge._internal.bench.config_feed import run
 
@@ -92,10 +92,10 @@
 
 @app.command
 def capacity(*, write: Path | None = None) -> None:
-    """Measures the slopes and works out what the target size needs.
+    """Measures the cost per unit of load, and computes what the target size needs.
 
     Args:
-        write: the page to write; printed where none is given.
+        write: the file to write the page to; by default it is printed.
     """
     from bayhinge._internal.bench.capacity import page
 
--- a/src/bayhinge/_internal/cli/tool/config.py
+++ b/src/bayhinge/_internal/cli/tool/config.py
@@ -1,4 +1,4 @@
-"""``bayhinge config status``: which host has which revision."""
+"""``bayhinge config status``: the configuration revision of each host."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 @app.command
 def status(*, connection: Connection | None = None) -> None:
-    """Shows the revision that each host has applied, and whether it vouches for it."""
+    """Shows the revision that each host has applied, and whether it is confirmed as current."""
     connection = connection or Connection()
 
     async def work(api: Api) -> Any:
--- a/src/bayhinge/_internal/cli/tool/configured.py
+++ b/src/bayhinge/_internal/cli/tool/configured.py
@@ -1,4 +1,4 @@
-"""What ``bayhinge templates`` and ``bayhinge accounts`` share: both edit INI objects."""
+"""The commands that ``bayhinge templates`` and ``bayhinge accounts`` share."""
 
 import asyncio
 import difflib
@@ -23,12 +23,12 @@
 from bayhinge._internal.models.accounts import ConfigKind, check_config_text
 
 HISTORY_COLUMNS = ["revision", "author", "accepted_at_ms", "change"]
-LOOK_S = 0.2
-Wait = Annotated[float, cyclopts.Parameter(help="Seconds to wait until every host has it.")]
+POLL_S = 0.2
+Wait = Annotated[float, cyclopts.Parameter(help="Seconds to wait until every host has applied it.")]
 
 
 def build_app(kind: ConfigKind, plural: str) -> cyclopts.App:
-    """Builds the commands for one kind of configured object."""
+    """Builds the commands for one kind of configuration object."""
     app = cyclopts.App(name=plural, help=f"Get, edit and roll back {plural}.")
     commands = ConfiguredCommands(kind)
     app.command(commands.list, name="list")
@@ -43,14 +43,13 @@
 
 
 class ConfiguredCommands:
-    """The commands for one kind."""
+    """The commands for one kind of configuration object, which is an INI text."""
 
     def __init__(self, kind: ConfigKind) -> None:
-        """Takes the kind."""
         self._kind = kind
 
     def list(self, *, connection: Connection | None = None) -> None:
-        """Lists them with their newest revision."""
+        """Lists all names with their newest revisions."""
         connection = connection or Connection()
 
         async def work(api: Api) -> Any:
@@ -59,10 +58,10 @@
         print_table(connection, run(connection, work), ["name", "revision", "author"])
 
     def get(self, name: str, *, connection: Connection | None = None) -> None:
-        """Prints one as INI, headed by its revision.
+        """Prints an object as INI, with its revision as a comment.
 
         Args:
-            name: which one.
+            name: the object's name.
             connection: which host to ask.
         """
         connection = connection or Connection()
@@ -81,14 +80,14 @@
         author: str = "",
         connection: Connection | None = None,
     ) -> None:
-        """Sets single values: ``edit desk-a priority=7``; ``priority=`` takes one out.
+        """Sets single values: ``edit desk-a priority=7``; ``priority=`` removes one.
 
-        For more, get the text to a file, change it with your editor, and apply it.
+        For larger changes, save the output of ``get`` to a file, edit it, and ``apply`` it.
 
         Args:
-            name: which one.
-            values: what to set.
-            wait: seconds to wait until every host has it.
+            name: the object's name.
+            values: the values to set.
+            wait: seconds to wait until every host has applied it.
             author: who makes the change.
             connection: which host to ask.
         """
@@ -108,13 +107,13 @@
         author: str = "",
         connection: Connection | None = None,
     ) -> None:
-        """Applies a file; - reads standard input.
+        """Applies a file; ``-`` reads standard input.
 
         Args:
-            name: which one.
+            name: the object's name.
             file: the INI text.
             base: the revision that was edited; by default the newest one is replaced.
-            wait: seconds to wait until every host has it.
+            wait: seconds to wait until every host has applied it.
             author: who makes the change.
             connection: which host to ask.
         """
@@ -132,7 +131,7 @@
         """Shows what applying a file would change.
 
         Args:
-            name: which one.
+            name: the object's name.
             file: the INI text.
             connection: which host to ask.
         """
@@ -141,10 +140,10 @@
         _print_diff(found["text"], file.read_text(encoding="utf-8"), "accepted", str(file))
 
     def history(self, name: str, *, connection: Connection | None = None) -> None:
-        """Lists every accepted revision.
+        """Lists all revisions.
 
         Args:
-            name: which one.
+            name: the object's name.
             connection: which host to ask.
         """
         connection = connection or Connection()
@@ -163,12 +162,12 @@
         author: str = "",
         connection: Connection | None = None,
     ) -> None:
-        """Writes an older text again, as a new revision.
+        """Restores the text of an older revision, as a new revision.
 
         Args:
-            name: which one.
-            revision: the revision whose text is wanted.
-            wait: seconds to wait until every host has it.
+            name: the object's name.
+            revision: the revision to restore.
+            wait: seconds to wait until every host has applied it.
             author: who makes the change.
             connection: which host to ask.
         """
@@ -189,11 +188,11 @@
         author: str = "",
         connection: Connection | None = None,
     ) -> None:
-        """Deletes one; its history stays.
+        """Deletes an object; its history is kept.
 
         Args:
-            name: which one.
-            wait: seconds to wait until every host knows.
+            name: the object's name.
+            wait: seconds to wait until every host has applied it.
             author: who makes the change.
             connection: which host to ask.
         """
@@ -201,8 +200,6 @@
         found = run(connection, lambda api: self._find(api, name))
         self.propose(connection, name, None, found["revision"], author, wait)
 
-    # ---- helpers ----
-
     async def _find(self, api: Api, name: str) -> Any:
         found = await api.query("config", kind=self._kind, name=name)
         if not found:
@@ -226,14 +223,14 @@
         author: str,
         wait: float,
     ) -> None:
-        """Sends an edit, reports what became of it, and waits where that is wanted."""
+        """Sends an edit, waits up to ``wait`` seconds for all hosts, and prints the result."""
 
         async def work(api: Api) -> Any:
             return await self._send(api, name, text, base, author or getpass.getuser())
 
-        revision = run(connection, lambda api: _caught(work(api), text))
+        revision = run(connection, lambda api: _report_rejection(work(api), text))
         if wait:
-            missing = run(connection, lambda api: _wait_for(api, revision, wait))
+            missing = run(connection, lambda api: _wait_until_applied(api, revision, wait))
             if missing:
                 _print_findings(missing)
                 raise SystemExit(status_codes.EXIT_FAILURE)
@@ -254,7 +251,7 @@
 
 
 def set_values(text: str, values: Iterable[str]) -> str:
-    """Sets ``key=value`` pairs in an INI text of one section; an empty value takes it out."""
+    """Sets ``key=value`` pairs in an INI text of one section; an empty value removes the key."""
     lines = text.rstrip("\n").split("\n")
     for pair in values:
         key, _, value = (part.strip() for part in pair.partition("="))
@@ -263,8 +260,8 @@
     return "\n".join(lines) + "\n"
 
 
-async def _caught(work: Any, text: str | None) -> int:
-    """Prints findings, and the difference after a lost race, before it fails."""
+async def _report_rejection(work: Any, text: str | None) -> int:
+    """Awaits an edit; prints findings, or the diff after a conflict, before it raises."""
     try:
         return int(await work)
     except ApiError as error:
@@ -272,12 +269,12 @@
         if "findings" in body:
             _print_findings(_finding_line(item) for item in body["findings"])
         if "current_text" in body:
-            _print_diff(body["current_text"], text or "", "accepted meanwhile", "yours")
+            _print_diff(body["current_text"], text or "", "accepted concurrently", "yours")
         raise
 
 
-async def _wait_for(api: Api, revision: int, seconds: float) -> list[str]:
-    """Returns what is still missing after the wait: hosts without the revision."""
+async def _wait_until_applied(api: Api, revision: int, seconds: float) -> list[str]:
+    """Waits until all hosts have applied a revision; returns a line for each that has not."""
     deadline = asyncio.get_running_loop().time() + seconds
     while True:
         hosts = {item["incarnation"]: item for item in await api.query("hosts")}
@@ -289,13 +286,13 @@
         ]
         if not missing or asyncio.get_running_loop().time() >= deadline:
             return missing
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
 
 
 def _missing_line(host: dict[str, Any], status: dict[str, Any] | None) -> str:
     if status is None:
         return f"{host['host']}: does not answer"
-    why = "" if status["vouches"] else "; it has not heard from the store or a peer for a while"
+    why = "" if status["vouches"] else "; no recent confirmation from the store or a peer"
     return f"{host['host']}: still at revision {status['revision']}{why}"
 
 
--- a/src/bayhinge/_internal/cli/tool/connection.py
+++ b/src/bayhinge/_internal/cli/tool/connection.py
@@ -1,4 +1,4 @@
-"""How the tool reaches a host: address and key from flags or the environment."""
+"""The tool's connection to a host; address and key come from flags or the environment."""
 
 import asyncio
 import os
@@ -41,10 +41,9 @@
 
 
 class Api:
-    """A host's operators' interface."""
+    """A client of a host's operator API."""
 
     def __init__(self, connection: Connection) -> None:
-        """Takes where to connect."""
         self._base_url = connection.address.rstrip("/")
         self._headers = {"Authorization": f"Bearer {connection.key}"}
         self._session = aiohttp.ClientSession()
@@ -54,7 +53,7 @@
         await self._session.close()
 
     async def query(self, query: str, /, **parameters: str) -> Any:
-        """Asks an operator's query.
+        """Runs an operator query; empty parameters are left out.
 
         Raises:
             ApiError: the host refused it.
@@ -71,7 +70,7 @@
         body: bytes | None = None,
         headers: dict[str, str] | None = None,
     ) -> Any:
-        """Sends a request and returns the answer's JSON.
+        """Sends a request and returns the JSON of the response.
 
         Raises:
             ApiError: the host refused it.
@@ -89,7 +88,11 @@
             return orjson.loads(data) if data else None
 
     async def lines(self, path: str, parameters: dict[str, str]) -> AsyncIterator[Any]:
-        """Yields the lines of a stream as JSON."""
+        """Yields the decoded lines of a JSON stream.
+
+        Raises:
+            ApiError: the host refused it.
+        """
         timeout = aiohttp.ClientTimeout(total=None)
         async with self._session.get(
             self._base_url + path, params=parameters, headers=self._headers, timeout=timeout
@@ -101,7 +104,7 @@
 
 
 def run(connection: Connection, work: Callable[[Api], Awaitable[Answer]]) -> Answer:
-    """Runs work against a host; an error becomes a message and an exit code."""
+    """Runs ``work`` with a client; prints errors and exits with their exit codes."""
 
     async def main() -> Answer:
         api = Api(connection)
--- a/src/bayhinge/_internal/cli/tool/demo.py
+++ b/src/bayhinge/_internal/cli/tool/demo.py
@@ -1,4 +1,4 @@
-"""``bayhinge demo``: a whole system with stand-ins, in one process."""
+"""``bayhinge demo``: a complete system with stand-ins, in one process."""
 
 import asyncio
 import logging
@@ -10,12 +10,12 @@
 
 
 def demo(*, json: bool = False, seed: int = 1, html: Path | None = None) -> None:
-    """Runs both workloads, kills one host and stops another, and shows what happened.
+    """Runs both workloads, kills one host and stops another, and prints the result.
 
     Args:
-        json: print one JSON object with the figures, last.
-        seed: seeds the stand-ins.
-        html: write the time line as a page to this file.
+        json: print one JSON object with the figures as the last line.
+        seed: the random seed of the stand-ins.
+        html: write the timeline as a page to this file.
     """
     logging.basicConfig(level=logging.ERROR)
     result = asyncio.run(run_demo(seed))
--- a/src/bayhinge/_internal/cli/tool/endpoints.py
+++ b/src/bayhinge/_internal/cli/tool/endpoints.py
@@ -1,4 +1,4 @@
-"""``bayhinge endpoints``: engines and service endpoints as their queue homes see them."""
+"""``bayhinge endpoints``: engines and service endpoints, as their queue dispatchers see them."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
 
 
 def endpoints(*, connection: Connection | None = None) -> None:
-    """Lists the endpoints with their standing, load and cache."""
+    """Lists the endpoints with their health, load and cache contents."""
     connection = connection or Connection()
 
     async def work(api: Api) -> Any:
--- a/src/bayhinge/_internal/cli/tool/explain.py
+++ b/src/bayhinge/_internal/cli/tool/explain.py
@@ -8,10 +8,10 @@
 
 
 def explain(program: str, *, connection: Connection | None = None) -> None:
-    """Tells a program's story in sentences, from the events of all hosts.
+    """Prints the history of a program in sentences, from the events of all hosts.
 
     Args:
-        program: its identifier.
+        program: the program's identifier.
         connection: which host to ask.
     """
     connection = connection or Connection()
--- a/src/bayhinge/_internal/cli/tool/hosts.py
+++ b/src/bayhinge/_internal/cli/tool/hosts.py
@@ -1,4 +1,4 @@
-"""``bayhinge hosts``: the hosts that are alive."""
+"""``bayhinge hosts``: the live hosts."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 
 
 def hosts(*, connection: Connection | None = None) -> None:
-    """Lists the hosts that the asked one holds alive."""
+    """Lists the hosts that the queried host considers live."""
     connection = connection or Connection()
 
     async def work(api: Api) -> Any:
--- a/src/bayhinge/_internal/cli/tool/learn.py
+++ b/src/bayhinge/_internal/cli/tool/learn.py
@@ -1,4 +1,4 @@
-"""``bayhinge learn``: watch one mechanism act against the stand-ins."""
+"""``bayhinge learn``: demonstrates one mechanism with stand-ins."""
 
 import logging
 
@@ -7,10 +7,10 @@
 
 
 def learn(lesson: str = "") -> None:
-    """Plays a lesson in virtual time, and shows the time line that it leaves.
+    """Runs a lesson in virtual time, and prints its timeline.
 
     Args:
-        lesson: which one; without it, the lessons are listed.
+        lesson: the lesson's name; by default the lessons are listed.
     """
     logging.disable(logging.CRITICAL)
     if not lesson:
@@ -18,7 +18,7 @@
             print(f"{name:15} {item.title}")
         return
     if lesson not in LESSONS_BY_NAME:
-        print(f"no lesson is called '{lesson}'; known: {', '.join(LESSONS_BY_NAME)}")
+        print(f"unknown lesson '{lesson}'; choose one of: {', '.join(LESSONS_BY_NAME)}")
         raise SystemExit(status_codes.EXIT_NOT_FOUND)
     for line in run_lesson(lesson):
         print(line)
--- a/src/bayhinge/_internal/cli/tool/logs.py
+++ b/src/bayhinge/_internal/cli/tool/logs.py
@@ -1,4 +1,4 @@
-"""``bayhinge logs``: from an id to its cause, and which lines there are."""
+"""``bayhinge logs``: traces requests through logs, and lists the log events."""
 
 from pathlib import Path
 
@@ -16,19 +16,19 @@
 @app.command
 @app.default
 def trace(identifier: str, *files: Path) -> None:
-    """Prints the lines about an id in the order of time, and what they say of the cause.
+    """Prints the lines about an id in order of time, and the likely causes of failures.
 
     ``bayhinge logs ID FILE...`` does the same.
 
     Args:
-        identifier: the id of an attempt, or of a program.
+        identifier: the id of an attempt or a program.
         files: the logs of one or many hosts, in any order.
     """
     found = trace_of(identifier, LogFiles(files))
     if not found.lines:
         print(
-            f"no line names '{identifier}'; it may have reached another host, "
-            "or was an ordinary success that was thinned"
+            f"no line names '{identifier}'; another host may have served it, "
+            "or the line of a success may have been suppressed"
         )
         raise SystemExit(status_codes.EXIT_NOT_FOUND)
     for line in trace_lines(found):
@@ -37,10 +37,10 @@
 
 @app.command
 def events(*, write: Path | None = None) -> None:
-    """Prints every type of line that hosts write, with its fields, as Markdown.
+    """Prints all types of log messages that hosts write, with their fields, as Markdown.
 
     Args:
-        write: write it to this file instead.
+        write: write the page to this file instead.
     """
     page = log_events_page()
     if write is None:
--- a/src/bayhinge/_internal/cli/tool/losses.py
+++ b/src/bayhinge/_internal/cli/tool/losses.py
@@ -1,4 +1,4 @@
-"""``bayhinge losses FILE...``: where requests and programs lost their time."""
+"""``bayhinge losses FILE...``: where requests and programs lost time."""
 
 import sys
 from pathlib import Path
@@ -11,20 +11,20 @@
 
 
 def losses(*files: Path, window: float = 2.0, most: int = 20, page: Path | None = None) -> None:
-    """Prints what was served, late and unanswered over time, the sums, and the worst programs.
+    """Prints the requests served, late and unanswered over time, totals, and the worst programs.
 
     Args:
         files: the logs of one or many hosts, in any order.
-        window: the length of a row of the table, in seconds.
+        window: the time window of each row of the table, in seconds.
         most: how many programs to print.
-        page: write a page (.html), or its picture alone (.svg), to this file.
+        page: write a page (.html), or only its chart (.svg), to this file.
     """
     if page is not None and page.suffix not in WRITER_BY_SUFFIX:
-        print(f"{page}: a page ends with .html or .svg", file=sys.stderr)
+        print(f"{page}: the file name must end with .html or .svg", file=sys.stderr)
         raise SystemExit(status_codes.EXIT_USAGE)
     found = losses_of(LogFiles(files), max(0.001, window))
     if not found.windows:
-        print("no line of these files is a line of a host's log")
+        print("these files contain no log lines of hosts")
         raise SystemExit(status_codes.EXIT_NOT_FOUND)
     for line in report(found, most):
         print(line)
--- a/src/bayhinge/_internal/cli/tool/programs.py
+++ b/src/bayhinge/_internal/cli/tool/programs.py
@@ -16,7 +16,7 @@
     """Lists the programs of all hosts.
 
     Args:
-        account: list this client account's programs alone.
+        account: list only the programs of this client account.
         connection: which host to ask.
     """
     connection = connection or Connection()
@@ -32,7 +32,7 @@
     """Shows one program.
 
     Args:
-        program: its identifier.
+        program: the program's identifier.
         connection: which host to ask.
     """
     connection = connection or Connection()
@@ -45,10 +45,10 @@
 
 @app.command
 def cancel(program: str, *, connection: Connection | None = None) -> None:
-    """Cancels a program: its running call is dropped, and no more are taken.
+    """Cancels a program: its running call is aborted, and further calls are refused.
 
     Args:
-        program: its identifier.
+        program: the program's identifier.
         connection: which host to ask.
     """
     connection = connection or Connection()
--- a/src/bayhinge/_internal/cli/tool/settings.py
+++ b/src/bayhinge/_internal/cli/tool/settings.py
@@ -1,4 +1,4 @@
-"""``bayhinge settings``: check a settings file, print the reference."""
+"""``bayhinge settings``: checks a settings file, or prints the reference."""
 
 import sys
 from pathlib import Path
@@ -30,5 +30,5 @@
 
 @app.command
 def reference() -> None:
-    """Prints the reference of all settings, as docs/settings.md has it."""
+    """Prints the reference of all settings, as in docs/settings.md."""
     print(reference_page(), end="")
--- a/src/bayhinge/_internal/cli/tool/stats.py
+++ b/src/bayhinge/_internal/cli/tool/stats.py
@@ -19,7 +19,7 @@
 
 
 def stats(*, connection: Connection | None = None) -> None:
-    """Prints each host's counters, and its first-token latency as p50/p95/p99."""
+    """Prints the counters of each host, and its first-token latency in ms as p50/p95/p99."""
     connection = connection or Connection()
 
     async def work(api: Api) -> Any:
--- a/src/bayhinge/_internal/cli/tool/templates.py
+++ b/src/bayhinge/_internal/cli/tool/templates.py
@@ -1,4 +1,4 @@
-"""``bayhinge templates``: what client accounts are made from."""
+"""``bayhinge templates``: the templates of client accounts."""
 
 from bayhinge._internal.cli.tool.configured import build_app
 from bayhinge._internal.models.accounts import ConfigKind
--- a/src/bayhinge/_internal/cli/tool/timeline.py
+++ b/src/bayhinge/_internal/cli/tool/timeline.py
@@ -1,4 +1,4 @@
-"""``bayhinge timeline``: the events of all hosts in one order."""
+"""``bayhinge timeline``: the events of all hosts in causal order."""
 
 import asyncio
 from pathlib import Path
@@ -9,7 +9,7 @@
 from bayhinge._internal.queries.html_report import html_report
 from bayhinge._internal.queries.sentences import timeline_lines
 
-LOOK_S = 0.5
+POLL_S = 0.5
 
 
 def timeline(
@@ -22,42 +22,42 @@
     html: Path | None = None,
     connection: Connection | None = None,
 ) -> None:
-    """Prints the time line of all hosts.
+    """Prints the timeline of all hosts.
 
     Args:
-        follow: go on while the system acts, until you stop it.
-        program: this program's events alone.
-        account: this client account's events alone.
-        endpoint: this endpoint's events alone.
-        mechanism: this mechanism's events alone, such as queue or budget.
+        follow: keep printing new events until interrupted.
+        program: print only the events of this program.
+        account: print only the events of this client account.
+        endpoint: print only the events of this endpoint.
+        mechanism: print only the events of this mechanism, such as queue or budget.
         html: write a page with a lane for each host and endpoint to this file.
         connection: which host to ask.
     """
     connection = connection or Connection()
-    wanted = {
+    filters = {
         "program": program,
         "account": account,
         "endpoint": endpoint,
         "mechanism": mechanism,
     }
     if html is not None:
-        found = run(connection, lambda api: api.query("events", **wanted))
+        found = run(connection, lambda api: api.query("events", **filters))
         events = [event_from_fields(item) for item in found]
-        html.write_text(html_report("bayhinge time line", events), encoding="utf-8")
+        html.write_text(html_report("bayhinge timeline", events), encoding="utf-8")
         print(f"written: {html}")
         return
     try:
-        run(connection, lambda api: _print_events(api, connection, wanted, follow))
+        run(connection, lambda api: _print_events(api, connection, filters, follow))
     except KeyboardInterrupt:
         return
 
 
 async def _print_events(
-    api: Api, connection: Connection, wanted: dict[str, str], follow: bool
+    api: Api, connection: Connection, filters: dict[str, str], follow: bool
 ) -> None:
     after = 0
     while True:
-        found: list[dict[str, Any]] = await api.query("events", after=str(after), **wanted)
+        found: list[dict[str, Any]] = await api.query("events", after=str(after), **filters)
         if connection.json:
             print_json(found)
         else:
@@ -66,4 +66,4 @@
         after = max([after, *(int(item["stamp"]) for item in found)])
         if not follow:
             return
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_S)
--- a/src/bayhinge/_internal/queries/html_report.py
+++ b/src/bayhinge/_internal/queries/html_report.py
@@ -120,7 +120,7 @@
     scale = _Scale(min(times), max(times))
     height = TOP_HEIGHT + LANE_HEIGHT * len(lanes) + 10
     width = LEFT_WIDTH + PLOT_WIDTH + 20
-    yield f"<svg width='{width}' height='{height}' role='img' aria-label='time line'>"
+    yield f"<svg width='{width}' height='{height}' role='img' aria-label='timeline'>"
     yield from _ticks(scale, height)
     for lane, place in place_by_lane.items():
         yield f"<text class='name' x='10' y='{place + 4:.0f}'>{html.escape(lane)}</text>"
--- a/src/bayhinge/_internal/queries/losses/__init__.py
+++ b/src/bayhinge/_internal/queries/losses/__init__.py
@@ -1,4 +1,4 @@
-"""Where requests and programs lost their time, from the logs of many hosts alone."""
+"""Analyses from the logs of many hosts where requests and programs lost time."""
 
 from bayhinge._internal.queries.losses.models import Cause, Kind, Losses, Phase, ProgramLoss
 from bayhinge._internal.queries.losses.page import loss_chart, loss_page
--- a/src/bayhinge/_internal/queries/losses/chart.py
+++ b/src/bayhinge/_internal/queries/losses/chart.py
@@ -1,4 +1,4 @@
-"""The picture of a page: served, late and lost over time, and below it what went when."""
+"""Draws the chart: requests served, late and lost over time, above failures and changes."""
 
 import io
 from typing import Any
@@ -10,15 +10,15 @@
 COLOUR_BY_BAR = {"served": "#2e8b57", "late": "#e0a100", "lost": "#c0392b"}
 COLOUR_DOWN = "#c0392b"
 SHAPE_BY_MARK = {"started": "^", "in_force": "^", "restarted": "^"}
-"""What comes points up; what goes is a cross."""
+"""Shapes of the marks of recoveries and changes; all others, such as failures, are crosses."""
 
 SVG_STYLE = {"svg.fonttype": "none", "svg.hashsalt": "bayhinge"}
-"""Texts stay texts, so that a page can be searched; the salt makes a page the same each time."""
+"""Texts are not drawn as paths, so that a page can be searched; the salt makes ids reproducible."""
 
 
 def chart_svg(losses: Losses) -> str:
-    """Returns the picture as SVG."""
-    # Loaded here alone: it takes half a second, and few commands draw.
+    """Returns the chart as SVG."""
+    # Imported here since the import is slow, and only charts need it.
     import matplotlib as mpl
     from matplotlib.figure import Figure
 
@@ -59,7 +59,7 @@
 def _draw_lanes(axes: Any, losses: Losses, start_s: float) -> None:
     place_by_lane = {lane: -number for number, lane in enumerate(Lane)}
     for downtime in losses.downtimes:
-        # One that was away at the same time as others shows through them.
+        # Translucent, so that overlapping downtimes of several hosts are visible.
         axes.hlines(
             place_by_lane[Lane.HOSTS],
             downtime.from_s - start_s,
@@ -76,6 +76,6 @@
             axes.plot(places, heights, shape, label=message_type)
     axes.set_yticks(list(place_by_lane.values()), [lane.value for lane in place_by_lane])
     axes.set_ylim(min(place_by_lane.values()) - 0.6, 0.6)
-    axes.set_xlabel("seconds since the first window began; bars: hosts that were away")
+    axes.set_xlabel("seconds since the first window began; bars: hosts that were down")
     if losses.marks:
         axes.legend(loc="upper left", bbox_to_anchor=(1.0, 1.0), fontsize=7)
--- a/src/bayhinge/_internal/queries/losses/first_pass.py
+++ b/src/bayhinge/_internal/queries/losses/first_pass.py
@@ -1,4 +1,4 @@
-"""The first look at the lines: what must be known before a request's end can be judged."""
+"""The first pass over the lines: collects what is needed to judge the end of a request."""
 
 import math
 from collections import Counter, defaultdict
@@ -15,44 +15,47 @@
 FAILED_SEND_TYPES = frozenset({"send.failed", "send.not_taken"})
 
 SUSPICION_PREFIX = "not heard for "
-"""So begins the ``why`` of a ``send.failed`` that ends no try: the request goes on waiting."""
+"""Prefix of the ``why`` of a ``send.failed`` after which the request keeps waiting."""
 
 SIGNIFICANT_DIGITS = 3
-"""Digits that are kept of a time: a median is right to half a percent, and a service needs at most
-900 counters for each power of ten whatever the length of the logs."""
+"""Durations are rounded to these digits, which bounds the counters to 900 per power of ten and
+the error of a median to half a percent."""
 
 UNKNOWN_SERVICE = "?"
 
 
 class DurationCounts:
-    """Times by how often they came, so that a median needs no list of them."""
+    """A histogram of durations, to compute a median without keeping all of them."""
 
     def __init__(self) -> None:
-        """Begins without any."""
         self._count_by_ms: Counter[float] = Counter()
 
     def add(self, took_ms: float) -> None:
-        """Counts one."""
+        """Adds one duration."""
         digits = SIGNIFICANT_DIGITS - 1 - math.floor(math.log10(took_ms)) if took_ms > 0 else 0
         self._count_by_ms[round(took_ms, digits)] += 1
 
-    def merge(self, others: "DurationCounts") -> None:
-        """Counts what others have counted."""
-        self._count_by_ms.update(others._count_by_ms)
+    def merge(self, other: "DurationCounts") -> None:
+        """Adds the durations of another histogram."""
+        self._count_by_ms.update(other._count_by_ms)
 
     def median_ms(self) -> float:
-        """Returns the lower median; there must be a time."""
+        """Returns the lower median.
+
+        Raises:
+            ValueError: there are no durations.
+        """
         half = (self._count_by_ms.total() + 1) // 2
         for took_ms in sorted(self._count_by_ms):
             half -= self._count_by_ms[took_ms]
             if half <= 0:
                 return took_ms
-        raise ValueError("no times")
+        raise ValueError("no durations to take the median of")
 
 
 @attrs.define
 class RequestDelays:
-    """What lines before a request's end say of it."""
+    """Delays of one request, from the lines before its end."""
 
     first_failure_s: float | None = None
     last_failure_s: float | None = None
@@ -60,7 +63,7 @@
     sync_wait_s: float = 0.0
 
     def record(self, line: LogLine) -> None:
-        """Takes one of them."""
+        """Adds a line of one of the ``DELAY_TYPES``."""
         if line.message_type in FAILED_SEND_TYPES and not str(line.fields.get("why")).startswith(
             SUSPICION_PREFIX
         ):
@@ -78,7 +81,7 @@
 
 @attrs.define
 class FirstPass:
-    """What the first look found. Holds nothing for a request that was served as usual."""
+    """The result of the first pass. Holds nothing per request that was served without delay."""
 
     service_by_endpoint: dict[str, str] = attrs.field(factory=dict)
     durations_by_endpoint: defaultdict[str, DurationCounts] = attrs.field(
@@ -90,11 +93,11 @@
     _last_s_by_host: dict[str, float] = attrs.field(factory=dict)
 
     def service_of(self, line: LogLine) -> str:
-        """Returns the service whose endpoint gave an answer."""
+        """Returns the service of the endpoint that a line names."""
         return self.service_by_endpoint.get(str(line.fields.get("endpoint")), UNKNOWN_SERVICE)
 
     def usual_s_by_service(self) -> dict[str, float]:
-        """Returns the medians."""
+        """Returns the median duration of undelayed requests, in seconds."""
         durations_by_service: dict[str, DurationCounts] = {}
         for endpoint, durations in self.durations_by_endpoint.items():
             service = self.service_by_endpoint.get(endpoint, UNKNOWN_SERVICE)
@@ -105,7 +108,7 @@
         }
 
     def record(self, line: LogLine) -> None:
-        """Takes a line."""
+        """Adds a line."""
         self._record_presence(line)
         attempt = str(line.fields.get("attempt"))
         if line.message_type == "endpoint.known":
@@ -128,7 +131,7 @@
 
 
 def run_first_pass(lines: Iterable[LogLine]) -> FirstPass:
-    """Takes all lines; those of one host must come in the order of its writing."""
+    """Processes all lines; those of one host must come in the order in which it wrote them."""
     first_pass = FirstPass()
     for line in lines:
         first_pass.record(line)
@@ -142,20 +145,20 @@
 
 
 def took_s(line: LogLine) -> float | None:
-    """Returns what a request took, where its line says so."""
+    """Returns the duration of a request, or None where its line has none."""
     took_ms = line.fields.get("took_ms")
     return took_ms / 1000 if isinstance(took_ms, int | float) else None
 
 
 def is_declined(line: LogLine) -> bool:
-    """Whether a refusal is the caller's own doing; one that asks it to come back is not."""
+    """Returns whether a refusal was caused by the caller: a 4xx status other than 429."""
     status = _number(line.fields.get("status"))
     is_callers = status_codes.HTTP_BAD_REQUEST <= status < status_codes.HTTP_SERVER_ERROR
     return is_callers and status != status_codes.HTTP_TOO_MANY_REQUESTS
 
 
 def name_of(line: LogLine) -> str:
-    """Returns the program of a request, or the request where it has none."""
+    """Returns the program of a request, or a name for the request where it has none."""
     return str(line.fields.get("program") or f"request {line.fields.get('attempt')}")
 
 
--- a/src/bayhinge/_internal/queries/losses/marks.py
+++ b/src/bayhinge/_internal/queries/losses/marks.py
@@ -1,4 +1,4 @@
-"""Lines that tell of trouble or change: in which lane of the page, and whom they name."""
+"""Message types of failures and changes that the chart marks, with lane and subject."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class Lane(StrEnum):
-    """What went."""
+    """Rows of the chart."""
 
     HOSTS = "hosts"
     DISKS = "disks"
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class MarkKind:
-    """Where a line stands, and the field that names what it is about; empty for its writer."""
+    """The lane of a message type, and the field with its subject; empty: the host itself."""
 
     lane: Lane
     field: str = ""
@@ -43,10 +43,10 @@
     "endpoint.withdrawn": MarkKind(Lane.ENDPOINTS, "endpoint"),
     "configuration.in_force": MarkKind(Lane.CONFIGURATION, "version"),
 }
-"""Each window counts them."""
+"""Each window counts the lines of these types."""
 
 
 def subject_of(line: LogLine) -> str:
-    """Returns whom a mark is about."""
+    """Returns the subject of a marked line."""
     field = MARKS[line.message_type].field
     return str(line.fields.get(field)) if field else line.host
--- a/src/bayhinge/_internal/queries/losses/models.py
+++ b/src/bayhinge/_internal/queries/losses/models.py
@@ -1,4 +1,4 @@
-"""What is told of lost time: by program, by moment, by cause."""
+"""Results of the analysis: lost time by program, by time window and by cause."""
 
 from collections import Counter
 from enum import StrEnum
@@ -6,25 +6,25 @@
 import attrs
 
 LATE_FACTOR = 3.0
-"""Times the usual beyond which a turn counts as late: endpoints take up to twice as long when
-their batch is full, so that alone stays below."""
+"""A request is late beyond this multiple of its service's median. Endpoints with a full batch take
+up to twice as long, which alone must not count."""
 
 
 class Phase(StrEnum):
-    """Where time goes, as far as lines tell."""
+    """Where the time of a program went, as far as the logs show."""
 
-    FAILED_SENDS = "failed tries"
+    FAILED_SENDS = "failed sends"
     DISKS = "disks"
-    INITIAL_SYNC = "first news of its host"
-    BETWEEN_REQUESTS = "between tries"
-    HOST_DOWN = "host away"
+    INITIAL_SYNC = "initial sync of the host"
+    BETWEEN_REQUESTS = "between requests"
+    HOST_DOWN = "host down"
     NOT_SPLIT = "not split"
 
 
 class Kind(StrEnum):
-    """What became of a program, worst first.
+    """The outcome of a program, worst first.
 
-    ``DECLINED`` programs were answered as their callers deserve, such as one whose budget is spent.
+    ``DECLINED`` programs were refused because of their callers, such as for a spent budget.
     """
 
     FAILED = "failed"
@@ -34,43 +34,43 @@
 
 
 LIMITATIONS = (
-    "Phases hold the whole of a try, the usual time included.",
-    "A served request has one time, took_ms: what it spent on disks (before its end), choosing, "
-    "connecting, waiting for the first event and pauses between events stands as 'not split'.",
-    "A refused request has no time: only what its other lines span is counted, and the time from "
-    "its program's try before to its refusal stands as 'not split'.",
-    "'failed tries' runs from a request's beginning to its last failed send, disks and choosing "
-    "before that send included; where the request was refused, from its first failed send.",
-    "A request whose host was killed leaves no end; of callers that found no host no line speaks.",
-    "Ordinary successes may be thinned above 100 a second a host: served counts are lower bounds, "
-    "and a time between tries may hold a try that was served.",
-    "A host is away from its last line to its next start; one that stood still is not seen.",
-    "Times between tries at two hosts hold the difference of these hosts' clocks.",
+    "Phases cover the whole duration of a request, including its usual duration.",
+    "A served request has one duration, took_ms: time spent on disks (before its end), choosing, "
+    "connecting, waiting for the first event and pauses between events counts as 'not split'.",
+    "A refused request has no duration: only the span of its other lines is counted, and the time "
+    "from its program's previous request to the refusal counts as 'not split'.",
+    "'failed sends' lasts from the start of a request to its last failed send, including disks and "
+    "choosing before that send; where the request was refused, from its first failed send.",
+    "A request whose host was killed logs no end, and a caller that reached no host is not logged.",
+    "Successes above 100 per second and host may be suppressed: served counts are lower bounds, "
+    "and the time between requests may include a request that was served.",
+    "A host is down from its last line to its next start; a host that stalled is not detected.",
+    "The time between requests to two hosts includes the skew of these hosts' clocks.",
 )
-"""What the logs can't tell; each sentence names what would have to be logged."""
+"""Limitations of the analysis, printed with each report."""
 
 
 @attrs.frozen
 class Cause:
-    """Why requests got no answer, or a late one."""
+    """Why a request got no answer, or a late one."""
 
     kind: str
     detail: str
 
     def __str__(self) -> str:
-        """Returns the cause for a person."""
+        """Returns the cause in readable form."""
         return f"{self.kind}: {self.detail}" if self.detail else self.kind
 
 
 @attrs.define
 class Window:
-    """What ended in one span of time.
+    """The requests that ended in one time window.
 
     Attributes:
-        lost_s: seconds that served requests took beyond the usual of their service.
-        unanswered: requests that were refused or ended without their answer.
-        declined: requests that got the refusal that they deserve.
-        programs: those that lost time or an answer.
+        lost_s: seconds that served requests took beyond the median of their service.
+        unanswered: requests that were refused or ended without a complete answer.
+        declined: requests that were refused because of their callers.
+        programs: programs that lost time or an answer.
     """
 
     from_s: float
@@ -85,20 +85,24 @@
 
 @attrs.frozen
 class Downtime:
-    """A host between its last line and its next start."""
+    """The time between the last line of a host and its next start."""
 
     host: str
     from_s: float
     to_s: float
 
     def overlap_s(self, from_s: float, to_s: float) -> float:
-        """Returns how much of a span it covers."""
+        """Returns how many seconds of a span it covers."""
         return max(0.0, min(to_s, self.to_s) - max(from_s, self.from_s))
 
 
 @attrs.frozen
 class Mark:
-    """Something went, in one window, as one or many hosts' lines say."""
+    """A failure or change of one subject, logged in one window by one or more hosts.
+
+    Attributes:
+        count: the lines that report it.
+    """
 
     at_s: float
     message_type: str
@@ -108,15 +112,16 @@
 
 @attrs.define
 class ProgramLoss:
-    """What one program lost; a request without a program stands for itself.
+    """The losses of one program, or of one request without a program.
 
     Attributes:
-        kind: what became of it in the end.
-        at_s: when its first trouble ended.
-        lost_s: what its turns took beyond the usual, its failed tries, and the time between these.
-        usual_s: what its served tries that are counted here would usually have taken.
-        s_by_phase: where the time of its late, failed and following tries went, the usual included.
-        untimed: tries of which no line says how long they took.
+        kind: its final outcome.
+        at_s: when its first late or unanswered request ended.
+        lost_s: the time beyond the usual of late requests, the time of unanswered ones, and the
+            time until the request that followed those.
+        usual_s: the median time of its served requests that are counted here.
+        s_by_phase: the time of late, unanswered and following requests, including the usual time.
+        untimed: requests without a known duration.
     """
 
     name: str
@@ -136,7 +141,11 @@
 
 @attrs.define
 class Losses:
-    """Windows in order, programs worst first, and the sums; usual times in seconds."""
+    """The result of the analysis: windows in order, programs worst first, and the totals.
+
+    Attributes:
+        usual_s_by_service: the median duration of undelayed requests, in seconds.
+    """
 
     window_s: float
     windows: list[Window]
@@ -148,12 +157,12 @@
 
     @property
     def count_by_kind(self) -> Counter[Kind]:
-        """Programs by what became of them."""
+        """The number of programs by outcome."""
         return Counter(program.kind for program in self.programs)
 
     @property
     def s_by_phase(self) -> dict[Phase, float]:
-        """Seconds by phase, over all programs that lost any."""
+        """Seconds by phase, over all programs with losses."""
         return {
             phase: sum(program.s_by_phase[phase] for program in self.programs) for phase in Phase
         }
--- a/src/bayhinge/_internal/queries/losses/page.py
+++ b/src/bayhinge/_internal/queries/losses/page.py
@@ -1,4 +1,4 @@
-"""Losses as one page that needs no server and loads nothing."""
+"""Renders the losses as a self-contained HTML page."""
 
 import html
 from collections.abc import Iterable, Iterator
@@ -8,7 +8,7 @@
 from bayhinge._internal.queries.losses.report import causes_text, phases_text
 
 MAX_ROWS = 500
-"""Rows of a table; with more of them a page opens slowly. What is left out is counted."""
+"""Maximum rows of a table, since large pages open slowly; the page says how many are omitted."""
 
 STYLE = """
 body { font: 14px/1.4 system-ui, sans-serif; margin: 24px; color: #222; max-width: 1340px; }
@@ -20,7 +20,7 @@
 
 
 def loss_chart(losses: Losses) -> str:
-    """Returns the picture alone, as SVG."""
+    """Returns only the chart, as SVG."""
     return chart_svg(losses)
 
 
@@ -35,10 +35,10 @@
     yield f"<title>bayhinge losses</title><style>{STYLE}</style></head><body>"
     yield "<h1>Where time was lost</h1>"
     yield chart[chart.index("<svg") :]
-    yield "<h2>Usual times: medians of the turns served well</h2>"
+    yield "<h2>Usual durations: medians of the requests served without delay</h2>"
     usual = losses.usual_s_by_service.items()
     yield from _table(("service", "ms"), ((name, f"{took_s * 1000:.0f}") for name, took_s in usual))
-    yield "<h2>Programs by what became of them</h2>"
+    yield "<h2>Programs by outcome</h2>"
     kinds = ((kind.value, str(losses.count_by_kind[kind])) for kind in Kind)
     yield from _table(("kind", "programs"), kinds)
     yield "<h2>Where their time went</h2>"
@@ -51,9 +51,9 @@
     yield from _table(
         ("first at, s", "lost s", "kind", "program", "phases", "causes"), _rows(losses)
     )
-    yield "<h2>What went</h2>"
-    yield from _table(("at, s", "what", "who", "lines"), _marks(losses))
-    yield "<h2>What the logs can't tell</h2><ul>"
+    yield "<h2>Failures and changes</h2>"
+    yield from _table(("at, s", "event", "subject", "lines"), _marks(losses))
+    yield "<h2>Limitations</h2><ul>"
     yield from (f"<li>{html.escape(sentence)}</li>" for sentence in LIMITATIONS)
     yield "</ul></body></html>"
 
@@ -74,7 +74,7 @@
 def _marks(losses: Losses) -> Iterator[tuple[str, ...]]:
     start_s = losses.windows[0].from_s
     for downtime in losses.downtimes:
-        until = f"away until {downtime.to_s - start_s:.2f}"
+        until = f"down until {downtime.to_s - start_s:.2f}"
         yield f"{downtime.from_s - start_s:.2f}", until, downtime.host, ""
     for mark in losses.marks:
         yield f"{mark.at_s - start_s:.2f}", mark.message_type, mark.subject, str(mark.count)
--- a/src/bayhinge/_internal/queries/losses/program_losses.py
+++ b/src/bayhinge/_internal/queries/losses/program_losses.py
@@ -1,4 +1,4 @@
-"""One program's tries, and where its time went by phase."""
+"""Computes the losses of one program from its requests, by phase."""
 
 from collections.abc import Iterable, Mapping
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class RequestEnd:
-    """One request of a program, as its end line and the lines before it tell."""
+    """The end of one request of a program, with the delays logged before it."""
 
     ended_s: float
     host: str
@@ -31,28 +31,28 @@
 
     @property
     def is_served(self) -> bool:
-        """Whether it got its answer, late or not."""
+        """Whether the request was answered, late or not."""
         return self.message_type == "request.served"
 
     @property
     def is_lost(self) -> bool:
-        """Whether it got none, and not by its caller's doing."""
+        """Whether the request got no answer, for a reason other than its caller."""
         return not self.is_served and not self.is_declined
 
     @property
     def began_s(self) -> float | None:
-        """When it began, where its line says how long it took."""
+        """When the request began, or None where its duration is unknown."""
         return None if self.took_s is None else self.ended_s - self.took_s
 
 
 @attrs.define
 class ProgramRequests:
-    """The tries of one program that lost something."""
+    """The requests of one program with losses."""
 
     requests: list[RequestEnd] = attrs.field(factory=list)
 
     def sum_up(self, name: str, downtimes_by_host: Mapping[str, list[Downtime]]) -> ProgramLoss:
-        """Returns what the program lost."""
+        """Returns the losses of the program."""
         requests = sorted(self.requests, key=lambda request: request.ended_s)
         first = next(request for request in requests if request.cause is not None)
         loss = ProgramLoss(name, _kind_of(requests), first.ended_s)
@@ -66,7 +66,7 @@
 
 
 def worst_first(programs: Iterable[ProgramLoss]) -> list[ProgramLoss]:
-    """Orders programs: those that got no answer, then by what they lost."""
+    """Sorts programs by outcome, then by lost time, worst first."""
     return sorted(programs, key=lambda loss: (_RANK_BY_KIND[loss.kind], -loss.lost_s, loss.name))
 
 
@@ -85,11 +85,11 @@
 def _add_gap(
     loss: ProgramLoss, before: RequestEnd, after: RequestEnd, downtimes: list[Downtime]
 ) -> None:
-    """Adds the time from a lost try to the next one, without which nothing would have waited."""
+    """Adds the time from an unanswered request to the next one."""
     began_s = after.began_s
     gap_s = (after.ended_s if began_s is None else began_s) - before.ended_s
     if gap_s <= 0:
-        # They ran beside each other.
+        # The requests ran concurrently.
         return
     loss.lost_s += gap_s
     if began_s is None:
@@ -114,23 +114,23 @@
     elif request.cause is not None:
         loss.lost_s += request.took_s - (request.usual_s or 0.0)
     elif not follows_loss:
-        # An ordinary turn, before any trouble.
+        # Served without delay, and not a retry.
         return
     loss.usual_s += request.usual_s or 0.0
     _split(loss, request, request.took_s)
 
 
 def _add_untimed(loss: ProgramLoss, request: RequestEnd) -> None:
-    """Adds the least that a refused try took: from its first failed send to its refusal."""
+    """Adds the minimum duration of a refused request: from its first failed send to its end."""
     if request.delays is None or request.delays.first_failure_s is None:
         return
-    least_s = request.ended_s - request.delays.first_failure_s
-    loss.lost_s += least_s
-    loss.spend(Phase.FAILED_SENDS, least_s)
+    min_s = request.ended_s - request.delays.first_failure_s
+    loss.lost_s += min_s
+    loss.spend(Phase.FAILED_SENDS, min_s)
 
 
 def _split(loss: ProgramLoss, request: RequestEnd, took_s: float) -> None:
-    """Splits a try's time as far as its lines tell."""
+    """Splits the duration of a request by phase, as far as its lines allow."""
     delays = request.delays or RequestDelays()
     began_s = request.ended_s - took_s
     sync_wait_s = min(took_s, delays.sync_wait_s)
--- a/src/bayhinge/_internal/queries/losses/report.py
+++ b/src/bayhinge/_internal/queries/losses/report.py
@@ -1,30 +1,30 @@
-"""Losses as lines for a person."""
+"""Formats the losses as text."""
 
 from collections.abc import Iterator
 
 from bayhinge._internal.queries.losses.models import LIMITATIONS, Kind, Losses, ProgramLoss
 
 MAX_CAUSES = 12
-"""Causes that are told; the rest are summed."""
+"""Maximum causes listed; the rest are summed."""
 
 MAX_PROGRAMS = 20
-"""Programs that are told, worst first; a page has more."""
+"""Default number of programs listed, worst first; the page lists more."""
 
 
-def report(losses: Losses, most_programs: int = MAX_PROGRAMS) -> Iterator[str]:
-    """Yields the lines of tables."""
+def report(losses: Losses, max_programs: int = MAX_PROGRAMS) -> Iterator[str]:
+    """Yields the report line by line."""
     yield from _windows(losses)
     yield ""
     yield from _causes(losses)
     yield ""
     yield from _sums(losses)
     yield ""
-    yield from _programs(losses, most_programs)
+    yield from _programs(losses, max_programs)
     yield ""
     for service, usual_s in losses.usual_s_by_service.items():
-        yield f"usual of {service}: {usual_s * 1000:.0f} ms (median of the turns served well)"
+        yield f"usual of {service}: {usual_s * 1000:.0f} ms (median of requests without delay)"
     yield ""
-    yield "What the logs can't tell:"
+    yield "Limitations:"
     for sentence in LIMITATIONS:
         yield f"- {sentence}"
 
@@ -65,29 +65,29 @@
         yield f"{seconds:8.2f}  {phase}"
 
 
-def _programs(losses: Losses, most: int) -> Iterator[str]:
+def _programs(losses: Losses, max_programs: int) -> Iterator[str]:
     yield f"{'at':>10} {'lost s':>8}  {'kind':8} program: where its time went; causes"
-    for program in losses.programs[:most]:
+    for program in losses.programs[:max_programs]:
         yield (
             f"{program.at_s:10.1f} {program.lost_s:8.2f}  {program.kind:8} {program.name}:"
             f" {phases_text(program)}; {causes_text(program)}"
         )
-    if len(losses.programs) > most:
-        yield f"{'':10} {'':8}  and {len(losses.programs) - most} more"
+    if len(losses.programs) > max_programs:
+        yield f"{'':10} {'':8}  and {len(losses.programs) - max_programs} more"
 
 
 def phases_text(program: ProgramLoss) -> str:
-    """Returns where a program's time went."""
+    """Returns the time of a program by phase."""
     parts = [f"{phase} {seconds:.2f} s" for phase, seconds in program.s_by_phase.most_common()]
     if program.untimed:
-        requests = "try" if program.untimed == 1 else "tries"
-        parts.append(f"{program.untimed} {requests} without a time")
-    told = ", ".join(parts) or "no time told"
-    return f"{told}, against {program.usual_s:.2f} s usual" if program.usual_s else told
+        noun = "request" if program.untimed == 1 else "requests"
+        parts.append(f"{program.untimed} {noun} of unknown duration")
+    phases = ", ".join(parts) or "no duration known"
+    return f"{phases}, against {program.usual_s:.2f} s usual" if program.usual_s else phases
 
 
 def causes_text(program: ProgramLoss) -> str:
-    """Returns why, most often first."""
+    """Returns the causes, the most frequent first."""
     return ", ".join(
         f"{cause} ({count} times)" if count > 1 else str(cause)
         for cause, count in program.causes.most_common()
--- a/src/bayhinge/_internal/queries/losses/second_pass.py
+++ b/src/bayhinge/_internal/queries/losses/second_pass.py
@@ -1,10 +1,6 @@
-"""The second look at the lines: judges each request's end, and sums by program and moment.
+"""The second pass over the lines: judges each request's end, and sums by program and window.
 
-Both looks are linear in the lines, and keep what is reported: windows, programs that lost
-something, and the lines of trouble of single requests. 200,000 lines (44 MB) of 60 hosts, one
-request in twenty with trouble (``python -m tests.lib.made_log 200000 FOLDER``), took 3.9 to 5.1 s
-beside other work on all cores, and 38 MB of memory at most, 16 MB of it before the first line; the
-page took 1.0 to 1.8 s more and 83 MB, most of it matplotlib's.
+Both passes take linear time, and keep only windows, programs with losses, and delayed requests.
 """
 
 import re
@@ -37,11 +33,11 @@
     worst_first,
 )
 
-_FIGURE = re.compile(r"\d+(\.\d+)?")
+_NUMBER = re.compile(r"\d+(\.\d+)?")
 
 
 def losses_of(lines: Iterable[LogLine], window_s: float) -> Losses:
-    """Sums the losses of all requests; goes through the lines twice."""
+    """Sums the losses of all requests; iterates over ``lines`` twice."""
     first_pass = run_first_pass(lines)
     summary = _Summary(first_pass, window_s, first_pass.usual_s_by_service())
     for line in lines:
@@ -51,25 +47,27 @@
 
 @attrs.define
 class _Summary:
+    """Sums by window, program, cause and mark."""
+
     first_pass: FirstPass
     window_s: float
     usual_s_by_service: dict[str, float]
     windows_by_from_s: dict[float, Window] = attrs.field(factory=dict)
     requests_by_program: dict[str, ProgramRequests] = attrs.field(factory=dict)
     count_by_cause: Counter[Cause] = attrs.field(factory=Counter)
-    marks_by_place: dict[tuple[float, str, str], Mark] = attrs.field(factory=dict)
+    marks_by_key: dict[tuple[float, str, str], Mark] = attrs.field(factory=dict)
 
     def record(self, line: LogLine) -> None:
-        """Takes a line."""
+        """Adds a line."""
         window = self._window_of(line)
         if line.message_type in MARKS:
             window.count_by_mark[line.message_type] += 1
-            self._mark(line, window)
+            self._add_mark(line, window)
         if line.message_type in END_TYPES:
-            self._end(line, window)
+            self._add_end(line, window)
 
     def finish(self) -> Losses:
-        """Returns the sums in order."""
+        """Returns the result, sorted."""
         downtimes_by_host: dict[str, list[Downtime]] = {}
         for downtime in self.first_pass.downtimes:
             downtimes_by_host.setdefault(downtime.host, []).append(downtime)
@@ -83,7 +81,7 @@
             worst_first(programs),
             self.first_pass.downtimes,
             sorted(
-                self.marks_by_place.values(),
+                self.marks_by_key.values(),
                 key=lambda mark: (mark.at_s, mark.message_type, mark.subject),
             ),
             self.count_by_cause,
@@ -97,20 +95,20 @@
             window = self.windows_by_from_s[from_s] = Window(from_s)
         return window
 
-    def _mark(self, line: LogLine, window: Window) -> None:
-        place = (window.from_s, line.message_type, subject_of(line))
-        mark = self.marks_by_place.get(place)
+    def _add_mark(self, line: LogLine, window: Window) -> None:
+        key = (window.from_s, line.message_type, subject_of(line))
+        mark = self.marks_by_key.get(key)
         at_s = line.at_s if mark is None else min(mark.at_s, line.at_s)
-        self.marks_by_place[place] = Mark(
-            at_s, line.message_type, place[2], 1 if mark is None else mark.count + 1
+        self.marks_by_key[key] = Mark(
+            at_s, line.message_type, key[2], 1 if mark is None else mark.count + 1
         )
 
-    def _end(self, line: LogLine, window: Window) -> None:
+    def _add_end(self, line: LogLine, window: Window) -> None:
         took = took_s(line)
         usual_s = None
         if line.message_type == "request.served":
             usual_s = self.usual_s_by_service.get(self.first_pass.service_of(line))
-        cause = self._count(line, window, took, usual_s)
+        cause = self._count_end(line, window, took, usual_s)
         name = name_of(line)
         if cause is not None:
             self.count_by_cause[cause] += 1
@@ -131,19 +129,19 @@
             )
         )
 
-    def _count(
+    def _count_end(
         self, line: LogLine, window: Window, took: float | None, usual_s: float | None
     ) -> Cause | None:
-        """Counts the end of one request; returns what it lost by, or None."""
+        """Counts the end of one request; returns the cause of its loss, or None."""
         if line.message_type == "request.refused":
-            is_own = is_declined(line)
-            window.declined += is_own
-            window.unanswered += not is_own
-            return Cause("declined" if is_own else "refused", str(line.fields.get("code", "")))
+            declined = is_declined(line)
+            window.declined += declined
+            window.unanswered += not declined
+            return Cause("declined" if declined else "refused", str(line.fields.get("code", "")))
         if line.message_type == "request.ended":
             window.unanswered += 1
             outcome = str(line.fields.get("outcome", "ended"))
-            return Cause(outcome, _without_figures(str(line.fields.get("why") or "")))
+            return Cause(outcome, _without_numbers(str(line.fields.get("why") or "")))
         window.served += 1
         if took is None or usual_s is None:
             return None
@@ -154,6 +152,6 @@
         return Cause("late", self.first_pass.service_of(line))
 
 
-def _without_figures(why: str) -> str:
-    """Returns a reason on one line, the same for all requests that ended by it."""
-    return _FIGURE.sub("#", " ".join(why.split()))
+def _without_numbers(why: str) -> str:
+    """Returns a reason on one line, with numbers replaced so that equal reasons compare equal."""
+    return _NUMBER.sub("#", " ".join(why.split()))
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -194,7 +194,7 @@
     text = "\n".join(report(found))
     assert "not split" in text
     assert "choosing, connecting" in text
-    assert "2 tries without a time" in text
+    assert "2 requests of unknown duration" in text
 
 
 def test_logs_of_one_host_in_many_files_are_read_from_the_oldest(tmp_path: Path) -> None:
