--- a/src/bayhinge/_internal/queries/losses/second_pass.py
+++ b/src/bayhinge/_internal/queries/losses/second_pass.py
@@ -27,7 +27,7 @@
     Mark,
     Window,
 )
-from bayhinge._internal.queries.losses.program_losses import (
+from bayhinge._internal.queries.losses.programs import (
     ProgramRequests,
     RequestEnd,
     worst_first,
