--- a/src/bayhinge/_internal/cli/tool/accounts.py
+++ b/src/bayhinge/_internal/cli/tool/accounts.py
@@ -3,7 +3,7 @@
 import secrets
 from typing import Any
 
-from bayhinge._internal.cli.tool.configured import ConfiguredCommands, Wait, build_app
+from bayhinge._internal.cli.tool.config_commands import ConfigCommands, Wait, build_app
 from bayhinge._internal.cli.tool.connection import (
     Api,
     Connection,
@@ -40,7 +40,7 @@
     connection = connection or Connection()
     key = secrets.token_urlsafe(KEY_BYTES)
     text = f"[account]\ntemplate = {template}\nkey_sha256 = {hash_key(key)}\n"
-    commands = ConfiguredCommands(ConfigKind.ACCOUNT)
+    commands = ConfigCommands(ConfigKind.ACCOUNT)
     commands.propose(connection, name, text, 0, author, wait)
     if connection.json:
         print_json({"account": name, "key": key})
--- a/src/bayhinge/_internal/cli/tool/configured.py
+++ b/src/bayhinge/_internal/cli/tool/config_commands.py
@@ -30,7 +30,7 @@
 def build_app(kind: ConfigKind, plural: str) -> cyclopts.App:
     """Builds the commands for one kind of configuration object."""
     app = cyclopts.App(name=plural, help=f"Get, edit and roll back {plural}.")
-    commands = ConfiguredCommands(kind)
+    commands = ConfigCommands(kind)
     app.command(commands.list, name="list")
     app.command(commands.get, name="get")
     app.command(commands.edit, name="edit")
@@ -42,7 +42,7 @@
     return app
 
 
-class ConfiguredCommands:
+class ConfigCommands:
     """The commands for one kind of configuration object, which is an INI text."""
 
     def __init__(self, kind: ConfigKind) -> None:
--- a/src/bayhinge/_internal/queries/html_report.py
+++ b/src/bayhinge/_internal/queries/html_report.py
@@ -69,9 +69,9 @@
     def place(self, event: Event) -> float:
         return self.at(stamp_to_ms(event.stamp) - self.first_ms)
 
-    def at(self, passed_ms: float) -> float:
+    def at(self, elapsed_ms: float) -> float:
         width = max(1, self.last_ms - self.first_ms)
-        return LEFT_WIDTH + PLOT_WIDTH * passed_ms / width
+        return LEFT_WIDTH + PLOT_WIDTH * elapsed_ms / width
 
 
 def html_report(title: str, events: list[Event]) -> str:
@@ -135,10 +135,10 @@
 def _ticks(scale: _Scale, height: float) -> Iterator[str]:
     span_ms = max(1, scale.last_ms - scale.first_ms)
     for number in range(TICKS + 1):
-        passed_ms = span_ms * number / TICKS
-        place = scale.at(passed_ms)
+        elapsed_ms = span_ms * number / TICKS
+        place = scale.at(elapsed_ms)
         yield f"<line class='lane' x1='{place:.0f}' x2='{place:.0f}' y1='22' y2='{height}'/>"
-        text = f"{passed_ms / 1000:.1f} s"
+        text = f"{elapsed_ms / 1000:.1f} s"
         yield f"<text class='tick' text-anchor='middle' x='{place:.0f}' y='16'>{text}</text>"
 
 
--- a/src/bayhinge/_internal/queries/log_calls.py
+++ b/src/bayhinge/_internal/queries/log_calls.py
@@ -88,7 +88,9 @@
             fields += FIELDS_BY_UNPACKED[ast.unparse(keyword.value)]
     message_types = resolver.resolve(type_node, site)
     if not message_types:
-        raise ValueError(f"{site.module}:{call.lineno}: which type is {ast.unparse(type_node)}?")
+        raise ValueError(
+            f"{site.module}:{call.lineno}: cannot resolve message type {ast.unparse(type_node)}"
+        )
     for message_type in message_types:
         yield LogCall(message_type, tuple(fields), str(site))
 
--- a/src/bayhinge/_internal/queries/losses/chart.py
+++ b/src/bayhinge/_internal/queries/losses/chart.py
@@ -9,8 +9,8 @@
 SIZE_INCHES = (12.0, 6.0)
 COLOUR_BY_BAR = {"served": "#2e8b57", "late": "#e0a100", "lost": "#c0392b"}
 COLOUR_DOWN = "#c0392b"
-SHAPE_BY_MARK = {"started": "^", "in_force": "^", "restarted": "^"}
-"""Shapes of the marks of recoveries and changes; all others, such as failures, are crosses."""
+SHAPE_BY_TYPE_SUFFIX = {"started": "^", "in_force": "^", "restarted": "^"}
+"""Mark shapes by the last part of the message type; all others are crosses."""
 
 SVG_STYLE = {"svg.fonttype": "none", "svg.hashsalt": "bayhinge"}
 """Texts are not drawn as paths, so that a page can be searched; the salt makes ids reproducible."""
@@ -71,7 +71,7 @@
     for message_type, kind in MARKS.items():
         places = [mark.at_s - start_s for mark in losses.marks if mark.message_type == message_type]
         if places:
-            shape = SHAPE_BY_MARK.get(message_type.partition(".")[2], "x")
+            shape = SHAPE_BY_TYPE_SUFFIX.get(message_type.partition(".")[2], "x")
             heights = [place_by_lane[kind.lane]] * len(places)
             axes.plot(places, heights, shape, label=message_type)
     axes.set_yticks(list(place_by_lane.values()), [lane.value for lane in place_by_lane])
--- a/src/bayhinge/_internal/queries/tracing.py
+++ b/src/bayhinge/_internal/queries/tracing.py
@@ -252,6 +252,6 @@
     why = f": {line.fields['why']}" if line.fields.get("why") else ""
     others = found.also_reported_by(line)
     also = f"; also reported by {', '.join(others)}" if others else ""
-    passed_s = end.at_s - line.at_s
-    when = f"{passed_s:.2f} s before" if passed_s >= 0 else f"{-passed_s:.2f} s after"
+    elapsed_s = end.at_s - line.at_s
+    when = f"{elapsed_s:.2f} s before" if elapsed_s >= 0 else f"{-elapsed_s:.2f} s after"
     return f"  <- {line.message_type} on {line.host} {when}{about}{why}{also}"
--- a/src/bayhinge/coordination/escrow.py
+++ b/src/bayhinge/coordination/escrow.py
@@ -86,7 +86,7 @@
 
 
 LedgerEdit = Callable[[Ledger, EscrowGrant], bool]
-"""Edits a ledger and this host's entry in it; returns False where nothing has changed."""
+"""Edits a ledger and this host's entry in it; returns False where no write is needed."""
 
 
 class Escrow:
--- a/src/bayhinge/coordination/journal.py
+++ b/src/bayhinge/coordination/journal.py
@@ -80,7 +80,7 @@
 
 
 class Journal:
-    """The writer: queues records, which one task writes with group commit.
+    """The writer's side of a journal: queues records, which one task writes with group commit.
 
     Attributes:
         on_fenced: called when another process is found to have sealed the journal.
--- a/src/bayhinge/coordination/lease.py
+++ b/src/bayhinge/coordination/lease.py
@@ -17,7 +17,7 @@
 from bayhinge.coordination.wire.ttypes import LeaseState
 
 TRUST_SHARE = 0.6
-"""Fraction of the duration for which the holder relies on its lease."""
+"""Fraction of the duration for which the holder relies on its lease; the rest is a margin."""
 
 
 class LeaseRole(StrEnum):
--- a/src/bayhinge/coordination/membership.py
+++ b/src/bayhinge/coordination/membership.py
@@ -71,8 +71,8 @@
     Attributes:
         heartbeat_s: the time between heartbeats.
         dead_after_s: a host is declared dead after this long without a heartbeat, measured
-            while the store answers; at least three times ``heartbeat_s``, since one heartbeat may
-            be lost and the next one late.
+            while the store answers. Use at least three times ``heartbeat_s``: one heartbeat may
+            be lost, and the next one late.
     """
 
     heartbeat_s: float = 1.5
@@ -86,7 +86,7 @@
         corrupt_by_key: heartbeat objects that can't be read.
         on_death: called with a host that was declared dead.
         on_gone: called with a host whose heartbeat object was removed.
-        on_removed: called when another host removed this host's heartbeat object.
+        on_removed: called when this host's heartbeat object was removed by another host.
         on_change: called when the set of live hosts has changed.
     """
 
@@ -102,7 +102,7 @@
         self._observed_by_incarnation: dict[str, _ObservedHost] = {}
         self._dead_by_incarnation: dict[str, HostInfo] = {}
         self._dead_version_by_incarnation: dict[str, int] = {}
-        self._last_poll: float | None = None
+        self._last_listed_at: float | None = None
         self.corrupt_by_key: dict[str, CorruptObjectError] = {}
         self.on_death: Callable[[HostInfo], None] = lambda info: None
         self.on_gone: Callable[[HostInfo], None] = lambda info: None
@@ -162,7 +162,7 @@
         except StoreError as error:
             logger.info("cannot update membership, retrying: %s", error)
             # Time during a store outage does not count as silence.
-            self._last_poll = None
+            self._last_listed_at = None
             return
         self._apply_listing(listing.objects)
 
@@ -207,10 +207,10 @@
 
     def _apply_listing(self, objects: tuple[StoredObject, ...]) -> None:
         now = asyncio.get_running_loop().time()
-        elapsed = 0.0 if self._last_poll is None else now - self._last_poll
+        elapsed = 0.0 if self._last_listed_at is None else now - self._last_listed_at
         # Time during which this process was paused is not silence of the others.
         elapsed = min(elapsed, 2 * self.heartbeat_s)
-        self._last_poll = now
+        self._last_listed_at = now
         before = [info.incarnation for info in self.alive()]
         found = {
             info.incarnation: (info, stored.version)
--- a/src/bayhinge/coordination/store_contact.py
+++ b/src/bayhinge/coordination/store_contact.py
@@ -79,8 +79,8 @@
     def note_watched(self, revision: int, has_news: bool) -> None:
         """Records a watch's answer; ``revision`` is store-wide, over all prefixes.
 
-        Other watches sent before this revision was known may still hang: they may be older
-        than an outage.
+        Other watches sent before this revision was known may hang, since they may predate an
+        outage.
         """
         self.revision = max(self.revision, revision)
         for listener in self.on_watched:
