--- a/src/bayhinge/_internal/cli/tool/accounts.py
+++ b/src/bayhinge/_internal/cli/tool/accounts.py
@@ -3,7 +3,7 @@
 import secrets
 from typing import Any
 
-from bayhinge._internal.cli.tool.configured import ConfiguredCommands, Wait, build_app
+from bayhinge._internal.cli.tool.config_commands import ConfigCommands, Wait, build_app
 from bayhinge._internal.cli.tool.connection import (
     Api,
     Connection,
@@ -33,14 +33,14 @@
     Args:
         name: the account's name.
         template: the template that its parameters come from.
-        wait: seconds to wait until every host has it.
+        wait: seconds to wait until every host has applied it.
         author: who makes the change.
         connection: which host to ask.
     """
     connection = connection or Connection()
     key = secrets.token_urlsafe(KEY_BYTES)
     text = f"[account]\ntemplate = {template}\nkey_sha256 = {hash_key(key)}\n"
-    commands = ConfiguredCommands(ConfigKind.ACCOUNT)
+    commands = ConfigCommands(ConfigKind.ACCOUNT)
     commands.propose(connection, name, text, 0, author, wait)
     if connection.json:
         print_json({"account": name, "key": key})
@@ -50,7 +50,7 @@
 
 @app.command
 def parameters(name: str, *, connection: Connection | None = None) -> None:
-    """Shows every parameter with the place its value comes from.
+    """Shows every parameter with the source of its value.
 
     Args:
         name: the account's name.
--- a/src/bayhinge/_internal/queries/html_report.py
+++ b/src/bayhinge/_internal/queries/html_report.py
@@ -1,6 +1,6 @@
-"""The time line of a run as one static page: a lane for each host and endpoint.
+"""Renders the timeline as one HTML page, with a lane for each host and endpoint.
 
-The page needs no server and loads nothing: it can be mailed and opened years later.
+The page is self-contained: it needs no server and loads no other resources.
 """
 
 import html
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class _Scale:
-    """Turns a stamp into a place from left to right."""
+    """Maps timestamps to horizontal positions."""
 
     first_ms: int
     last_ms: int
@@ -69,13 +69,13 @@
     def place(self, event: Event) -> float:
         return self.at(stamp_to_ms(event.stamp) - self.first_ms)
 
-    def at(self, passed_ms: float) -> float:
+    def at(self, elapsed_ms: float) -> float:
         width = max(1, self.last_ms - self.first_ms)
-        return LEFT_WIDTH + PLOT_WIDTH * passed_ms / width
+        return LEFT_WIDTH + PLOT_WIDTH * elapsed_ms / width
 
 
 def html_report(title: str, events: list[Event]) -> str:
-    """Returns the page."""
+    """Returns the page as HTML."""
     return "\n".join(_page(title, events))
 
 
@@ -84,11 +84,11 @@
     yield f"<title>{html.escape(title)}</title><style>{STYLE}</style></head><body>"
     yield f"<h1>{html.escape(title)}</h1>"
     if not events:
-        yield "<p>No host remembers an event.</p></body></html>"
+        yield "<p>No host has recorded an event.</p></body></html>"
         return
-    yield f"<p>{len(events)} events of {len(_hosts(events))} hosts, in the order of cause and "
-    yield "effect. Hold the pointer over a mark to read why. Marks in a host's lane are its own "
-    yield "decisions; those that concern an endpoint stand in the endpoint's lane too.</p>"
+    yield f"<p>{len(events)} events of {len(_hosts(events))} hosts, in causal order. "
+    yield "Hover over a mark to see the reason. Marks in a host's lane are its own "
+    yield "decisions; those about an endpoint are in the endpoint's lane too.</p>"
     yield "<p class='legend'>" + "".join(_legend(events)) + "</p>"
     yield from _chart(events)
     yield "<input id='filter' placeholder='show only events that mention...'>"
@@ -120,7 +120,7 @@
     scale = _Scale(min(times), max(times))
     height = TOP_HEIGHT + LANE_HEIGHT * len(lanes) + 10
     width = LEFT_WIDTH + PLOT_WIDTH + 20
-    yield f"<svg width='{width}' height='{height}' role='img' aria-label='time line'>"
+    yield f"<svg width='{width}' height='{height}' role='img' aria-label='timeline'>"
     yield from _ticks(scale, height)
     for lane, place in place_by_lane.items():
         yield f"<text class='name' x='10' y='{place + 4:.0f}'>{html.escape(lane)}</text>"
@@ -135,10 +135,10 @@
 def _ticks(scale: _Scale, height: float) -> Iterator[str]:
     span_ms = max(1, scale.last_ms - scale.first_ms)
     for number in range(TICKS + 1):
-        passed_ms = span_ms * number / TICKS
-        place = scale.at(passed_ms)
+        elapsed_ms = span_ms * number / TICKS
+        place = scale.at(elapsed_ms)
         yield f"<line class='lane' x1='{place:.0f}' x2='{place:.0f}' y1='22' y2='{height}'/>"
-        text = f"{passed_ms / 1000:.1f} s"
+        text = f"{elapsed_ms / 1000:.1f} s"
         yield f"<text class='tick' text-anchor='middle' x='{place:.0f}' y='16'>{text}</text>"
 
 
--- a/src/bayhinge/_internal/queries/losses/__init__.py
+++ b/src/bayhinge/_internal/queries/losses/__init__.py
@@ -1,9 +1,9 @@
-"""Where requests and programs lost their time, from the logs of many hosts alone."""
+"""Analyses from the logs of many hosts where requests and programs lost time."""
 
 from bayhinge._internal.queries.losses.models import Cause, Kind, Losses, Phase, ProgramLoss
 from bayhinge._internal.queries.losses.page import loss_chart, loss_page
 from bayhinge._internal.queries.losses.report import report
-from bayhinge._internal.queries.losses.summing import losses_of
+from bayhinge._internal.queries.losses.second_pass import losses_of
 
 __all__ = [
     "Cause",
