--- a/src/bayhinge/_internal/decisions/disk_fence.py
+++ b/src/bayhinge/_internal/decisions/disk_fence.py
@@ -1,19 +1,19 @@
-"""Which reservations a disk may take while the set of disks changes. Pure.
-
-Of two racing turns of a program at least one must see the other. Under one set any two of their
-quorums meet; a quorum of the set before a change and one of the set after it need not. So each
-version of the set fences the one before:
-
-* A reservation bears the version under which its quorum is counted, and a disk that knows a newer
-  one does not take it.
-* A disk that knows a version has *caught up* once it has read all but the spare members of the
-  version before, each of which knew the new one by then. What an old quorum took until then it
-  has read, and after that no old quorum comes about any more.
-* Where a program is new to a disk, the disk takes its reservations only when it has caught up.
-* A version is followed by the next one only when it has settled: all but the spare members have
-  caught up. Else what was taken two versions ago might be known to too few.
-
-What is lost beyond the tolerated must not stop a site for good: a disk that can't catch up takes
+"""Fencing of reservations during changes of the disk set. Pure.
+
+Of two concurrent turns of a program at least one must see the other. Any two quorums of one disk
+set intersect; a quorum of the old set and one of the new set need not. So each version of the set
+fences the previous one:
+
+* A reservation carries the version its quorum is counted under; a disk that knows a newer version
+  rejects it.
+* A disk has *caught up* with a version once it has read all but
+  :func:`unread_members_allowed` members of the previous version, each of which knew the new one by
+  then. It has then read whatever an old quorum accepted, and no further old quorum can form.
+* A disk to which a program is newly assigned accepts its reservations only once it has caught up.
+* A version may be replaced only when it has settled: enough members have caught up. Otherwise too
+  few members may know what was accepted two versions ago.
+
+For availability after a loss beyond the tolerated one, a disk that can't catch up accepts
 reservations again after :data:`CATCH_UP_LIMIT_S`.
 """
 
@@ -27,14 +27,12 @@
 from bayhinge._internal.decisions.disk_quorum import reservations_needed
 
 CATCH_UP_LIMIT_S = 0.6
-"""A disk that knows a version for so long counts as caught up: six readings of the others. Where a
-member of a set that has shrunk is gone for good nobody can catch up: with 3 s a played day of a
-retirement and a replacement behind it was served 0.80 of its requests, 0.985 with 0.6 s. What is
-given up: a host that has not heard of a change for so long, with members that have not either."""
+"""A disk counts as caught up this long after it learned of a version: six read periods. Trades away
+safety against a host and members that all missed the change for so long."""
 
 
 class Member(Protocol):
-    """What the fence needs to know of a disk."""
+    """What the fence needs of a disk."""
 
     @property
     def host(self) -> str:
@@ -48,7 +46,7 @@
 
     @property
     def generation(self) -> int:
-        """Drawn when the disk's folder was empty."""
+        """Random identifier, drawn when the disk's folder was empty."""
         ...
 
 
@@ -56,7 +54,7 @@
 
 
 class Verdict(Enum):
-    """What a disk says to a reservation."""
+    """A disk's response to a reservation."""
 
     TAKEN = "taken"
     HOST_IS_BEHIND = "host is behind"
@@ -64,11 +62,11 @@
     NOT_YET = "not yet"
 
 
-def spare_members(members: int, tolerated: int) -> int:
-    """Returns how many members a catching up may leave unread.
+def unread_members_allowed(members: int, tolerated: int) -> int:
+    """Returns how many members a disk may leave unread and still be caught up.
 
-    A program has ``2 * tolerated + 1`` of them at most; those that were read must meet every
-    quorum of it.
+    A program has at most ``2 * tolerated + 1`` replicas; the members that were read must intersect
+    each of its quorums.
     """
     placed = min(members, 2 * tolerated + 1)
     return max(0, placed - reservations_needed(placed, tolerated))
@@ -76,7 +74,7 @@
 
 @attrs.frozen
 class KnownSet:
-    """A version of the set as a disk knows it: its members, and those of the version before."""
+    """A version of the disk set: its members, and those of the previous version."""
 
     version: int
     members: Sequence[Member]
@@ -84,34 +82,34 @@
     tolerated: int
 
     def is_caught_up_by(self, own: Member, read_generations: Collection[int]) -> bool:
-        """Tells whether a disk that has read these others under this version has caught up."""
-        unread = [
+        """Whether a disk that has read these other disks under this version has caught up."""
+        missing = [
             member
             for member in self.previous
             if member.generation != own.generation and member.generation not in read_generations
         ]
-        return len(unread) <= spare_members(len(self.previous), self.tolerated)
+        return len(missing) <= unread_members_allowed(len(self.previous), self.tolerated)
 
     def has_settled(self, caught_up_generations: Collection[int]) -> bool:
-        """Tells whether the set may change: enough members have caught up with it."""
+        """Whether the set may change: enough members have caught up with it."""
         behind = [one for one in self.members if one.generation not in caught_up_generations]
-        return len(behind) <= spare_members(len(self.members), self.tolerated)
+        return len(behind) <= unread_members_allowed(len(self.members), self.tolerated)
 
     def verdict(
         self, own: Member, program: str, asked_version: int, has_caught_up: bool
     ) -> Verdict:
-        """Says whether a disk takes a reservation of a program under the asking host's version."""
+        """Returns the response to a program's reservation under the requesting host's version."""
         if asked_version < self.version:
             return Verdict.HOST_IS_BEHIND
         if asked_version > self.version:
             return Verdict.DISK_IS_BEHIND
-        if not _holds(self.members, own):
-            # A disk that lost its folder answers under its old address, and knows nothing.
+        if not _contains(self.members, own):
+            # A disk that lost its folder: it has the old address, but none of the data.
             return Verdict.NOT_YET
-        if has_caught_up or _holds(places_of(program, self.previous, self.tolerated), own):
+        if has_caught_up or _contains(places_of(program, self.previous, self.tolerated), own):
             return Verdict.TAKEN
         return Verdict.NOT_YET
 
 
-def _holds(members: Sequence[Member], own: Member) -> bool:
+def _contains(members: Sequence[Member], own: Member) -> bool:
     return any(member.generation == own.generation for member in members)
--- a/src/bayhinge/_internal/decisions/disk_placement.py
+++ b/src/bayhinge/_internal/decisions/disk_placement.py
@@ -1,7 +1,7 @@
-"""Which disks of the set keep a program's turns. Pure.
+"""Placement of a program's replicas on the disks of the set. Pure.
 
-On a large site a copy on every disk costs more bytes than it is worth. A program lives on
-``2 * tolerated + 1`` disks: enough that a majority is left after the tolerated loss.
+A program is stored on ``2 * tolerated + 1`` disks, so that a majority is left after the tolerated
+loss; a copy on every disk of a large site would cost too much.
 """
 
 from collections.abc import Sequence
@@ -10,8 +10,8 @@
 from bayhinge.coordination.rendezvous import rank
 
 
-class PlacedLike(Protocol):
-    """What placement needs to know of a disk."""
+class PlacedDisk(Protocol):
+    """What placement needs of a disk."""
 
     @property
     def host(self) -> str:
@@ -24,13 +24,13 @@
         ...
 
 
-Disk = TypeVar("Disk", bound=PlacedLike)
+Disk = TypeVar("Disk", bound=PlacedDisk)
 
 
 def places_of(program: str, members: Sequence[Disk], tolerated: int) -> list[Disk]:
-    """Returns a program's disks: spread over halls first, so that a near one is among them.
+    """Returns the disks that store a program, spread over the halls by rendezvous hashing.
 
-    When a member comes or goes, few programs move, and each by one disk.
+    When a member joins or leaves, few programs move, and each of them by one disk.
     """
     count = 2 * tolerated + 1
     if len(members) <= count:
@@ -46,10 +46,10 @@
     return [member_by_host[host] for _, _, host in sorted(ordered)[:count]]
 
 
-def missing_allowed(members: int, tolerated: int) -> int:
-    """Returns how many members may lack their share while every program is safe.
+def missing_members_allowed(members: int, tolerated: int) -> int:
+    """Returns how many members may lack data while every program is stored safely.
 
-    A program must stand on ``tolerated + 1`` of its disks.
+    A program must be on ``tolerated + 1`` of its disks.
     """
     placed = min(members, 2 * tolerated + 1)
     return max(0, placed - (tolerated + 1))
--- a/src/bayhinge/_internal/decisions/disk_quorum.py
+++ b/src/bayhinge/_internal/decisions/disk_quorum.py
@@ -1,22 +1,22 @@
-"""How many disks must answer, as pure rules.
+"""Quorum sizes of the disk set. Pure.
 
-A whole turn must outlive the loss of ``tolerated`` disks, so it needs one copy more. Two
-reservations of one program must meet at some disk, also when ``tolerated`` of the disks
-that took the first one are lost meanwhile.
+A whole turn must survive the loss of ``tolerated`` disks, so it needs one more copy. The quorums of
+two reservations of one program must intersect, even if ``tolerated`` disks of the first quorum are
+lost in between.
 """
 
 from collections.abc import Iterable, Mapping
 
 
 def copies_needed(tolerated: int) -> int:
-    """Returns the number of disks that must have synced a turn before its answer ends."""
+    """Returns the number of disks that must sync a turn before its answer ends."""
     return tolerated + 1
 
 
 def reservations_needed(members: int, tolerated: int) -> int:
-    """Returns the number of disks of the set that must take a reservation.
+    """Returns the number of disks that must accept a reservation.
 
-    In a set that has shrunk below ``2 * tolerated + 1`` a majority alone could be lost whole.
+    In a set smaller than ``2 * tolerated + 1``, a bare majority could be lost entirely.
     """
     return max(members - tolerated, members // 2 + 1, min(members, tolerated + 1))
 
@@ -24,10 +24,10 @@
 def committed_tokens(
     own: str, replies: Iterable[tuple[Mapping[str, int], Mapping[str, int]]]
 ) -> int:
-    """Sums a program's turns over the replies of several disks, without the turn ``own``.
+    """Sums the tokens of a program's turns over the replies of several disks, except ``own``.
 
-    Each reply holds open turns at their most and settled ones at what they used. A turn
-    that any disk knows as settled counts as settled.
+    Each reply holds the reserved tokens of open turns and the used tokens of settled ones. A turn
+    that is settled on any disk counts as settled.
     """
     open_by_attempt: dict[str, int] = {}
     settled_by_attempt: dict[str, int] = {}
--- a/src/bayhinge/_internal/decisions/disk_reach.py
+++ b/src/bayhinge/_internal/decisions/disk_reach.py
@@ -1,8 +1,8 @@
-"""Whether this host is cut off from the disks, by what its own calls met. Pure.
+"""Detects from its own calls whether this host is partitioned from the disks. Pure.
 
-Behind a cut, other hosts still pass a host's calls on, but each turn then takes two ways in
-place of one, and a relay that is cut off as well costs a try. Such a host does not stop
-serving; callers and relays are better off with others while there are any.
+A partitioned host still serves, as other hosts relay its calls to the disks. That costs an extra
+hop per call, and failed attempts at relays that are partitioned too, so callers and relays prefer
+other hosts.
 """
 
 import attrs
@@ -10,24 +10,24 @@
 
 @attrs.define
 class DiskReach:
-    """Counts the disks that failed since one answered straight.
+    """Counts the disks that failed to answer directly since the last direct answer.
 
     Attributes:
-        tolerated: disks that may be lost at once; more silent ones than that speak of a cut.
+        tolerated: disks that may be lost at once; more silent disks mean a partition.
     """
 
     tolerated: int
     _silent_since_answer: set[str] = attrs.field(factory=set)
 
     def note_answer(self) -> None:
-        """A disk answered without a relay."""
+        """Records that a disk answered without a relay."""
         self._silent_since_answer.clear()
 
     def note_silence(self, disk: str) -> None:
-        """A disk did not answer straight."""
+        """Records that a disk did not answer directly."""
         self._silent_since_answer.add(disk)
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether more disks are silent than may be lost, and none has answered meanwhile."""
+        """Whether more disks than ``tolerated`` were silent since the last direct answer."""
         return len(self._silent_since_answer) > self.tolerated
--- a/src/bayhinge/_internal/decisions/disk_set_rules.py
+++ b/src/bayhinge/_internal/decisions/disk_set_rules.py
@@ -1,8 +1,7 @@
-"""Who joins the set of disks that count, and who is dropped from it. Pure.
+"""Membership rules of the disk set: joining, retiring, and dropping silent members. Pure.
 
-A member that is lost still counts until it is dropped, and its place can't be taken by
-waiting: the set needs ``members - tolerated`` answers. Dropping is safe only while enough
-others answer, so that what the dropped disk took part in stands on them as well.
+A lost member counts towards the quorum of ``members - tolerated`` until it is dropped. Dropping is
+safe only while enough others answer, so that they hold whatever the dropped disk had accepted.
 """
 
 from collections.abc import Collection, Mapping, Sequence
@@ -11,12 +10,12 @@
 from bayhinge._internal.decisions.disk_quorum import copies_needed
 
 DROP_AFTER_S = 3.0
-"""A member that was silent for so long is dropped, if enough others are left. Cuts and
-freezes that last shorter leave the set alone; a dropped disk that returns joins anew."""
+"""Silence after which a member is dropped if enough others are left. Shorter partitions and pauses
+leave the set unchanged; a dropped disk that returns joins again."""
 
 
-class MemberLike(Protocol):
-    """What the rules need to know of a member."""
+class SetMember(Protocol):
+    """What the rules need of a member."""
 
     @property
     def host(self) -> str:
@@ -25,75 +24,72 @@
 
     @property
     def generation(self) -> int:
-        """Drawn when the disk's folder was empty."""
+        """Random identifier, drawn when the disk's folder was empty."""
         ...
 
 
-STAY_SHARE = 0.5
-"""Part of the time allowed for emptying a disk in which it stays for the others' sake: a lost disk
-is back in the set within one to three seconds, and eight to ten are allowed on the users' sites."""
+MEMBERSHIP_SHARE = 0.5
+"""Share of the time allowed for a retirement in which the disk may stay a member: a lost disk is
+back within three seconds, and eight to ten are allowed."""
 
 
-Member = TypeVar("Member", bound=MemberLike)
+Member = TypeVar("Member", bound=SetMember)
 
 
-def has_copied_enough(
-    members: Sequence[MemberLike], own_host: str, read_hosts: Collection[str], tolerated: int
+def has_read_enough(
+    members: Sequence[SetMember], own_host: str, read_hosts: Collection[str], tolerated: int
 ) -> bool:
-    """Tells whether a disk outside the set has read from enough members to join.
+    """Whether a disk outside the set has read enough members to join.
 
-    Every entry that enough members took must have been met: all members but ``tolerated``
-    must have been read. A member under the own host's name is an earlier disk that is
-    lost, and counts as one of those not read.
+    It must have seen every entry that a quorum accepted, so all but ``tolerated`` members must have
+    been read. A member with the own host's name is a lost earlier disk, and counts as not read.
     """
     missed = sum(1 for member in members if member.host not in read_hosts)
     others = [member for member in members if member.host != own_host]
     return bool(others) and missed <= tolerated
 
 
-def with_newcomer(members: Sequence[Member], newcomer: Member) -> list[Member] | None:
-    """Returns the set with a newcomer in it, or None where it is in already.
+def with_member_added(members: Sequence[Member], new_member: Member) -> list[Member] | None:
+    """Returns the set with a new member, or None if it is a member already.
 
-    An earlier disk under the same host's name goes: its folder is empty now.
+    It replaces an earlier disk with the same host name, whose data is lost.
     """
-    if any(member.generation == newcomer.generation for member in members):
+    if any(member.generation == new_member.generation for member in members):
         return None
-    return [member for member in members if member.host != newcomer.host] + [newcomer]
+    return [member for member in members if member.host != new_member.host] + [new_member]
 
 
 def without_retired(
     members: Sequence[Member], host: str, tolerated: int, may_wait: bool = False
 ) -> list[Member] | None:
-    """Returns the set without a disk that is to be emptied, or None where it has to stay.
+    """Returns the set without a retiring disk, or None where the disk has to stay.
 
-    It stays while fewer would be left than a turn must stand on: with one disk where two are
-    needed every turn would run and none could end. Leaving late is paid for; that is not.
-
-    While it ``may_wait`` it stays as well where the others could not bear the loss of one: a disk
-    that was lost meanwhile comes back, or a new one comes.
+    It stays while fewer disks would be left than a turn needs copies: turns could then start but
+    not complete. While it ``may_wait`` for another disk to join or return, it also stays where the
+    others could not bear the loss of ``tolerated`` disks.
     """
     others = [member for member in members if member.host != host]
-    least = 2 * tolerated + 1 if may_wait else copies_needed(tolerated)
-    if len(others) == len(members) or len(others) < least:
+    minimum = 2 * tolerated + 1 if may_wait else copies_needed(tolerated)
+    if len(others) == len(members) or len(others) < minimum:
         return None
     return others
 
 
-def stay_s(allowed_s: float) -> float:
-    """Returns how long a disk that is to be emptied may wait for others, in seconds.
+def membership_s(allowed_s: float) -> float:
+    """Returns how long a retiring disk may stay a member to wait for others, in seconds.
 
-    The rest of the time is for leaving and for a last copy, with a store that may be away.
+    The rest is for leaving the set and a last copy, even if the store is temporarily unavailable.
     """
-    return STAY_SHARE * max(0.0, allowed_s)
+    return MEMBERSHIP_SHARE * max(0.0, allowed_s)
 
 
 def without_silent(
     members: Sequence[Member], silent_s_by_host: Mapping[str, float], tolerated: int
 ) -> list[Member] | None:
-    """Returns the set without members that were silent for too long, or None.
+    """Returns the set without members that were silent for too long, or None if unchanged.
 
-    No more than ``tolerated`` may be silent at all: a host that hears nobody is cut off
-    itself. And enough members must be left to bear the next loss.
+    No more than ``tolerated`` members may be silent, as otherwise this host may be the partitioned
+    one, and enough members must be left to bear the next loss.
     """
     silent = [member for member in members if member.host in silent_s_by_host]
     lost = [member for member in silent if silent_s_by_host[member.host] >= DROP_AFTER_S]
--- a/src/bayhinge/_internal/decisions/endpoint_book.py
+++ b/src/bayhinge/_internal/decisions/endpoint_book.py
@@ -1,4 +1,4 @@
-"""What one host believes of endpoints, and which of them a request goes to. Pure."""
+"""One host's view of the endpoints, and the choice of one for a request. Pure."""
 
 from collections.abc import Iterable, Mapping
 from enum import StrEnum
@@ -11,21 +11,21 @@
 from bayhinge.coordination.rendezvous import rank
 
 FIRST_EJECTION_S = 1.0
-"""Seconds without new work after a failure; doubled with each further one."""
+"""Ejection time after the first failure; doubled with each further one."""
 
-LONGEST_EJECTION_S = 8.0
+MAX_EJECTION_S = 8.0
 
 FAILURE_DECAY = 0.8
-"""What a success leaves of the failures before it. An endpoint that fails a part of its requests
-while the others succeed rests longer each time; one that failed once is trusted again soon."""
+"""Factor by which a success reduces the failure count. An endpoint that fails part of its requests
+is ejected for longer each time; one that failed once recovers soon."""
 
-TRUSTED_FAILURES = 2.0
-"""A success ends the rest of an endpoint that has had no more failures of late: one in twenty
-answers lost stays below it, two in five failed requests soon pass it."""
+MAX_TRUSTED_FAILURES = 2.0
+"""Failure count up to which a success ends the ejection: an endpoint that loses 1 answer in 20
+stays below it, one that fails 2 requests in 5 exceeds it."""
 
 
 class EntryNews(StrEnum):
-    """What an entry has said."""
+    """What an entry has changed."""
 
     NOTHING = "nothing"
     FOUND = "found"
@@ -36,14 +36,14 @@
 
 @attrs.define(eq=False)
 class EndpointBelief:
-    """One start of an endpoint: its entry, the work it has, and how it did lately.
+    """State of one incarnation of an endpoint: its entry, load and recent failures.
 
-    A later start has a belief of its own, and so nothing of this one is held for or against it.
+    A later incarnation starts with a fresh state.
 
     Attributes:
-        failures: those of late, each success takes a part of them away.
-        complaints: other hosts at which it failed a moment ago, as far as they were heard.
-        is_doubtful: its entry has vanished, for a reason that is not known yet.
+        failures: recent failures; each success reduces the count.
+        complaints: number of other hosts that reported a recent failure.
+        is_doubtful: it is suspected, as its entry has vanished for a reason not known yet.
         is_displaced: another endpoint has started at its address since.
     """
 
@@ -58,36 +58,36 @@
 
     @property
     def load(self) -> float:
-        """Requests under way, as a share of the slots."""
+        """Requests in flight, as a share of the slots."""
         return (self.running_here + self.running_at_peers) / max(1, self.entry.slots)
 
     @property
-    def burden(self) -> float:
-        """The load, and what speaks against the endpoint in the same measure."""
-        return self.load + weights.complaint(self.entry.slots) * self.complaints
+    def effective_load(self) -> float:
+        """The load plus a penalty for failure reports, in the same unit."""
+        return self.load + weights.failure_report(self.entry.slots) * self.complaints
 
     def note_success(self) -> None:
-        """It gave a whole answer."""
+        """Records a complete answer."""
         self.failures *= FAILURE_DECAY
-        if self.failures <= TRUSTED_FAILURES:
+        if self.failures <= MAX_TRUSTED_FAILURES:
             self.ejected_until_s = 0.0
 
     def note_failure(self, now_s: float) -> None:
-        """It could not be reached, or broke off."""
-        rest_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**self.failures)
+        """Records that the endpoint was unreachable or broke off; ejects it for a while."""
+        ejection_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**self.failures)
         self.failures += 1
-        self.ejected_until_s = now_s + rest_s
+        self.ejected_until_s = now_s + ejection_s
 
 
 @attrs.frozen
 class Wish:
-    """What a request would like: the endpoint that holds its history, or shared parts.
+    """A request's preference for endpoints with its history or its shared part in cache.
 
     Attributes:
-        start: the start of an endpoint whose memory holds the history.
-        kept_tokens: those of the prompt that it has read.
-        shared_tokens: those of ``shared_part``.
-        connected: endpoints to which the asking host has a connection that is free.
+        start: the endpoint incarnation whose cache holds the history.
+        kept_tokens: prompt tokens in that cache.
+        shared_tokens: tokens of ``shared_part``.
+        connected: endpoints to which the requesting host has an idle connection.
     """
 
     start: EndpointStart = EndpointStart()
@@ -98,186 +98,183 @@
 
 
 class EndpointBook:
-    """The newest start that is known of every endpoint."""
+    """The state of the newest known incarnation of every endpoint."""
 
     def __init__(self, hall: str) -> None:
-        """Takes the hall of this host."""
         self._hall = hall
-        self._belief_by_instance: dict[str, EndpointBelief] = {}
-        self._gone_by_instance: dict[str, EndpointEntry] = {}
+        self._state_by_instance: dict[str, EndpointBelief] = {}
+        self._removed_by_instance: dict[str, EndpointEntry] = {}
         self.start_revisions = StartRevisions()
 
     def all(self) -> list[EndpointBelief]:
-        """Returns every belief."""
-        return list(self._belief_by_instance.values())
+        """Returns the states of all endpoints."""
+        return list(self._state_by_instance.values())
 
     def find(self, instance: str) -> EndpointBelief | None:
-        """Returns what is believed of one endpoint."""
-        return self._belief_by_instance.get(instance)
+        """Returns the state of an endpoint, or None where it is unknown."""
+        return self._state_by_instance.get(instance)
 
     def find_start(self, start: EndpointStart) -> EndpointBelief | None:
-        """Returns what is believed of a start, or None where it is over or not known."""
-        belief = self._belief_by_instance.get(start.endpoint)
-        return belief if belief is not None and start.may_be(belief.entry.start) else None
+        """Returns the state of an incarnation, or None where it has ended or is unknown."""
+        state = self._state_by_instance.get(start.endpoint)
+        return state if state is not None and start.may_be(state.entry.start) else None
 
-    def is_current(self, belief: EndpointBelief) -> bool:
-        """Whether a belief is of the endpoint's newest start that is known."""
-        return self._belief_by_instance.get(belief.entry.instance) is belief
+    def is_current(self, state: EndpointBelief) -> bool:
+        """Whether a state is of the newest known incarnation of its endpoint."""
+        return self._state_by_instance.get(state.entry.instance) is state
 
     def last_entry(self, instance: str) -> EndpointEntry | None:
-        """Returns the newest entry of an endpoint, also of one that is gone since a moment."""
-        belief = self._belief_by_instance.get(instance)
-        return self._gone_by_instance.get(instance) if belief is None else belief.entry
+        """Returns the newest entry of an endpoint, also of a recently removed one."""
+        state = self._state_by_instance.get(instance)
+        return self._removed_by_instance.get(instance) if state is None else state.entry
 
     def forget_gone(self, start: EndpointStart) -> None:
-        """Forgets that an endpoint is gone: no entry of a former start can be late by so much."""
-        entry = self._gone_by_instance.get(start.endpoint)
+        """Forgets a removed endpoint, once no delayed entry of it can arrive any more."""
+        entry = self._removed_by_instance.get(start.endpoint)
         if entry is not None and entry.start == start:
-            del self._gone_by_instance[start.endpoint]
+            del self._removed_by_instance[start.endpoint]
 
     def put(self, entry: EndpointEntry) -> EntryNews:
-        """Takes an entry in, unless it is of a start before the one that is known."""
+        """Applies an entry, unless it is of an incarnation before the known one."""
         instance = entry.instance
-        belief = self._belief_by_instance.get(instance)
+        state = self._state_by_instance.get(instance)
         known = self.last_entry(instance)
         if known is not None and known.start.is_after(entry.start):
             return EntryNews.OUTDATED
         is_later = known is not None and entry.start.is_after(known.start)
-        if belief is None or is_later:
-            self._gone_by_instance.pop(instance, None)
-            self._belief_by_instance[instance] = EndpointBelief(entry)
-            self._judge_address(entry.address)
+        if state is None or is_later:
+            self._removed_by_instance.pop(instance, None)
+            self._state_by_instance[instance] = EndpointBelief(entry)
+            self._update_replaced(entry.address)
             if known is not None:
-                self._judge_address(known.address)
+                self._update_replaced(known.address)
             return EntryNews.STARTED_AGAIN if is_later else EntryNews.FOUND
         if entry.born_ms is None:
-            # An entry that does not say it is of the start that is known.
-            entry = attrs.evolve(entry, born_ms=belief.entry.born_ms)
-        is_news = belief.entry != entry or belief.is_doubtful
-        left_address, belief.entry = belief.entry.address, entry
-        belief.is_doubtful = False
-        if is_news:
-            self._judge_address(entry.address)
-            self._judge_address(left_address)
-        return EntryNews.CHANGED if is_news else EntryNews.NOTHING
+            # An entry without a start time is of the known incarnation.
+            entry = attrs.evolve(entry, born_ms=state.entry.born_ms)
+        is_changed = state.entry != entry or state.is_doubtful
+        old_address, state.entry = state.entry.address, entry
+        state.is_doubtful = False
+        if is_changed:
+            self._update_replaced(entry.address)
+            self._update_replaced(old_address)
+        return EntryNews.CHANGED if is_changed else EntryNews.NOTHING
 
     def withdraw(self, instance: str) -> bool:
-        """Gives an endpoint nothing new until its next entry; returns whether that is news."""
-        belief = self._belief_by_instance.get(instance)
-        if belief is None or belief.entry.is_leaving:
+        """Marks an endpoint as leaving until its next entry; returns whether it was not before."""
+        state = self._state_by_instance.get(instance)
+        if state is None or state.entry.is_leaving:
             return False
-        belief.entry = attrs.evolve(belief.entry, is_leaving=True)
+        state.entry = attrs.evolve(state.entry, is_leaving=True)
         return True
 
     def remove(self, instance: str) -> bool:
-        """Forgets an endpoint; returns whether it was known."""
-        belief = self._belief_by_instance.pop(instance, None)
-        if belief is None:
+        """Removes an endpoint; returns whether it was known."""
+        state = self._state_by_instance.pop(instance, None)
+        if state is None:
             return False
         self.start_revisions.forget(instance)
-        if belief.entry.born_ms is not None:
-            self._gone_by_instance[instance] = belief.entry
-        self._judge_address(belief.entry.address)
+        if state.entry.born_ms is not None:
+            self._removed_by_instance[instance] = state.entry
+        self._update_replaced(state.entry.address)
         return True
 
     def displaced_at(self, address: str) -> list[EndpointBelief]:
-        """Returns the endpoints whose address is another's now."""
+        """Returns the endpoints at an address that another endpoint uses now."""
         return [
-            belief
-            for belief in self._belief_by_instance.values()
-            if belief.is_displaced and belief.entry.address == address
+            state
+            for state in self._state_by_instance.values()
+            if state.is_displaced and state.entry.address == address
         ]
 
-    def _judge_address(self, address: str) -> None:
-        """Finds which endpoints at an address are displaced by others that started there since."""
+    def _update_replaced(self, address: str) -> None:
+        """Marks the endpoints at an address that were replaced by one started there later."""
         there = [
-            belief
-            for belief in self._belief_by_instance.values()
-            if belief.entry.address == address
+            state for state in self._state_by_instance.values() if state.entry.address == address
         ]
-        for belief in there:
-            belief.is_displaced = any(other.entry.took_address_of(belief.entry) for other in there)
+        for state in there:
+            state.is_displaced = any(other.entry.took_address_of(state.entry) for other in there)
 
     def hear_loads(self, running_by_instance: Mapping[str, int]) -> None:
-        """Takes the sum of what the other hosts have under way."""
-        for instance, belief in self._belief_by_instance.items():
-            belief.running_at_peers = running_by_instance.get(instance, 0)
+        """Applies the sums of the other hosts' requests in flight."""
+        for instance, state in self._state_by_instance.items():
+            state.running_at_peers = running_by_instance.get(instance, 0)
 
     def running_here(self) -> dict[str, int]:
-        """Returns this host's requests under way, by endpoint."""
+        """Returns this host's requests in flight by endpoint."""
         return {
-            instance: belief.running_here
-            for instance, belief in self._belief_by_instance.items()
-            if belief.running_here
+            instance: state.running_here
+            for instance, state in self._state_by_instance.items()
+            if state.running_here
         }
 
     def resting(self, now_s: float) -> set[str]:
-        """Returns the endpoints that failed here a moment ago."""
+        """Returns the endpoints that this host has ejected."""
         return {
             instance
-            for instance, belief in self._belief_by_instance.items()
-            if belief.ejected_until_s > now_s
+            for instance, state in self._state_by_instance.items()
+            if state.ejected_until_s > now_s
         }
 
     def choose(
-        self, service: str, wish: Wish, tried: Iterable[str], now_s: float
+        self, service: str, preference: Wish, tried: Iterable[str], now_s: float
     ) -> EndpointBelief | None:
-        """Returns the best endpoint of a service that was not tried yet, or None."""
-        passed_over = set(tried)
+        """Returns the best endpoint of a service that is not in ``tried``, or None."""
+        excluded = set(tried)
         candidates = [
-            belief
-            for belief in self._belief_by_instance.values()
-            if belief.entry.service == service
-            and not belief.entry.is_leaving
-            and belief.entry.instance not in passed_over
+            state
+            for state in self._state_by_instance.values()
+            if state.entry.service == service
+            and not state.entry.is_leaving
+            and state.entry.instance not in excluded
         ]
-        sure = [
-            belief for belief in candidates if not (belief.is_doubtful or belief.is_displaced)
+        unsuspected = [
+            state for state in candidates if not (state.is_doubtful or state.is_displaced)
         ] or candidates
-        well = [belief for belief in sure if belief.ejected_until_s <= now_s]
-        trusted = [belief for belief in well if belief.complaints < weights.COMPLAINTS_BELIEVED]
-        if any(belief.load < weights.ROOM for belief in trusted):
-            well = trusted
-        # Where all have failed lately, trying one is better than refusing.
-        return self._best(well or sure, wish)
-
-    def _best(self, candidates: list[EndpointBelief], wish: Wish) -> EndpointBelief | None:
+        healthy = [state for state in unsuspected if state.ejected_until_s <= now_s]
+        trusted = [state for state in healthy if state.complaints < weights.MIN_FAILURE_REPORTS]
+        if any(state.load < weights.ROOM_LOAD for state in trusted):
+            healthy = trusted
+        # Where all are ejected, trying one is better than refusing the request.
+        return self._best(healthy or unsuspected, preference)
+
+    def _best(self, candidates: list[EndpointBelief], preference: Wish) -> EndpointBelief | None:
         if not candidates:
             return None
-        # Of endpoints that are equal, one that is connected saves a new connection.
+        # Among equal endpoints, prefers one with an idle connection.
         least = min(
             candidates,
-            key=lambda belief: (
-                self._cost(belief),
-                belief.entry.instance not in wish.connected,
-                belief.entry.instance,
+            key=lambda state: (
+                self._cost(state),
+                state.entry.instance not in preference.connected,
+                state.entry.instance,
             ),
         )
-        holder = self.find_start(wish.start)
-        for belief in candidates:
-            if belief is holder:
-                slack = weights.own_cache(belief.entry.slots, wish.kept_tokens)
-                if belief.burden <= least.burden + slack:
-                    return belief
-        if wish.shared_part:
-            for belief in self._by_shared_part(candidates, wish.shared_part):
-                slack = weights.shared_part(belief.entry.slots, wish.shared_tokens)
-                if belief.burden <= least.burden + slack:
-                    return belief
+        holder = self.find_start(preference.start)
+        for state in candidates:
+            if state is holder:
+                slack = weights.own_cache(state.entry.slots, preference.kept_tokens)
+                if state.effective_load <= least.effective_load + slack:
+                    return state
+        if preference.shared_part:
+            for state in self._by_shared_part(candidates, preference.shared_part):
+                slack = weights.shared_part(state.entry.slots, preference.shared_tokens)
+                if state.effective_load <= least.effective_load + slack:
+                    return state
         return least
 
     def _by_shared_part(
         self, candidates: list[EndpointBelief], shared_part: str
     ) -> list[EndpointBelief]:
-        """Returns the endpoints in the order in which requests with a shared part gather.
+        """Returns the endpoints in the order of preference for requests with a shared part.
 
-        Each hall gathers them on its own endpoints, where it has any.
+        Each hall concentrates these requests on its own endpoints, where it has any.
         """
-        near = [belief for belief in candidates if belief.entry.hall == self._hall]
-        names = [belief.entry.instance for belief in near or candidates]
-        return [self._belief_by_instance[name] for name in rank(shared_part, names)]
-
-    def _cost(self, belief: EndpointBelief) -> float:
-        is_near = belief.entry.hall == self._hall
-        away = 0.0 if is_near else weights.other_hall(belief.entry.slots)
-        return belief.burden + away
+        near = [state for state in candidates if state.entry.hall == self._hall]
+        names = [state.entry.instance for state in near or candidates]
+        return [self._state_by_instance[name] for name in rank(shared_part, names)]
+
+    def _cost(self, state: EndpointBelief) -> float:
+        is_near = state.entry.hall == self._hall
+        away = 0.0 if is_near else weights.other_hall(state.entry.slots)
+        return state.effective_load + away
--- a/src/bayhinge/_internal/decisions/endpoint_starts.py
+++ b/src/bayhinge/_internal/decisions/endpoint_starts.py
@@ -1,23 +1,23 @@
-"""Which runs and connections belong to a start of an endpoint that is over. Pure.
+"""Tells which runs and connections belong to an ended incarnation of an endpoint. Pure.
 
-The moment of a start is the endpoint's own time of day, and that of machines differs a little. A
-run that is taken for one of a former start ends, so where the clocks leave it open it goes on: the
-bounds of silence end it if it is dead.
+An endpoint reports its start by its own wall clock, which may differ from this host's. Runs of an
+ended incarnation are aborted, so where the clocks leave it open a run goes on; if it is dead, the
+silence timeouts end it.
 """
 
 import attrs
 
 CLOCK_SKEW_S = 0.5
-"""Seconds by which times of day of two machines may differ. Clocks that are kept by NTP differ by
-milliseconds; with more than this, runs of a former start are left to the bounds of silence."""
+"""Tolerated difference between the wall clocks of two machines; NTP keeps it at milliseconds. With
+a larger one, runs of a former incarnation end by the silence timeouts."""
 
 
 @attrs.frozen
 class Contact:
-    """What a connection to an endpoint has seen, on this host's steady clock in seconds.
+    """Times of a connection to an endpoint, in seconds of this host's monotonic clock.
 
     Attributes:
-        heard_s: when anything came, or the time of ``opened_s`` where nothing did.
+        heard_s: when data was last received; ``opened_s`` where none was.
     """
 
     address: str
@@ -27,10 +27,10 @@
 
 @attrs.frozen
 class NewStart:
-    """A start that followed another one.
+    """A new incarnation at an address.
 
     Attributes:
-        began_s: its moment on this host's steady clock, or None where that can't be told.
+        began_s: its start on this host's monotonic clock, or None where that is unknown.
     """
 
     address: str
@@ -38,10 +38,9 @@
 
 
 def began_s(born_ms: int | None, wall_ms: int, now_s: float) -> float | None:
-    """Returns the moment of a start on the steady clock that shows ``now_s``.
+    """Converts a start time to the monotonic clock that shows ``now_s``.
 
-    None where the start is unknown, or lies ahead: then one of the two clocks is wrong, and
-    nothing can be told from them.
+    Returns None where it is unknown, or in the future: then one of the two clocks is wrong.
     """
     if born_ms is None:
         return None
@@ -50,19 +49,19 @@
 
 
 def is_over(contact: Contact, start: NewStart) -> bool:
-    """Whether a connection surely leads to a start before this one."""
+    """Whether a connection certainly leads to an earlier incarnation."""
     if contact.address != start.address:
         return True
     if start.began_s is None:
         return False
     if contact.heard_s > start.began_s + CLOCK_SKEW_S:
-        # Heard since, so it leads to the new start: the clocks differ by more than is usual.
+        # Received data since, so it leads to the new incarnation despite a larger clock skew.
         return False
     return contact.opened_s < start.began_s - CLOCK_SKEW_S
 
 
 def is_surely_of(contact: Contact, start: NewStart) -> bool:
-    """Whether a connection surely leads to this start."""
+    """Whether a connection certainly leads to this incarnation."""
     return (
         contact.address == start.address
         and start.began_s is not None
--- a/src/bayhinge/_internal/decisions/endpoint_view.py
+++ b/src/bayhinge/_internal/decisions/endpoint_view.py
@@ -1,4 +1,4 @@
-"""What a cell knows of one endpoint: running calls, resident programs, health."""
+"""A cell's view of one endpoint: running calls, resident programs, health."""
 
 from collections import OrderedDict
 from enum import StrEnum
@@ -9,11 +9,11 @@
 
 EJECT_AFTER_FAILURES = 3
 FIRST_EJECTION_S = 2.0
-LONGEST_EJECTION_S = 60.0
+MAX_EJECTION_S = 60.0
 
 
 class Standing(StrEnum):
-    """Whether an endpoint gets new work."""
+    """Whether an endpoint accepts new work."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -31,8 +31,8 @@
 
 
 @attrs.define
-class Resident:
-    """A program whose prefix the endpoint is believed to hold."""
+class ResidentProgram:
+    """A program whose prefix the endpoint is assumed to have in cache."""
 
     tokens: int
     last_used: float
@@ -41,17 +41,16 @@
 
 @attrs.define
 class EndpointView:
-    """One endpoint as the cell sees it, from its own sends first.
+    """A cell's model of one endpoint, mainly derived from the calls it sent there.
 
-    A resident program is *active* while a call of it runs, *recent* for some time
-    after that, and then *idle*: the engine still holds it, and may drop it for others.
-    Each of the three is kept in least recently used order, as the engine's own eviction
-    goes, so that all sums are at hand without a scan.
+    A resident program is *active* while a call of it runs, *recent* for some time after that, and
+    then *idle*: still cached, but the first to be evicted. Recent and idle programs are kept in
+    least recently used order, like the engine's own eviction, with running token sums.
 
     Attributes:
-        exact_limit: how many calls may run at once, steered in fractions.
+        exact_limit: the concurrency limit before rounding down.
         capacity_tokens: the engine's memory for prefixes and running calls.
-        prefill_until: when the prompts that were sent will have been read.
+        prefill_until: when the prefill of the sent prompts is expected to end.
     """
 
     name: str
@@ -61,9 +60,9 @@
     capacity_tokens: int
     standing: Standing = Standing.LIVE
     running_by_grant: dict[str, RunningCall] = attrs.field(factory=dict)
-    active_by_program: dict[str, Resident] = attrs.field(factory=dict)
-    recent_by_program: OrderedDict[str, Resident] = attrs.field(factory=OrderedDict)
-    idle_by_program: OrderedDict[str, Resident] = attrs.field(factory=OrderedDict)
+    active_by_program: dict[str, ResidentProgram] = attrs.field(factory=dict)
+    recent_by_program: OrderedDict[str, ResidentProgram] = attrs.field(factory=OrderedDict)
+    idle_by_program: OrderedDict[str, ResidentProgram] = attrs.field(factory=OrderedDict)
     shared_tokens_by_prefix: dict[str, int] = attrs.field(factory=dict)
     active_tokens: int = 0
     recent_tokens: int = 0
@@ -75,29 +74,29 @@
 
     @property
     def limit(self) -> int:
-        """How many calls may run at once."""
+        """The concurrency limit."""
         return int(self.exact_limit)
 
     @property
     def has_slot(self) -> bool:
-        """True where another call may start now."""
+        """Whether another call may start now."""
         if self.standing is Standing.PROBING:
             return not self.running_by_grant
         return self.standing is Standing.LIVE and len(self.running_by_grant) < self.limit
 
     @property
     def resident_tokens(self) -> int:
-        """Tokens that the engine is believed to hold."""
+        """Tokens that the engine is assumed to have in cache."""
         return self.active_tokens + self.recent_tokens + self.idle_tokens
 
     @property
     def resident_programs(self) -> int:
-        """Programs that the engine is believed to hold."""
+        """Number of programs that the engine is assumed to have in cache."""
         held = (self.active_by_program, self.recent_by_program, self.idle_by_program)
         return sum(len(programs) for programs in held)
 
-    def resident(self, program: str) -> Resident | None:
-        """Returns what the endpoint holds of a program, or None."""
+    def resident(self, program: str) -> ResidentProgram | None:
+        """Returns a program's cache state at the endpoint, or None."""
         return (
             self.active_by_program.get(program)
             or self.recent_by_program.get(program)
@@ -105,14 +104,14 @@
         )
 
     def cached_tokens(self, offer: Offer) -> int:
-        """Returns the tokens of an offer's prompt that are believed to be cached."""
+        """Returns the tokens of an offer's prompt that are assumed to be cached."""
         resident = self.resident(offer.program)
         own = 0 if resident is None else resident.tokens
         shared = self.shared_tokens_by_prefix.get(offer.shared_prefix, 0)
         return min(offer.prompt_tokens, max(own, shared))
 
-    def age(self, horizon: float) -> None:
-        """Counts programs as idle that were last used before ``horizon``."""
+    def demote_idle(self, horizon: float) -> None:
+        """Moves recent programs that were last used before ``horizon`` to the idle ones."""
         while self.recent_by_program:
             program, resident = next(iter(self.recent_by_program.items()))
             if resident.last_used >= horizon:
@@ -123,7 +122,7 @@
             self.idle_tokens += resident.tokens
 
     def start(self, offer: Offer, now: float, prefill_s: float) -> None:
-        """Books a granted call."""
+        """Records the start of a granted call."""
         cached = self.cached_tokens(offer)
         self.running_by_grant[offer.grant] = RunningCall(offer, now, cached)
         self.prefill_until = max(self.prefill_until, now) + prefill_s
@@ -135,7 +134,7 @@
         self._forget_evicted()
 
     def finish(self, grant: str, tokens: int, now: float) -> RunningCall | None:
-        """Ends a granted call; ``tokens`` is the program's prefix now, 0 if unknown."""
+        """Records the end of a call; ``tokens`` is the program's new prefix, 0 if unknown."""
         call = self.running_by_grant.pop(grant, None)
         if call is None:
             return None
@@ -156,37 +155,37 @@
         return call
 
     def drop(self, program: str) -> bool:
-        """Forgets a program that is gone; returns whether it was resident and not running."""
+        """Forgets an ended program; returns whether it was resident and not running."""
         if (resident := self.recent_by_program.pop(program, None)) is not None:
             self.recent_tokens -= resident.tokens
         elif (resident := self.idle_by_program.pop(program, None)) is not None:
             self.idle_tokens -= resident.tokens
         return resident is not None
 
-    def forget_all(self) -> None:
-        """Forgets what was cached, as after the endpoint's restart."""
+    def forget_cached(self) -> None:
+        """Forgets all cached prefixes, as after a restart of the endpoint."""
         self.active_by_program.clear()
         self.recent_by_program.clear()
         self.idle_by_program.clear()
         self.shared_tokens_by_prefix.clear()
         self.active_tokens = self.recent_tokens = self.idle_tokens = 0
 
-    def _activate(self, program: str, now: float) -> Resident:
+    def _activate(self, program: str, now: float) -> ResidentProgram:
         resident = self.active_by_program.get(program)
         if resident is not None:
             return resident
-        resident = self.resident(program) or Resident(0, now)
+        resident = self.resident(program) or ResidentProgram(0, now)
         self.drop(program)
         self.active_by_program[program] = resident
         self.active_tokens += resident.tokens
         return resident
 
-    def _resize(self, resident: Resident, tokens: int) -> None:
+    def _resize(self, resident: ResidentProgram, tokens: int) -> None:
         self.active_tokens += tokens - resident.tokens
         resident.tokens = tokens
 
     def _forget_evicted(self) -> None:
-        """Follows the engine's eviction: the least recently used program goes first."""
+        """Mirrors the engine's eviction: the least recently used program goes first."""
         while self.resident_tokens > self.capacity_tokens:
             if self.idle_by_program:
                 _, resident = self.idle_by_program.popitem(last=False)
--- a/src/bayhinge/_internal/decisions/estimates.py
+++ b/src/bayhinge/_internal/decisions/estimates.py
@@ -1,4 +1,4 @@
-"""Learned estimates: how fast endpoints are, and how long calls and pauses take."""
+"""Online estimates of endpoint speed and of the durations of calls and pauses."""
 
 import math
 
@@ -8,64 +8,63 @@
 """Weight of one new sample; some twenty samples make an estimate."""
 HOLD_PERIOD_S = 5.0
 HOLD_STEP = 1.15
-SHORTEST_HOLD = 0.25
-LONGEST_HOLD = 8.0
-"""In usual pauses."""
-GUESSED_BATCH = 16.0
-"""Batch at which the settings' first guess of the token time is taken to hold."""
+MIN_HOLD_PAUSES = 0.25
+MAX_HOLD_PAUSES = 8.0
+"""Bounds of the hold time, as multiples of the average pause."""
+INITIAL_BATCH = 16.0
+"""Batch size at which the token time from the settings is assumed to hold."""
 
 
 @attrs.define
 class Average:
-    """An exponentially weighted average that starts from a first guess."""
+    """An exponentially weighted moving average with an initial value."""
 
     value: float
     smoothing: float = SMOOTHING
 
     def add(self, sample: float) -> None:
-        """Takes a sample in."""
+        """Adds a sample."""
         self.value += self.smoothing * (sample - self.value)
 
 
 @attrs.define
 class Deviation:
-    """An average with its mean absolute deviation, as TCP keeps of round trips."""
+    """A moving average with its mean absolute deviation, like TCP's round-trip estimate."""
 
     value: float
     spread: float
     smoothing: float = SMOOTHING
 
     def add(self, sample: float) -> None:
-        """Takes a sample in."""
+        """Adds a sample."""
         self.spread += self.smoothing * (abs(sample - self.value) - self.spread)
         self.value += self.smoothing * (sample - self.value)
 
     def high(self, deviations: float = 2.0) -> float:
-        """Returns a value that few samples pass."""
+        """Returns a value that few samples exceed."""
         return self.value + deviations * self.spread
 
 
 @attrs.define
 class AdmissionRate:
-    """How many programs are admitted a second while others wait to begin.
+    """Rate at which programs are admitted while others wait.
 
-    A decayed count: single long gaps, as when a large program blocks the queue's head,
-    move it little. An average of the gaps themselves refused programs needlessly and
-    left memory idle until they came back.
+    An exponentially decayed count rather than an average of the gaps: a single long gap, as when a
+    large program blocks the head of the queue, must not cause rejections.
     """
 
     per_second: float = 1.0
     updated_at: float | None = None
     memory_s: float = 30.0
 
-    def note(self, now: float, others_wait: bool) -> None:
-        """Takes an admission in; time in which nobody waited does not count."""
+    def record(self, now: float, others_wait: bool) -> None:
+        """Records an admission; time in which no program waited does not count."""
         self._decay(now)
         self.per_second += 1 / self.memory_s
         self.updated_at = now if others_wait else None
 
     def wait_s(self, ahead: int, now: float) -> float:
-        """Returns the expected wait behind so many others."""
+        """Returns the expected wait behind ``ahead`` other programs."""
         self._decay(now)
         return (ahead + 1) / max(self.per_second, 1e-3)
 
@@ -77,63 +76,62 @@
 
 @attrs.define
 class HoldTime:
-    """How long a paused program's memory is held, steered by what is read again.
+    """How long a paused program's memory is reserved, controlled by the recomputation share.
 
-    Holding long lets few programs in and reads nothing again; holding briefly lets
-    many in, and engines spend their time on prompts they had read before. While calls
-    wait, the hold time shrinks as long as reading again takes less than a target share
-    of the engines' time, and grows above it.
+    A long hold admits few programs; a short one makes engines recompute evicted prompts. While
+    calls wait, the hold time shrinks as long as recomputation takes less than a target share of
+    the engines' time, and it grows above that share.
     """
 
     target_share: float
-    shares: float = 3.0
-    read_again_s: float = 0.0
+    pauses: float = 3.0
+    recompute_s: float = 0.0
     since: float | None = None
 
-    def note(self, seconds: float) -> None:
-        """Takes in the engine time that a call spent on reading again."""
-        self.read_again_s += seconds
+    def record(self, seconds: float) -> None:
+        """Records the engine time that a call spent on recomputed tokens."""
+        self.recompute_s += seconds
 
     def adjust(self, now: float, engines: int, calls_wait: bool) -> None:
-        """Looks at the last period, and moves a step."""
+        """Adjusts the hold time by one step at the end of a period."""
         if self.since is None:
             self.since = now
         elapsed = now - self.since
         if elapsed < HOLD_PERIOD_S:
             return
-        share = self.read_again_s / (elapsed * max(1, engines))
+        share = self.recompute_s / (elapsed * max(1, engines))
         if share > self.target_share:
-            self.shares = min(LONGEST_HOLD, self.shares * HOLD_STEP)
+            self.pauses = min(MAX_HOLD_PAUSES, self.pauses * HOLD_STEP)
         elif calls_wait:
-            self.shares = max(SHORTEST_HOLD, self.shares / HOLD_STEP)
-        self.read_again_s, self.since = 0.0, now
+            self.pauses = max(MIN_HOLD_PAUSES, self.pauses / HOLD_STEP)
+        self.recompute_s, self.since = 0.0, now
 
 
 @attrs.define
 class RetryBudget:
-    """Lets retries be a share of fresh calls, so that a failing pool meets no storm of them."""
+    """Limits retries to a share of first attempts, to prevent retry storms."""
 
     fresh_per_retry: int = 5
-    most: int = 100
-    earned: int = 100
+    maximum: int = 100
+    balance: int = 100
 
-    def note_fresh(self) -> None:
-        """Takes a first attempt in."""
-        self.earned = min(self.most, self.earned + 1)
+    def record_first_attempt(self) -> None:
+        """Records a first attempt."""
+        self.balance = min(self.maximum, self.balance + 1)
 
-    def take(self) -> bool:
-        """Takes a retry, or returns False where none is left."""
-        if self.earned < self.fresh_per_retry:
+    def try_spend(self) -> bool:
+        """Spends the budget of one retry; returns False if it is used up."""
+        if self.balance < self.fresh_per_retry:
             return False
-        self.earned -= self.fresh_per_retry
+        self.balance -= self.fresh_per_retry
         return True
 
 
 @attrs.define
 class TokenLine:
-    """How the time between tokens grows with the batch: a line, fitted with forgetting.
+    """Time between tokens by batch size: an exponentially weighted linear regression.
 
-    It starts as a guess that half of the time at a full batch is the batch's share.
+    Initially, half of the time at :data:`INITIAL_BATCH` is assumed to be due to the batch.
     """
 
     mean_batch: float
@@ -143,7 +141,7 @@
     smoothing: float = SMOOTHING
 
     def add(self, batch: float, token_s: float) -> None:
-        """Takes a sample in."""
+        """Adds a sample."""
         off_batch = batch - self.mean_batch
         off_token = token_s - self.mean_token_s
         self.mean_batch += self.smoothing * off_batch
@@ -164,12 +162,12 @@
 
 @attrs.define
 class CellEstimates:
-    """What a cell has learned of its endpoints and its calls.
+    """A cell's estimates of its endpoints and calls.
 
     Attributes:
-        prefill_tokens_per_s: how fast a prompt is read that isn't cached.
-        token_s: seconds between tokens, by batch.
-        hold: how long a paused program's memory is held, in usual pauses.
+        prefill_tokens_per_s: prefill rate of uncached tokens.
+        token_s: seconds between tokens, by batch size.
+        hold: how long a paused program's memory is held, in average pauses.
         answer_tokens: tokens of one answer.
         call_s: seconds of one call at its endpoint.
         pause_s: seconds between two calls of one program.
@@ -185,29 +183,29 @@
     beginning_tokens: Average = attrs.field(factory=lambda: Average(4000.0))
 
     def prefill_s(self, tokens: float) -> float:
-        """Returns the seconds to read uncached tokens."""
+        """Returns the prefill time of uncached tokens in seconds."""
         return tokens / self.prefill_tokens_per_s.value
 
     def expected_call_s(self, uncached_tokens: float) -> float:
-        """Returns the seconds that a call is expected to take once it starts."""
+        """Returns the expected duration of a call from its start, in seconds."""
         return (
             self.prefill_s(uncached_tokens) + self.answer_tokens.value * self.token_s.mean_token_s
         )
 
     def learn_token(self, batch: int, token_s: float) -> None:
-        """Takes a call's time between tokens in."""
+        """Records a call's time between tokens."""
         self.token_s.add(batch, token_s)
 
     def learn_prefill(self, uncached_tokens: int, first_token_s: float) -> None:
-        """Takes a call's time to its first token in; waiting in the engine only lowers it."""
+        """Records a call's time to first token, unless queueing in the engine dominated it."""
         rate = uncached_tokens / first_token_s
         if rate > self.prefill_tokens_per_s.value / 4:
             self.prefill_tokens_per_s.add(rate)
 
 
-def first_estimates(
+def initial_estimates(
     prefill_tokens_per_s: float, token_s: float, read_again_share: float
 ) -> CellEstimates:
-    """Returns the estimates that settings give before anything is learned."""
-    line = TokenLine(GUESSED_BATCH, token_s, GUESSED_BATCH**2, GUESSED_BATCH * token_s / 2)
+    """Returns the estimates that the settings give before any sample."""
+    line = TokenLine(INITIAL_BATCH, token_s, INITIAL_BATCH**2, INITIAL_BATCH * token_s / 2)
     return CellEstimates(Average(prefill_tokens_per_s), line, HoldTime(read_again_share))
--- a/src/bayhinge/_internal/decisions/offers.py
+++ b/src/bayhinge/_internal/decisions/offers.py
@@ -1,4 +1,4 @@
-"""What the scheduler of a cell is asked, and what it answers."""
+"""Inputs of a cell's scheduler, and the actions that it returns."""
 
 from enum import StrEnum
 
@@ -9,19 +9,18 @@
 
 @attrs.frozen
 class Offer:
-    """A call that asks for an endpoint.
+    """A call that is offered to the scheduler for placement.
 
     Attributes:
-        grant: the name of this request, unique over all hosts.
-        incarnation: the owner's start of process, which answers for the grant.
-        started_at: when the program began, by the home's clock, in seconds.
+        grant: identifier of this request, unique over all hosts.
+        incarnation: incarnation of the owner, which is responsible for the grant.
         prompt_tokens: tokens of the whole prompt, history included.
         max_tokens: the longest answer.
-        attained_s: endpoint seconds that the program has had so far.
-        patience_s: how long the caller is willing to wait for a start.
-        weight: the client account's share against others.
-        shared_prefix: names a prefix that many programs share; empty for none.
-        avoid: endpoints that failed this call before.
+        attained_s: endpoint time that the program has used so far.
+        patience_s: how long the call may wait for its start.
+        weight: the client account's weight for fair sharing.
+        shared_prefix: identifier of a prefix that many programs share; empty for none.
+        avoid: endpoints at which this call failed before.
     """
 
     grant: str
@@ -44,8 +43,10 @@
 class Waiting:
     """An offer in the queue.
 
-    A placement policy that lets it wait for one endpoint's memory notes the endpoint,
-    the memory that was held there, and when to look again whatever happens.
+    Attributes:
+        waits_for: endpoint whose memory a placement policy lets the call wait for.
+        held_tokens: tokens that were held there when the wait began.
+        recheck_at: when to evaluate the placement again in any case.
     """
 
     offer: Offer
@@ -54,19 +55,19 @@
     deadline: float
     waits_for: str = ""
     held_tokens: int = 0
-    look_again_at: float = 0.0
+    recheck_at: float = 0.0
 
 
 @attrs.frozen
 class Reason:
-    """Why something was decided, with the figures it rests on."""
+    """The reason for a decision, with the figures it is based on."""
 
     text: str
     figures: tuple[Figure, ...] = ()
 
 
 class Action:
-    """Base class of what the scheduler wants done."""
+    """Base class of the actions that the scheduler requests."""
 
 
 @attrs.frozen
@@ -81,7 +82,7 @@
 
 @attrs.frozen
 class Reject(Action):
-    """The call is refused; it was sent nowhere."""
+    """The call is rejected; it was not sent anywhere."""
 
     offer: Offer
     code: RefusalCode
@@ -91,7 +92,7 @@
 
 @attrs.frozen
 class Release(Action):
-    """The endpoint should free what it holds for a program."""
+    """The endpoint should free the memory of a program."""
 
     program: str
     endpoint: str
@@ -119,9 +120,11 @@
 
 @attrs.frozen
 class Done:
-    """The end of a granted call, as its owner reports it.
+    """The end of a granted call, as reported by its owner.
 
-    ``first_token_s`` runs from the send to the first token, ``decode_s`` from there on.
+    Attributes:
+        first_token_s: seconds from the send to the first token.
+        decode_s: seconds from the first token to the end.
     """
 
     grant: str
--- a/src/bayhinge/_internal/decisions/placement_weights.py
+++ b/src/bayhinge/_internal/decisions/placement_weights.py
@@ -1,64 +1,61 @@
-"""What speaks for and against an endpoint, in one measure: load as a share of its slots. Pure.
+"""Weights for and against an endpoint, in units of load (requests per slot). Pure.
 
-Endpoints of many slots are judged by shares of them. Where slots are few, a share is less than
-one request, and choices would follow noise: there the same things are worth whole requests.
+Each weight is a share of the slots, but at least a number of requests: with few slots a share is
+less than one request, and choices would follow noise.
 """
 
 OWN_CACHE_SHARE = 0.3
-"""Load that a request accepts for its program's own cache at an endpoint of many slots."""
+"""Load accepted for the program's own cache at an endpoint of many slots."""
 
 SHARED_PART_SHARE = 0.1
-"""The same for parts that many programs share: after a while most endpoints have read them."""
+"""Load accepted for a shared part. Low, as most endpoints have it in cache after a while."""
 
-TOKENS_A_REQUEST = 1000.0
-"""Tokens that need not be read again are worth one request more under way. Reading them takes an
-engine 16 to 26 ms, in which nothing else there goes on. Of 500, 1,000, 2,000 and 4,000, played on
-eight shapes of sites (4 to 64 slots, 6 to 60 engines, 1.8 times the load for 6 s), 1,000 served
-most on all: 1.00 of the programs in time where shares of slots alone gave 0.27 to 0.96 at six
-slots, with a third of the tokens read; at 64 slots it changes nothing."""
+TOKENS_PER_REQUEST = 1000.0
+"""Cached tokens that are worth one more request in flight. Recomputing them takes an engine some
+20 ms, in which it serves nothing else."""
 
 OTHER_HALL_SHARE = 0.15
-"""Load that a request accepts to stay in its own hall. A program's turns follow its first one, so
-each one that goes abroad carries a whole history between halls."""
+"""Load accepted to stay in the own hall. A program's turns follow its first one, so a request that
+leaves the hall moves a whole history between halls."""
 
 OTHER_HALL_REQUESTS = 2.0
-"""The same in requests: what the figures of another hall are behind by. With 0.15 of six slots, 78
-of 100 turns of a site of five halls went to another hall in a burst, and stayed there after it."""
+"""The same in requests; covers the staleness of another hall's figures. Too low a value lets a
+burst move programs to other halls, where they stay."""
 
-COMPLAINT_SHARE = 0.15
-"""Load that one host's bad experience with an endpoint counts for at its hall's home: one complaint
-rarely moves work, four keep it away while others have room."""
+FAILURE_REPORT_SHARE = 0.15
+"""Load penalty per host that reports failures: one report rarely moves work, four keep it away
+while other endpoints have room."""
 
-COMPLAINT_REQUESTS = 2.0
-"""The same in requests: an endpoint that fails at once has none under way, and so looks free."""
+FAILURE_REPORT_REQUESTS = 2.0
+"""The same in requests; an endpoint that fails at once has none in flight, so it looks idle."""
 
-COMPLAINTS_BELIEVED = 2
-"""Hosts whose complaints let a home pass an endpoint over while others have room. One host may have
-a bad way to it; a flapping endpoint otherwise fails at each host of a site in turn."""
+MIN_FAILURE_REPORTS = 2
+"""Reporting hosts from which on an endpoint is avoided while others have room. A single host may
+have a bad network path to it."""
 
-ROOM = 0.75
-"""Load below which an endpoint has room for what is kept from those that others complain of."""
+ROOM_LOAD = 0.75
+"""Load below which an endpoint has room for work that is kept away from reported endpoints."""
 
 
 def own_cache(slots: int, kept_tokens: int) -> float:
-    """Returns what an endpoint's cache of a program's history is worth."""
-    return max(OWN_CACHE_SHARE, _of(kept_tokens / TOKENS_A_REQUEST, slots))
+    """Returns the weight of a program's cached history, as load."""
+    return max(OWN_CACHE_SHARE, _as_share(kept_tokens / TOKENS_PER_REQUEST, slots))
 
 
 def shared_part(slots: int, tokens: int) -> float:
-    """Returns what an endpoint is worth at which requests with the same shared part gather."""
-    return max(SHARED_PART_SHARE, _of(tokens / TOKENS_A_REQUEST, slots))
+    """Returns the weight of a cached shared part, as load."""
+    return max(SHARED_PART_SHARE, _as_share(tokens / TOKENS_PER_REQUEST, slots))
 
 
 def other_hall(slots: int) -> float:
-    """Returns what speaks against an endpoint of another hall."""
-    return max(OTHER_HALL_SHARE, _of(OTHER_HALL_REQUESTS, slots))
+    """Returns the penalty of an endpoint in another hall, as load."""
+    return max(OTHER_HALL_SHARE, _as_share(OTHER_HALL_REQUESTS, slots))
 
 
-def complaint(slots: int) -> float:
-    """Returns what one host's complaint speaks against an endpoint."""
-    return max(COMPLAINT_SHARE, _of(COMPLAINT_REQUESTS, slots))
+def failure_report(slots: int) -> float:
+    """Returns the penalty per host that reports failures, as load."""
+    return max(FAILURE_REPORT_SHARE, _as_share(FAILURE_REPORT_REQUESTS, slots))
 
 
-def _of(requests: float, slots: int) -> float:
+def _as_share(requests: float, slots: int) -> float:
     return requests / max(1, slots)
--- a/src/bayhinge/_internal/decisions/policies.py
+++ b/src/bayhinge/_internal/decisions/policies.py
@@ -1,4 +1,4 @@
-"""Order and placement policies, with the baselines that they are measured against."""
+"""Queue order and placement policies, including the baselines for comparison."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -12,16 +12,16 @@
 
 USABLE = frozenset({Standing.LIVE, Standing.PROBING})
 ADMIT_SHARE = 0.95
-"""Part of the memory that programs without a prefix may fill; the rest is for growth."""
+"""Share of the memory up to which new programs are admitted; the rest is for growth."""
 SHORTEST_WAIT_S = 0.05
-LOOK_AGAIN_S = 0.5
+RECHECK_S = 0.5
 PRIORITY_AGE_S = 10.0
-"""Seconds of age that one step of priority is worth."""
+"""Seconds of age that one priority level is worth."""
 
 
 @attrs.frozen(order=True)
 class Rank:
-    """A place in the queue; the smallest goes first."""
+    """A call's rank in the queue; the smallest goes first."""
 
     band: int
     key: float
@@ -39,7 +39,7 @@
 
 
 class FirstComeFirstServed(OrderPolicy):
-    """By arrival of the call. A baseline."""
+    """By arrival time of the call; a baseline."""
 
     name = "first-come"
 
@@ -49,11 +49,10 @@
 
 
 class ProgramAge(OrderPolicy):
-    """By the age of the whole program; each step of priority counts as some age.
+    """By the age of the program; each priority level counts as additional age.
 
-    An old program's next call goes before a young program's first one, so that
-    programs that have begun are finished. Nobody waits for ever: a program that
-    begins more than ``9 * PRIORITY_AGE_S`` later ranks behind, whatever its priority.
+    Calls of older programs go first, so that started programs are finished. No program starves: one
+    that starts more than ``9 * PRIORITY_AGE_S`` later ranks behind, whatever its priority.
     """
 
     name = "program-age"
@@ -65,7 +64,7 @@
 
 
 class LeastAttained(OrderPolicy):
-    """By priority, then by the service that the program has had so far."""
+    """By priority, then by the endpoint time that the program has used so far."""
 
     name = "least-attained"
 
@@ -85,7 +84,7 @@
 
 
 class PlacementPolicy(ABC):
-    """Decides at which endpoint a call goes, or that it should wait."""
+    """Decides which endpoint a call goes to, or that it should wait."""
 
     name: str
 
@@ -94,7 +93,7 @@
         return any(view.has_slot for view in endpoints)
 
     def has_room(self, endpoints: Iterable[EndpointView], now: float) -> bool:
-        """Tells whether a program of the usual size could begin now."""
+        """Whether a program of average size could start now."""
         return any(view.has_slot for view in endpoints)
 
     @abstractmethod
@@ -104,11 +103,11 @@
         """Returns the endpoint that should take the call now, or None to let it wait."""
 
 
-def _open(offer: Offer, endpoints: Iterable[EndpointView]) -> list[EndpointView]:
-    """Returns the endpoints that may take the call now.
+def _available(offer: Offer, endpoints: Iterable[EndpointView]) -> list[EndpointView]:
+    """Returns the endpoints that can take the call now.
 
-    Endpoints that failed the call are avoided as long as there are others; a call that
-    has failed everywhere would else wait until its patience is over.
+    Endpoints at which the call failed are avoided while there are others; a call that failed
+    everywhere is tried again rather than left waiting until its deadline.
     """
     usable = [view for view in endpoints if view.standing in USABLE]
     fresh = [view for view in usable if view.name not in offer.avoid]
@@ -116,39 +115,38 @@
 
 
 class RoundRobin(PlacementPolicy):
-    """Each endpoint in turn. A baseline."""
+    """Each endpoint in turn; a baseline."""
 
     name = "round-robin"
 
     def __init__(self, estimates: CellEstimates) -> None:
-        """Starts at the first endpoint."""
-        self._turn = 0
+        self._next = 0
 
     def place(
         self, waiting: Waiting, endpoints: Iterable[EndpointView], now: float
     ) -> Placement | None:
         """See :class:`PlacementPolicy`."""
-        candidates = _open(waiting.offer, endpoints)
+        candidates = _available(waiting.offer, endpoints)
         if not candidates:
             return None
-        self._turn += 1
-        view = candidates[self._turn % len(candidates)]
+        self._next += 1
+        view = candidates[self._next % len(candidates)]
         return Placement(view, view.cached_tokens(waiting.offer), Reason("its turn"))
 
 
 class LeastLoaded(PlacementPolicy):
-    """The endpoint with the fewest running calls. A baseline."""
+    """The endpoint with the fewest running calls; a baseline."""
 
     name = "least-loaded"
 
     def __init__(self, estimates: CellEstimates) -> None:
-        """Needs no estimates."""
+        """Accepts the estimates of the common signature; they are not used."""
 
     def place(
         self, waiting: Waiting, endpoints: Iterable[EndpointView], now: float
     ) -> Placement | None:
         """See :class:`PlacementPolicy`."""
-        candidates = _open(waiting.offer, endpoints)
+        candidates = _available(waiting.offer, endpoints)
         if not candidates:
             return None
         view = min(candidates, key=lambda item: (len(item.running_by_grant), item.name))
@@ -157,12 +155,11 @@
 
 
 class SessionSticky(LeastLoaded):
-    """The endpoint that ran the program's last call, else the least loaded. A baseline."""
+    """The endpoint that ran the program's last call, else the least loaded; a baseline."""
 
     name = "session-sticky"
 
     def __init__(self, estimates: CellEstimates) -> None:
-        """Starts with no sessions."""
         super().__init__(estimates)
         self._endpoint_by_program: dict[str, str] = {}
 
@@ -172,9 +169,9 @@
         """See :class:`PlacementPolicy`."""
         views = list(endpoints)
         program = waiting.offer.program
-        home = self._endpoint_by_program.get(program)
-        own = next((view for view in views if view.name == home), None)
-        if own is not None and own in _open(waiting.offer, views):
+        endpoint_name = self._endpoint_by_program.get(program)
+        own = next((view for view in views if view.name == endpoint_name), None)
+        if own is not None and own in _available(waiting.offer, views):
             return Placement(own, own.cached_tokens(waiting.offer), Reason("its session is here"))
         placement = super().place(waiting, views, now)
         if placement is not None:
@@ -184,7 +181,7 @@
 
 @attrs.frozen
 class _Cost:
-    """What a call costs at an endpoint, in seconds; ``wait_s`` is 0 where it may start."""
+    """Cost of a call at an endpoint in seconds; ``wait_s`` is 0 where it may start."""
 
     view: EndpointView
     wait_s: float
@@ -194,17 +191,15 @@
 class FinishTime(PlacementPolicy):
     """The endpoint that is expected to finish first, without thrashing its cache.
 
-    The expected finish counts the wait for prompts being read, the reading of what
-    isn't cached, the slower tokens of a fuller batch, and what the call pushes out of
-    the cache that others will have to read again. A program that holds no prefix yet
-    waits while its working set fits nowhere, for at most ``longest_hold_s``: then it
-    goes where it does the least harm.
+    The cost counts the prefill backlog, the prefill of uncached tokens, the slower decoding in a
+    larger batch, and the recomputation of what the call evicts from the cache. A program without a
+    cached prefix waits while it fits nowhere, for at most ``longest_hold_s``; then it goes to the
+    endpoint of the lowest cost.
     """
 
     name = "finish-time"
 
     def __init__(self, estimates: CellEstimates, longest_hold_s: float = 120.0) -> None:
-        """Takes the learned estimates and the bound on waiting for room."""
         self._estimates = estimates
         self._longest_hold_s = longest_hold_s
         self._now = 0.0
@@ -220,7 +215,7 @@
             self._still_waits(waiting, endpoints) or not self._may_fit(offer, endpoints)
         ):
             return None
-        candidates = _open(offer, endpoints)
+        candidates = _available(offer, endpoints)
         if not candidates:
             return None
         costs = [self._cost(offer, view) for view in candidates]
@@ -228,7 +223,7 @@
         if best.wait_s > 0 and not overdue:
             waiting.waits_for = best.view.name
             waiting.held_tokens = best.view.active_tokens
-            waiting.look_again_at = now + LOOK_AGAIN_S
+            waiting.recheck_at = now + RECHECK_S
             return None
         return Placement(
             best.view,
@@ -239,13 +234,13 @@
     def begin_round(self, endpoints: Iterable[EndpointView], now: float) -> bool:
         """See :class:`PlacementPolicy`."""
         self._now = now
-        horizon = now - self._estimates.hold.shares * self._estimates.pause_s.value
+        horizon = now - self._estimates.hold.pauses * self._estimates.pause_s.value
         self._most_free = 0.0
         has_slot = False
         for view in endpoints:
             if view.has_slot:
                 has_slot = True
-                view.age(horizon)
+                view.demote_idle(horizon)
                 self._most_free = max(self._most_free, self._free(view))
         return has_slot
 
@@ -255,12 +250,12 @@
         return self.begin_round(endpoints, now) and self._most_free >= usual
 
     def _free(self, view: EndpointView) -> float:
-        """Returns the memory that programs without a prefix there may take."""
+        """Returns the memory that is free for programs without a prefix there."""
         return ADMIT_SHARE * view.capacity_tokens - view.active_tokens - view.recent_tokens
 
     def _still_waits(self, waiting: Waiting, endpoints: Iterable[EndpointView]) -> bool:
-        """Tells whether nothing has changed since the call began to wait for an endpoint."""
-        if not waiting.waits_for or self._now >= waiting.look_again_at:
+        """Whether nothing has changed since the call began to wait for an endpoint."""
+        if not waiting.waits_for or self._now >= waiting.recheck_at:
             return False
         return any(
             view.name == waiting.waits_for and view.active_tokens >= waiting.held_tokens
@@ -268,10 +263,9 @@
         )
 
     def _may_fit(self, offer: Offer, endpoints: Iterable[EndpointView]) -> bool:
-        """Tells cheaply whether the call can start anywhere now.
+        """Checks cheaply whether the call can start anywhere now.
 
-        Most calls of a long queue can't; without this each end of a call cost a full
-        comparison of all endpoints for the calls at the queue's head.
+        Most calls of a long queue can't; this avoids a full cost comparison for each of them.
         """
         needed = offer.prompt_tokens + self._estimates.answer_tokens.value
         if needed <= self._most_free:
@@ -284,25 +278,25 @@
         return False
 
     def _cost(self, offer: Offer, view: EndpointView) -> "_Cost":
-        """Returns what the call costs there, its effect on others included, in seconds."""
+        """Returns the cost of the call there, including its effect on other calls."""
         estimates = self._estimates
         running = len(view.running_by_grant)
         answer = estimates.answer_tokens.value
         backlog = max(0.0, view.prefill_until - self._now)
         wait = self._wait_s(offer, view)
         reading = estimates.prefill_s(offer.prompt_tokens - view.cached_tokens(offer))
-        # Everybody in the batch stands still while a prompt is read, and is slowed a
-        # little by one more call: what the call does to others counts like its own time.
+        # Prefill stalls the whole batch, and one more call slows its decoding: the time that
+        # other calls lose counts like the call's own time.
         slowed = answer * estimates.token_s.slope_s * running
-        pushed_out = estimates.prefill_s(self._pushed_out(offer, view))
+        pushed_out = estimates.prefill_s(self._evicted_tokens(offer, view))
         own = wait + backlog + reading + answer * estimates.token_s.at(running + 1)
         return _Cost(view, wait, own + (reading + pushed_out) * (running + 1) + slowed)
 
     def _wait_s(self, offer: Offer, view: EndpointView) -> float:
         """Returns how long the call must wait there for memory; 0 where it fits now.
 
-        It fits where it pushes nothing out that is soon needed; a program that is
-        resident needs only that the running calls fit beside it.
+        It fits where it evicts no recent program; a recent program itself only has to fit beside
+        the running calls.
         """
         held = view.active_tokens
         room = float(view.capacity_tokens)
@@ -312,16 +306,16 @@
         excess = held + self._growth(offer, view) - room
         if excess <= 0 or not held:
             return 0.0
-        # Memory is freed as calls end: all of what is held within about one call's time.
+        # Running calls free their memory within about one average call duration.
         return self._estimates.call_s.value * min(1.0, excess / held) + SHORTEST_WAIT_S
 
-    def _pushed_out(self, offer: Offer, view: EndpointView) -> float:
-        """Returns the tokens of recently used programs that the call would evict."""
+    def _evicted_tokens(self, offer: Offer, view: EndpointView) -> float:
+        """Returns the tokens of recent programs that the call would evict."""
         free = view.capacity_tokens - view.active_tokens - view.recent_tokens
         return min(view.recent_tokens, max(0.0, self._growth(offer, view) - free))
 
     def _growth(self, offer: Offer, view: EndpointView) -> float:
-        """Returns the memory that the call takes beyond what its program has there."""
+        """Returns the tokens that the call adds to what its program holds there."""
         active = view.active_by_program.get(offer.program)
         own = 0 if active is None else active.tokens
         return offer.prompt_tokens + self._estimates.answer_tokens.value - own
@@ -348,10 +342,10 @@
 
 
 def make_order(name: str) -> OrderPolicy:
-    """Returns the order policy of a name that settings have checked."""
+    """Returns the order policy of a validated name."""
     return ORDERS[name]()
 
 
 def make_placement(name: str, estimates: CellEstimates) -> PlacementPolicy:
-    """Returns the placement policy of a name that settings have checked."""
+    """Returns the placement policy of a validated name."""
     return PLACEMENTS[name](estimates)  # type: ignore[call-arg]
--- a/src/bayhinge/_internal/decisions/proof_age.py
+++ b/src/bayhinge/_internal/decisions/proof_age.py
@@ -1,10 +1,9 @@
-"""How old the proof is that a host's configuration is the newest, and who renews it. Pure.
+"""Freshness proofs: how current a host's configuration is, and which host renews the proof. Pure.
 
-A key that was taken away must not be served for longer than the deployment's bound, also by a host
-that hears of nothing any more. So a host admits keys by a proof alone: the store, or a host that
-has asked it, said that a revision was the newest at some moment. That moment is when the question
-was *sent*: an answer may wait anywhere on its way, and nothing that is told later makes it younger.
-A watch that is silent proves nothing, for it may hang.
+A revoked key must not be served for longer than the deployment's bound, even by a partitioned host.
+So a host admits keys only by a proof: the store, or a peer that has asked it, confirmed that a
+revision was the newest. The proof counts from when the query was *sent*, as the answer may be
+delayed anywhere. A silent watch proves nothing, for it may hang.
 """
 
 import math
@@ -15,34 +14,31 @@
 from bayhinge.coordination.rendezvous import rank
 
 ADMIT_SHARE = 0.94
-"""Part of the bound up to which a proof lets keys in. The rest is for clocks that run at different
-rates (some 0.01% on real machines) and for what is rounded on the way: 0.3 s of 5 s, and drawn
-clocks that differ by 2% stay within it."""
+"""Share of the bound up to which a proof admits keys; the rest is a margin for clock drift (up to
+2%) and rounding."""
 
 RENEW_SHARE = 0.16
-"""Part of the bound after which a proof is renewed. A host learns of a proof from another one,
-whose own may be as old, so that most are younger than a third of the bound: a host that loses its
-way goes on for 0.6 of the bound at least, 3 s of 5 s."""
+"""Share of the bound after which a proof is renewed. Proofs pass between hosts, so most are younger
+than a third of the bound; a partitioned host then still serves for 0.6 of it."""
 
-TURN_SHARE = 0.4
-"""Hosts ask the store in a fixed order, each so many renewal times after the one before, unless it
-hears of a proof meanwhile. The first alone asks while all is well: one call in 0.8 s for a whole
-site at a bound of 5 s, whatever its size; hellos tell of it within 0.3 s, a turn is 0.32 s."""
+ORDER_DELAY_SHARE = 0.4
+"""Each host in the fixed order asks the store this many renewal times after the previous one,
+unless it receives a proof first. Normally only the first one asks."""
 
-TURNS = 5
-"""Hosts that have a turn of their own. Where all of these fail, some of the others try as well."""
+ORDERED_HOSTS = 5
+"""Hosts with a time of their own. If all of these fail, some of the others try as well."""
 
-TRIERS = 3.0
-"""How many of the others try at once, on average: the store may turn most hosts away, and serve
-some that are far back in the order. Each call is paid for, also one that is refused."""
+EXTRA_ASKERS = 3.0
+"""Average number of the other hosts that ask at once: the store may reject most hosts, and accept
+some that are late in the order."""
 
 
 @attrs.frozen
 class Proof:
-    """The configuration's ``revision`` was the newest when somebody asked.
+    """Confirmation that the configuration's ``revision`` was the newest.
 
     Attributes:
-        asked_s: no later than that moment, on this host's steady clock in seconds.
+        asked_s: lower bound of when it was the newest, in seconds of this host's monotonic clock.
     """
 
     revision: int
@@ -50,77 +46,76 @@
 
 
 def vouched(revision: int, age_s: float, asked_s: float) -> Proof:
-    """Returns the proof that a peer's answer makes here.
+    """Converts a peer's proof to this host's clock.
 
-    ``age_s`` is the proof's age by the peer's clock when it answered. That was after it was asked,
-    at ``asked_s`` by this host's clock, so the proof is as old as this at least.
+    ``age_s`` is its age on the peer's clock at the answer, which was after ``asked_s``, so the
+    result is never younger than the peer's proof.
     """
     return Proof(revision, asked_s - age_s)
 
 
 @attrs.frozen
 class ProofBounds:
-    """What a deployment's bound on keys that were taken away comes to, in seconds.
+    """Limits on a proof's age, from the deployment's bound on revoked keys.
 
     Attributes:
-        admit_s: an older proof lets no key in.
-        renew_s: a proof is renewed from this age on.
+        admit_s: age in seconds up to which a proof admits keys.
+        renew_s: age in seconds from which a proof is renewed.
     """
 
     admit_s: float
     renew_s: float
 
 
-def proof_bounds(taken_away_s: float) -> ProofBounds:
-    """Returns the bounds for keys that may be served so long after they were taken away."""
-    return ProofBounds(taken_away_s * ADMIT_SHARE, taken_away_s * RENEW_SHARE)
+def proof_bounds(revoked_s: float) -> ProofBounds:
+    """Returns the limits for keys that may be served ``revoked_s`` after their revocation."""
+    return ProofBounds(revoked_s * ADMIT_SHARE, revoked_s * RENEW_SHARE)
 
 
 class ProofBook:
-    """The youngest proof that a host has, and one for a revision that it does not know yet."""
+    """A host's newest proof, and one for a revision that it does not have yet."""
 
     def __init__(self) -> None:
-        """Starts without any."""
         self._proof: Proof | None = None
-        self._ahead: Proof | None = None
+        self._pending: Proof | None = None
 
     def take(self, proof: Proof) -> None:
-        """Takes a proof in; it counts once the host knows its revision."""
-        if self._ahead is None or proof.asked_s > self._ahead.asked_s:
-            self._ahead = proof
+        """Records a proof; it becomes valid once the host has its revision."""
+        if self._pending is None or proof.asked_s > self._pending.asked_s:
+            self._pending = proof
 
     def newest(self, known_revision: int) -> Proof | None:
-        """Returns the youngest proof that holds for what the host knows.
+        """Returns the newest proof that is valid for the host's revision.
 
-        A host that knows a later revision knows all that was taken away before the proof's moment.
+        A later revision includes all revocations up to the proof.
         """
-        ahead = self._ahead
-        if ahead is not None and ahead.revision <= known_revision:
-            self._ahead = None
-            if self._proof is None or ahead.asked_s > self._proof.asked_s:
-                self._proof = ahead
+        pending = self._pending
+        if pending is not None and pending.revision <= known_revision:
+            self._pending = None
+            if self._proof is None or pending.asked_s > self._proof.asked_s:
+                self._proof = pending
         return self._proof
 
     def age_s(self, known_revision: int, now_s: float) -> float:
-        """Returns the age of the youngest proof that holds; infinite without one."""
+        """Returns the age of the newest valid proof; infinite without one."""
         proof = self.newest(known_revision)
         return math.inf if proof is None else now_s - proof.asked_s
 
 
 def place_in_order(host: str, reaching: Iterable[str], failing: Iterable[str]) -> int:
-    """Returns a host's place among those that may ask the store, from 0 on.
+    """Returns a host's position in the order of asking the store, from 0.
 
-    Those that fail to reach it come behind all others.
+    Hosts that fail to reach the store come last.
     """
     key = "proof of the configuration"
     return [*rank(key, reaching), *rank(key, failing)].index(host)
 
 
 def may_ask_store(age_s: float, place: int, hosts: int, renew_s: float, drawn: float) -> bool:
-    """Tells whether a host at this place is to ask the store by itself.
+    """Whether a host at this position should ask the store now.
 
-    ``drawn`` is a number from 0 to 1, drawn anew for each time.
+    ``drawn`` is a new random number from 0 to 1 for each call.
     """
-    if age_s < renew_s * (1 + TURN_SHARE * min(place, TURNS)):
+    if age_s < renew_s * (1 + ORDER_DELAY_SHARE * min(place, ORDERED_HOSTS)):
         return False
-    return place < TURNS or drawn < TRIERS / hosts
+    return place < ORDERED_HOSTS or drawn < EXTRA_ASKERS / hosts
--- a/src/bayhinge/_internal/decisions/quota_bucket.py
+++ b/src/bayhinge/_internal/decisions/quota_bucket.py
@@ -1,9 +1,8 @@
-"""How many requests an account may still send: a bucket of rights, kept by its home. Pure.
+"""Token bucket of an account's request quota, kept by the quota coordinator. Pure.
 
-A bucket that fills at the account's rate up to its burst admits no more in any window than rate x
-window + burst (the leaky bucket as a meter). A deployment tolerates a margin on top; a part of it
-goes to callers, so that few requests below the limit are refused, the rest covers the moments in
-which two hosts grant.
+A bucket that fills at the account's rate up to its burst admits at most rate x window + burst in
+any window. A deployment tolerates a margin on top: a part of it goes to callers, so that few
+requests below the limit are refused; the rest covers times in which two hosts grant.
 """
 
 import math
@@ -12,43 +11,39 @@
 
 from bayhinge._internal.models.account_keys import Quota
 
-FIRST_SHARE = 0.25
-FIRST_RATE_S = 0.3
-"""What a home that has just become one may grant at once: so much of the margin at most, and no
-more than the rate gives in so long. What others granted before, it does not know."""
+TAKEOVER_SHARE = 0.25
+TAKEOVER_RATE_S = 0.3
+"""A new coordinator starts with at most this share of the margin, and with no more than the rate
+gives in this time, as the grants of its predecessor are unknown."""
 
-FIRST_S = 1.0
-"""For so long a home that has just become one fills its bucket slowly: until hellos have gone
-round, hosts may still ask the one before."""
+TAKEOVER_S = 1.0
+"""Time in which a new coordinator fills its bucket slowly: until heartbeats have spread, hosts may
+still ask its predecessor."""
 
-SLOW_RATE = 0.4
-"""Part of the rate at which it fills then, and as long as it only stands in for a home that does
-not answer some hosts. That home may go on granting to others: both together stay within the margin
-for a second (drawn storms of eight times the rate, limits of 0.5 to 125 a second)."""
+SLOW_FILL_RATE = 0.4
+"""Factor on the fill rate then, and while the host stands in for an unreachable coordinator, which
+may still grant to others: together they stay within the margin for a second."""
 
-LATE_S = 0.1
-"""Requests come to an endpoint so long after they were granted, a few of them later."""
+ARRIVAL_DELAY_S = 0.1
+"""Usual delay between a grant and the request's arrival at an endpoint."""
 
-BEGIN_RESERVE = 0.2
-"""Part of a full bucket that programs which begin leave to those that are under way: a program is
-worth all its requests, and refused at its first it has cost nothing. Played with an account of 125
-requests a second at 2.7 times its limit for 8 s, 0.77 of its programs end in place of 0.73, at 4.6
-times 0.59 in place of 0.54; 0.4 to 0.8 gain no more and refuse small accounts at their usual load
-(means of 12 seeds)."""
+NEW_PROGRAM_RESERVE = 0.2
+"""Share of a full bucket that new programs leave to running ones: a program refused at its first
+request has cost nothing yet. A larger share refuses small accounts at their usual load."""
 
-LEAST_WAIT_S = 0.1
-LONGEST_WAIT_S = 2.0
-"""What a refused caller is told to wait, at least and at most: below the least the same refusals
-would come again at once, and callers honour no more than a third of the time that they have."""
+MIN_RETRY_AFTER_S = 0.1
+MAX_RETRY_AFTER_S = 2.0
+"""Bounds of the retry delay: a shorter one repeats the same refusals, and callers honour no more
+than a third of their remaining time."""
 
 
-LEAST_RATE = 1e-3
-"""Requests a second below which a wait is told as if this were the limit."""
+MIN_RATE = 1e-3
+"""Requests a second; a lower limit counts as this in the retry delay."""
 
 
 @attrs.frozen
 class QuotaMargin:
-    """What a deployment tolerates beyond a limit, within ``window_s`` seconds."""
+    """Tolerated excess over a limit within ``window_s`` seconds."""
 
     window_s: float = 1.0
     overage: float = 0.0
@@ -60,12 +55,16 @@
 
 
 class QuotaBucket:
-    """One account's rights to send requests."""
+    """Token bucket of one account."""
 
     def __init__(self, quota: Quota, margin: QuotaMargin, now_s: float, settled_s: float) -> None:
-        """Takes the limit, and for how long the account has surely had no other home.
+        """Creates a bucket whose initial level allows for unknown earlier grants.
 
-        What it may have used before is not known, so the bucket holds no more than that time gives.
+        Args:
+            quota: the account's limit.
+            margin: the tolerated excess.
+            now_s: time on a monotonic clock.
+            settled_s: seconds for which the account has certainly had no other coordinator.
         """
         self._margin = margin
         self._quota = quota
@@ -76,50 +75,54 @@
 
     @property
     def capacity(self) -> float:
-        """The most rights that it holds: the burst, and what of the margin nothing else needs."""
-        needed = self._at_once + self._quota.rate_per_s * (SLOW_RATE * FIRST_S + LATE_S)
+        """Maximum level: the burst, and the part of the margin that nothing else needs."""
+        needed = self._takeover_level + self._quota.rate_per_s * (
+            SLOW_FILL_RATE * TAKEOVER_S + ARRIVAL_DELAY_S
+        )
         room = max(0.0, self._margin.requests(self._quota) - needed)
         return max(1.0, self._quota.burst + room)
 
     @property
-    def _at_once(self) -> float:
-        most = FIRST_SHARE * self._margin.requests(self._quota)
-        return max(1.0, min(most, FIRST_RATE_S * self._quota.rate_per_s))
+    def _takeover_level(self) -> float:
+        most = TAKEOVER_SHARE * self._margin.requests(self._quota)
+        return max(1.0, min(most, TAKEOVER_RATE_S * self._quota.rate_per_s))
 
     def begin_anew(self, now_s: float, settled_s: float) -> None:
-        """Another home may have granted until ``settled_s`` seconds ago."""
-        self._level = min(self._level, self._at_once + self._quota.rate_per_s * settled_s)
-        self._slow_until_s = now_s + FIRST_S - settled_s
+        """Limits the level, as another coordinator may have granted until ``settled_s`` ago."""
+        self._level = min(self._level, self._takeover_level + self._quota.rate_per_s * settled_s)
+        self._slow_until_s = now_s + TAKEOVER_S - settled_s
 
     def set_quota(self, quota: Quota) -> None:
-        """The limit has changed."""
+        """Applies a changed limit."""
         self._quota = quota
         self._level = min(self._level, self.capacity)
 
     def fill(self, now_s: float, share: float, stands_in: bool = False) -> None:
-        """Adds what has accrued since the last time.
+        """Adds what has accrued since the last call.
 
-        ``share`` is the part of the site's hosts that this home hears: homes on both sides of a
-        cut together grant no more than the limit. ``stands_in``: another host is the home, and did
-        not answer somebody.
+        Args:
+            now_s: time on the bucket's monotonic clock.
+            share: share of the site's hosts that this coordinator receives heartbeats from, so that
+                coordinators on both sides of a partition together stay within the limit.
+            stands_in: whether this host only stands in for an unreachable coordinator.
         """
         slow_s = now_s if stands_in else min(now_s, self._slow_until_s)
         slow_s = max(0.0, slow_s - self._filled_s)
-        counted_s = now_s - self._filled_s - slow_s * (1.0 - SLOW_RATE)
+        counted_s = now_s - self._filled_s - slow_s * (1.0 - SLOW_FILL_RATE)
         added = self._quota.rate_per_s * share * max(0.0, counted_s)
         self._level = min(self.capacity, self._level + added)
         self._filled_s = now_s
 
     def take(self, begins_program: bool) -> float | None:
-        """Takes one right; returns None, or after how many seconds to come again."""
-        reserve = BEGIN_RESERVE * (self.capacity - 1.0) if begins_program else 0.0
+        """Takes one token; returns None, or after how many seconds to retry."""
+        reserve = NEW_PROGRAM_RESERVE * (self.capacity - 1.0) if begins_program else 0.0
         lacking = 1.0 + reserve - self._level
         if lacking <= 0:
             self._level -= 1.0
             return None
-        rate_per_s = max(LEAST_RATE, self._quota.rate_per_s)
-        return min(LONGEST_WAIT_S, max(LEAST_WAIT_S, lacking / rate_per_s))
+        rate_per_s = max(MIN_RATE, self._quota.rate_per_s)
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, lacking / rate_per_s))
 
     def give_back(self, count: int) -> None:
-        """Requests that were granted reached no endpoint."""
+        """Returns the tokens of granted requests that reached no endpoint."""
         self._level = min(self.capacity, self._level + count)
--- a/src/bayhinge/_internal/decisions/request_rate.py
+++ b/src/bayhinge/_internal/decisions/request_rate.py
@@ -1,9 +1,9 @@
-"""How many requests a second callers ask of a host: follows a rise at once, a fall slowly. Pure."""
+"""A host's rate of callers' requests: follows a rise at once, a fall slowly. Pure."""
 
 import attrs
 
-KEPT_SHARE = 0.8
-"""What a second leaves of a higher rate: half of a burst is forgotten three seconds after it."""
+DECAY = 0.8
+"""Share of a higher rate that is left after a second: half of a burst is forgotten after three."""
 
 
 @attrs.define
@@ -14,7 +14,7 @@
     _count: int = 0
 
     def note(self, count: int, passed_s: float) -> None:
-        """Takes the count in as it stands ``passed_s`` after the last one."""
+        """Records the count ``passed_s`` seconds after the last one."""
         newest = (count - self._count) / passed_s
         self._count = count
-        self.per_s = max(newest, KEPT_SHARE * self.per_s + (1 - KEPT_SHARE) * newest)
+        self.per_s = max(newest, DECAY * self.per_s + (1 - DECAY) * newest)
--- a/src/bayhinge/_internal/decisions/sightings.py
+++ b/src/bayhinge/_internal/decisions/sightings.py
@@ -1,76 +1,76 @@
-"""When the hosts of one hall were last heard by anybody, as hosts tell each other. Pure.
+"""When each host of a hall was last seen by any host, exchanged in heartbeats. Pure.
 
-A host of a large hall is greeted by each other one only every some seconds, while one that falls
-silent should leave the callers' lists sooner. By their own ears alone hosts know a part of their
-hall, each another part, so callers are told of different hosts by each. Ages add what others
-heard: they only grow, so what nobody hears any more is old everywhere at the same time.
+In a large hall a host receives another one's heartbeat only every few seconds, too rarely to remove
+a silent host from the callers' lists in time, and each host would advertise other hosts. So hosts
+exchange the ages of the last heartbeats: a host that no one sees ages everywhere at the same time.
 """
 
 from collections.abc import Mapping
 
-AGES_A_SECOND = 100
-"""Ages are told in hundredths of a second."""
+AGE_UNITS_PER_S = 100
+"""Ages are sent in hundredths of a second."""
 
-LISTED_PERIODS = 3.6
-"""Callers are told of hosts that somebody heard within so many rounds of hellos. With ages told,
-999 of 1,000 hosts that are well were heard within 2.6 rounds, in halls of 16 to 44 hosts (played in
-virtual time, no hello lost)."""
+ADVERTISED_PERIODS = 3.6
+"""Hosts are advertised for this many heartbeat rounds after they were last seen by any host; in
+halls of up to 44 hosts nearly all live hosts are seen within 2.6 rounds."""
 
-LEAST_LISTED_S = 1.5
-LONGEST_LISTED_S = 3.5
-"""Bounds on that time. The least is five rounds of a small site, where some hellos may be lost. The
-longest is less than 350 hosts need: a list there lacks one host in fifty."""
+MIN_ADVERTISED_S = 1.5
+MAX_ADVERTISED_S = 3.5
+"""Bounds of that time. The minimum is five rounds of a small site, where heartbeats may be lost;
+the maximum is too short for 350 hosts, whose lists lack one host in fifty."""
 
-LONGEST_AGE_S = 10.0
-"""Older ones are not told: more than twice the time for which callers are told of a silent host."""
+MAX_AGE_S = 10.0
+"""Older ages are not sent; more than twice the maximum time for which a silent host is
+advertised."""
 
-_START_BITS = 32
+_SHORT_INCARNATION_BITS = 32
 
 
 def start_of(incarnation: int) -> int:
-    """Returns the name of a host's start in hellos: the low 32 bits, as a signed number."""
-    low = incarnation & (1 << _START_BITS) - 1
-    return low - (1 << _START_BITS) if low >> _START_BITS - 1 else low
+    """Returns the identifier of an incarnation in heartbeats: its low 32 bits, signed."""
+    low = incarnation & (1 << _SHORT_INCARNATION_BITS) - 1
+    return low - (1 << _SHORT_INCARNATION_BITS) if low >> _SHORT_INCARNATION_BITS - 1 else low
 
 
 def listed_s(period_s: float) -> float:
-    """Returns for how long callers are told of a silent host, by the time between two rounds."""
-    return min(LONGEST_LISTED_S, max(LEAST_LISTED_S, LISTED_PERIODS * period_s))
+    """Returns how long a silent host is advertised, given the time between two rounds."""
+    return min(MAX_ADVERTISED_S, max(MIN_ADVERTISED_S, ADVERTISED_PERIODS * period_s))
 
 
 class Sightings:
-    """The newest moment at which each start of a host was heard by anybody."""
+    """When each incarnation of a host was last seen by any host."""
 
     def __init__(self) -> None:
-        """Starts with nothing heard."""
-        self._seen_s_by_start: dict[int, float] = {}
+        self._last_seen_s_by_incarnation: dict[int, float] = {}
 
     def see(self, start: int, now_s: float) -> None:
-        """This host heard another one say that it takes callers."""
-        self._seen_s_by_start[start] = now_s
+        """Records a heartbeat of a host that accepts callers."""
+        self._last_seen_s_by_incarnation[start] = now_s
 
     def leave(self, start: int) -> None:
-        """This host heard another one say that it takes no callers."""
-        self._seen_s_by_start.pop(start, None)
+        """Removes a host whose heartbeat says that it accepts no callers."""
+        self._last_seen_s_by_incarnation.pop(start, None)
 
     def hear(self, age_by_start: Mapping[int, int], now_s: float) -> None:
-        """Takes in what another host tells; the way of its hello is not counted."""
+        """Merges the ages of another host; the network delay is not counted."""
         for start, age in age_by_start.items():
-            seen_s = now_s - max(0, age) / AGES_A_SECOND
-            if seen_s > self._seen_s_by_start.get(start, 0.0):
-                self._seen_s_by_start[start] = seen_s
+            seen_s = now_s - max(0, age) / AGE_UNITS_PER_S
+            if seen_s > self._last_seen_s_by_incarnation.get(start, 0.0):
+                self._last_seen_s_by_incarnation[start] = seen_s
 
     def seen_s(self, start: int) -> float:
-        """Returns when a start was last heard, on the clock of ``now_s``; 0 if it never was."""
-        return self._seen_s_by_start.get(start, 0.0)
+        """Returns when an incarnation was last seen, on the clock of ``now_s``; 0 if never."""
+        return self._last_seen_s_by_incarnation.get(start, 0.0)
 
     def ages(self, now_s: float) -> dict[int, int]:
-        """Returns what to tell others, and forgets what is too old to be told."""
-        oldest_s = now_s - LONGEST_AGE_S
-        self._seen_s_by_start = {
-            start: seen_s for start, seen_s in self._seen_s_by_start.items() if seen_s >= oldest_s
+        """Returns the ages to send, and removes those that are too old."""
+        oldest_s = now_s - MAX_AGE_S
+        self._last_seen_s_by_incarnation = {
+            start: seen_s
+            for start, seen_s in self._last_seen_s_by_incarnation.items()
+            if seen_s >= oldest_s
         }
         return {
-            start: round((now_s - seen_s) * AGES_A_SECOND)
-            for start, seen_s in self._seen_s_by_start.items()
+            start: round((now_s - seen_s) * AGE_UNITS_PER_S)
+            for start, seen_s in self._last_seen_s_by_incarnation.items()
         }
--- a/src/bayhinge/_internal/decisions/start_revisions.py
+++ b/src/bayhinge/_internal/decisions/start_revisions.py
@@ -1,31 +1,30 @@
-"""Which hosts have not heard yet that an endpoint has started again. Pure."""
+"""Tells which hosts do not know yet that an endpoint has restarted. Pure."""
 
 from collections.abc import Collection
 
 
 class StartRevisions:
-    """The store's revisions with which later starts of endpoints became known here.
+    """Store revisions at which endpoint restarts became known here.
 
-    Hosts say up to which revision they know the endpoints. Those that are behind speak of a start
-    that is over: their figures of it say nothing of the next one, and they can't be sent there.
+    Hosts report up to which revision they know the endpoints. Those that are behind refer to an
+    ended incarnation: their figures do not apply to the new one, and they can't send to it.
     """
 
     def __init__(self) -> None:
-        """Starts with no endpoint that has started again."""
         self._revision_by_endpoint: dict[str, int] = {}
 
     def note(self, endpoint: str, revision: int) -> None:
-        """An endpoint has started again; that stands in the store since a revision."""
+        """Records that an endpoint has restarted, as stored since ``revision``."""
         self._revision_by_endpoint[endpoint] = revision
 
     def forget(self, endpoint: str) -> None:
-        """An endpoint is gone."""
+        """Forgets a removed endpoint."""
         self._revision_by_endpoint.pop(endpoint, None)
 
     def unheard_by(self, known_to: int | None) -> Collection[str]:
-        """Returns the endpoints of whose newest starts a host has not heard.
+        """Returns the endpoints whose newest incarnation a host does not know.
 
-        None is a host that does not say what it knows: then its word counts.
+        ``known_to`` is None for a host that does not report it; its figures are then accepted.
         """
         if known_to is None or not self._revision_by_endpoint:
             return ()
--- a/src/bayhinge/_internal/decisions/watchers.py
+++ b/src/bayhinge/_internal/decisions/watchers.py
@@ -1,8 +1,8 @@
-"""Which hosts of a hall watch the store, and when each of their watches ends.
+"""Selects the hosts of a hall that watch the store, and when each of their watches ends.
 
-A watch that hangs is found only at its end, so the ends are spread over the site: then some watch
-ends soon after any moment, and its host tells the others. They do not stay spread by themselves,
-for a change wakes all watches in one moment, and hosts that are killed together start together.
+A hung watch is detected only at its end, so the ends are spread over the site: some watch always
+ends soon, and its host notifies the others. They have to be scheduled, as every change wakes all
+watches at once, and hosts may restart together.
 """
 
 from collections.abc import Iterable
@@ -12,27 +12,26 @@
 from bayhinge.coordination.rendezvous import rank
 
 WATCHERS_PER_HALL = 2
-"""Hosts of a hall that watch the store; the others hear the news from them. Two, so that one may
-fail or hang."""
+"""Hosts of a hall that watch the store and pass on its updates. Two, so that one may fail or
+hang."""
 
 WATCH_PERIOD_S = 6.0
-"""Between two ends of one watch. With two prefixes and three halls of two watchers each, one watch
-of the site ends every 0.5 s; each end is one call of the store, which is paid for: a quiet day of a
-small site has 222 calls with waits of 5 s that are not spread, some 262 with a period of 5 s."""
+"""Time between two ends of one watch. With two prefixes and three halls of two watchers, a watch
+ends every 0.5 s; a shorter period costs more store calls."""
 
 PERIOD_HALLS = 3
-"""Sites of more halls have more watchers, and watch longer: ends come as often all the same."""
+"""Sites with more halls have more watchers and use longer periods, so that ends come as often."""
 
-LEAST_WAIT_S = 0.25
-"""A watch that would end sooner waits for its next turn: it has just asked."""
+MIN_WATCH_S = 0.25
+"""A watch that would end sooner waits for its next slot."""
 
 
 @attrs.frozen
 class HallHost:
-    """A host of the own hall as the choice of watchers sees it.
+    """A host of the own hall.
 
     Attributes:
-        store_fails: its last calls to the store brought no answer.
+        store_fails: its last calls to the store failed.
     """
 
     host: str
@@ -40,10 +39,10 @@
 
 
 def watchers_of(hall: str, hosts: Iterable[HallHost]) -> list[str]:
-    """Returns the hosts that watch for a hall, in a fixed order.
+    """Returns the hosts that watch the store for a hall, in a fixed order.
 
-    These are the first of those that reach the store. The first of all go on too, so that they
-    learn when they reach it again; while nobody does, they alone ask, as each call is paid for.
+    These are the first hosts that reach the store, and the first hosts of all, so that these detect
+    when they reach it again. While no host does, only the latter ask, as each call is paid for.
     """
     fails_by_host = {one.host: one.store_fails for one in hosts}
     ranked = rank(hall, fails_by_host)
@@ -54,13 +53,13 @@
 
 @attrs.frozen
 class WatchTurn:
-    """One watch among those of a site.
+    """The time slot of one watch among those of a site.
 
     Attributes:
-        hall: the hall's place among all halls, from 0 on.
-        watcher: the host's place among its hall's watchers, from 0 on.
-        prefix: the prefix's place among those that are watched, from 0 on.
-        watchers: how many watch for the hall; more than ``WATCHERS_PER_HALL`` share its turns.
+        hall: index of the hall among all halls.
+        watcher: index of the host among its hall's watchers.
+        prefix: index of the prefix among the watched ones.
+        watchers: number of the hall's watchers; more than ``WATCHERS_PER_HALL`` share its slots.
     """
 
     hall: int
@@ -72,21 +71,20 @@
 
     @property
     def period_s(self) -> float:
-        """Time between two ends of one watch."""
+        """Seconds between two ends of one watch."""
         return WATCH_PERIOD_S * max(1.0, self.halls / PERIOD_HALLS)
 
     @property
     def phase(self) -> float:
         """When in the period the watch ends, from 0 to 1.
 
-        Ends are spread evenly over all prefixes, and over each by itself: a change wakes all
-        watches of its prefix at once, and their next calls may come behind a silence that the
-        other prefix's watches hang in. With each prefix in a part of the period of its own, that
-        silence went unnoticed for up to 4.6 s on two halls, so for 2.4 s.
+        Ends are spread evenly over all prefixes together and over each one, as a change wakes all
+        watches of one prefix at once: a failure that hangs the other prefix's watches must still
+        be noticed soon.
         """
         turns = min(self.watchers, WATCHERS_PER_HALL)
         within_hall = (self.watcher % turns + self.prefix / self.prefixes) / turns
-        # Half of the halls further on, so that the ends of one host, which may be down, are apart.
+        # Shifted by half of the halls, so that the ends of one host, which may be down, are apart.
         hall = (self.hall + self.prefix * self.halls // self.prefixes) % self.halls
         return (hall + within_hall) / self.halls
 
@@ -94,8 +92,7 @@
 def wait_until_turn(turn: WatchTurn, now_s: float) -> float:
     """Returns how long a watch that begins now waits, in seconds.
 
-    ``now_s`` is the time of day. Hosts whose clocks differ have ends that are spread less well,
-    and nothing else.
+    ``now_s`` is wall-clock time; clock skew between hosts only spreads the ends less evenly.
     """
     wait_s = (turn.phase * turn.period_s - now_s) % turn.period_s
-    return wait_s if wait_s >= LEAST_WAIT_S else wait_s + turn.period_s
+    return wait_s if wait_s >= MIN_WATCH_S else wait_s + turn.period_s
--- a/src/bayhinge/_internal/services/disks/disk_host.py
+++ b/src/bayhinge/_internal/services/disks/disk_host.py
@@ -11,8 +11,8 @@
 from mode import Service
 
 from bayhinge._internal.decisions.disk_set_rules import (
-    has_copied_enough,
-    with_newcomer,
+    has_read_enough,
+    with_member_added,
     without_silent,
 )
 from bayhinge._internal.exceptions import FrameError
@@ -94,7 +94,7 @@
         if self.settings.is_first_start and self.turns.is_fresh:
             self.turns.mark_joined()
             self.take_disk_set(
-                await change_disk_set(self._store, lambda found: with_newcomer(found, self.me))
+                await change_disk_set(self._store, lambda found: with_member_added(found, self.me))
             )
         while not self.should_stop and not self.is_retired:
             if not self.disk_set.members:
@@ -128,13 +128,15 @@
     async def _join_if_copied(self) -> None:
         members = self.disk_set.members
         tolerated = self.settings.tolerated_disks
-        if not has_copied_enough(members, self.settings.host, self._read_hosts, tolerated):
+        if not has_read_enough(members, self.settings.host, self._read_hosts, tolerated):
             return
         if not self.fence.has_settled:
             return
         version = self.disk_set.version
         self.take_disk_set(
-            await change_disk_set(self._store, lambda found: with_newcomer(found, self.me), version)
+            await change_disk_set(
+                self._store, lambda found: with_member_added(found, self.me), version
+            )
         )
         if not self._is_member():
             return
--- a/src/bayhinge/_internal/services/disks/disk_retirement.py
+++ b/src/bayhinge/_internal/services/disks/disk_retirement.py
@@ -6,8 +6,8 @@
 
 import eliot
 
-from bayhinge._internal.decisions.disk_placement import missing_allowed
-from bayhinge._internal.decisions.disk_set_rules import stay_s, without_retired
+from bayhinge._internal.decisions.disk_placement import missing_members_allowed
+from bayhinge._internal.decisions.disk_set_rules import membership_s, without_retired
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.disk_sets import change_disk_set
@@ -40,7 +40,7 @@
         """
         eliot.log_message("disk.retiring", host=self._disk.settings.host, allowed_s=allowed_s)
         self._disk.is_retiring = True
-        await self._leave_set(asyncio.get_running_loop().time() + stay_s(allowed_s))
+        await self._leave_set(asyncio.get_running_loop().time() + membership_s(allowed_s))
         self._disk.is_retired = True
         await _repeat_until_done(self._hand_over)
         eliot.log_message(
@@ -70,7 +70,7 @@
     async def _hand_over(self) -> bool:
         others = [m for m in self._disk.disk_set.members if m.host != self._disk.settings.host]
         whole = [member.host for member in others if await self._push_all(member)]
-        allowed = missing_allowed(len(others), self._disk.settings.tolerated_disks)
+        allowed = missing_members_allowed(len(others), self._disk.settings.tolerated_disks)
         return bool(whole) and len(others) - len(whole) <= allowed
 
     async def _push_all(self, member: wire.DiskMember) -> bool:
--- a/tests/dense/ablation.py
+++ b/tests/dense/ablation.py
@@ -57,30 +57,32 @@
         ),
     ),
     "complaints": (
-        Edit(WEIGHTS, "COMPLAINT_SHARE = 0.15", "COMPLAINT_SHARE = 0.0"),
-        Edit(WEIGHTS, "COMPLAINT_REQUESTS = 2.0", "COMPLAINT_REQUESTS = 0.0"),
-        Edit(WEIGHTS, "COMPLAINTS_BELIEVED = 2", "COMPLAINTS_BELIEVED = 1000"),
+        Edit(WEIGHTS, "FAILURE_REPORT_SHARE = 0.15", "FAILURE_REPORT_SHARE = 0.0"),
+        Edit(WEIGHTS, "FAILURE_REPORT_REQUESTS = 2.0", "FAILURE_REPORT_REQUESTS = 0.0"),
+        Edit(WEIGHTS, "MIN_FAILURE_REPORTS = 2", "MIN_FAILURE_REPORTS = 1000"),
     ),
     "ejection": (
         Edit("decisions/endpoint_book.py", "FIRST_EJECTION_S = 1.0", "FIRST_EJECTION_S = 0.0"),
     ),
     "doubt": (
-        Edit("decisions/answer_bounds.py", "TYPICAL_ANSWERS = 4.0", "TYPICAL_ANSWERS = 1e9"),
-        Edit("decisions/answer_bounds.py", "LEAST_UNHEARD_S = 0.1", "LEAST_UNHEARD_S = 1e9"),
+        Edit("decisions/answer_bounds.py", "TYPICAL_LATENCIES = 4.0", "TYPICAL_LATENCIES = 1e9"),
+        Edit("decisions/answer_bounds.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),
     ),
     "own cache": (
         Edit(WEIGHTS, "OWN_CACHE_SHARE = 0.3", "OWN_CACHE_SHARE = 0.0"),
         Edit(
             WEIGHTS,
-            "return max(OWN_CACHE_SHARE, _of(kept_tokens",
-            "return max(0.0, _of(0 * kept_tokens",
+            "return max(OWN_CACHE_SHARE, _as_share(kept_tokens",
+            "return max(0.0, _as_share(0 * kept_tokens",
         ),
     ),
     "shared parts": (
-        Edit("decisions/endpoint_book.py", "        if wish.shared_part:", "        if False:"),
+        Edit(
+            "decisions/endpoint_book.py", "        if preference.shared_part:", "        if False:"
+        ),
     ),
     "whole requests": (
-        Edit(WEIGHTS, "TOKENS_A_REQUEST = 1000.0", "TOKENS_A_REQUEST = 1e9"),
+        Edit(WEIGHTS, "TOKENS_PER_REQUEST = 1000.0", "TOKENS_PER_REQUEST = 1e9"),
         Edit(WEIGHTS, "OTHER_HALL_REQUESTS = 2.0", "OTHER_HALL_REQUESTS = 0.0"),
     ),
     "own hall first": (
--- a/tests/functional/test_homes.py
+++ b/tests/functional/test_homes.py
@@ -6,7 +6,7 @@
 import eliot
 import pytest
 
-from bayhinge._internal.decisions.sightings import LEAST_LISTED_S
+from bayhinge._internal.decisions.sightings import MIN_ADVERTISED_S
 from bayhinge._internal.services import gossip
 from bayhinge._internal.wire.hosts.ttypes import HostRole
 from bayhinge.coordination.rendezvous import choose
@@ -100,7 +100,7 @@
         gateway = site.entry_by_name["entry-0"]._gateway
         await site.until(lambda: address in gateway.addresses("north", "land"))
         await site.crash_entry("entry-2")
-        await asyncio.sleep(LEAST_LISTED_S + 0.3)
+        await asyncio.sleep(MIN_ADVERTISED_S + 0.3)
         assert address not in await site.resolve()
 
     run_site(tmp_path, scenario, entries=3)
--- a/tests/functional/test_many_addresses.py
+++ b/tests/functional/test_many_addresses.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.sightings import LEAST_LISTED_S
+from bayhinge._internal.decisions.sightings import MIN_ADVERTISED_S
 from bayhinge._internal.services.gossip import MOST_KNOWN, PERIOD_S
 from tests.lib.platform_site import PlatformSite, run_site
 
@@ -27,7 +27,7 @@
         entry = await site.start_entry("entry-2")
         # As where no seed has told of any host: it reads them all.
         entry._gateway.gossip.learn(GONE)
-        await asyncio.sleep(LEAST_LISTED_S + 3.0)
+        await asyncio.sleep(MIN_ADVERTISED_S + 3.0)
         public = site.address("entry-2").removeprefix("http://")
         others = [site.entry_by_name[name]._gateway for name in ("entry-0", "entry-1")]
         assert all(public in gateway.addresses("north", "land") for gateway in others)
--- a/tests/functional/test_silent_endpoints.py
+++ b/tests/functional/test_silent_endpoints.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.answer_bounds import UNHEARD_OBJECTIVES
+from bayhinge._internal.decisions.answer_bounds import SILENCE_OBJECTIVES
 from tests.lib.asked_endpoints import asked, only_one_service
 from tests.lib.platform_engine import EngineTroubles
 from tests.lib.platform_site import PlatformSite, run_site
@@ -28,7 +28,7 @@
         await asked(site.services, ASKED_S)
         assert (await asking).status == 200
         took_s = asyncio.get_running_loop().time() - began
-        assert took_s < UNHEARD_OBJECTIVES * LOOK_OBJECTIVE_S + 0.3
+        assert took_s < SILENCE_OBJECTIVES * LOOK_OBJECTIVE_S + 0.3
 
     run_site(tmp_path, scenario)
 
@@ -51,7 +51,7 @@
             engine.troubles = EngineTroubles(pause_s=30.0)
         waiting = asyncio.create_task(site.turn(b"hello"))
         mute = await asked(site.engines, ASKED_S)
-        await asyncio.sleep(UNHEARD_OBJECTIVES * CHAT_OBJECTIVE_S + 0.1)
+        await asyncio.sleep(SILENCE_OBJECTIVES * CHAT_OBJECTIVE_S + 0.1)
         for engine in site.engines:
             if engine is not mute:
                 engine.troubles = EngineTroubles(pause_s=0.1)
@@ -77,7 +77,7 @@
         gateway = site.entry_by_name["entry-0"]._gateway
         for _ in range(3):
             assert (await site.ask("/look/x", method="GET")).status == 200
-        bound_s = UNHEARD_OBJECTIVES * LOOK_OBJECTIVE_S
+        bound_s = SILENCE_OBJECTIVES * LOOK_OBJECTIVE_S
         asking = [asyncio.create_task(site.ask("/look/x", method="GET")) for _ in range(6)]
         await asyncio.sleep(0.01)
         asyncio.get_running_loop().call_soon(time.sleep, bound_s + 0.1)
--- a/tests/lib/fence_model.py
+++ b/tests/lib/fence_model.py
@@ -13,7 +13,7 @@
 import attrs
 
 from bayhinge._internal.decisions.disk_fence import KnownSet, Verdict
-from bayhinge._internal.decisions.disk_placement import missing_allowed, places_of
+from bayhinge._internal.decisions.disk_placement import missing_members_allowed, places_of
 from bayhinge._internal.decisions.disk_quorum import (
     committed_tokens,
     copies_needed,
@@ -21,8 +21,8 @@
 )
 from bayhinge._internal.decisions.disk_set_rules import (
     DROP_AFTER_S,
-    has_copied_enough,
-    with_newcomer,
+    has_read_enough,
+    with_member_added,
     without_retired,
     without_silent,
 )
@@ -226,8 +226,8 @@
         members = disk.disk_set.members
         if disk.is_member or disk.is_retired or not members:
             return
-        if has_copied_enough(members, disk.me.host, disk.read_hosts, self.tolerated):
-            self._change(disk, lambda found: with_newcomer(found, disk.me))
+        if has_read_enough(members, disk.me.host, disk.read_hosts, self.tolerated):
+            self._change(disk, lambda found: with_member_added(found, disk.me))
 
     def drop_silent(self, disk: Disk) -> None:
         """What others have taken lately it need not have read, for cuts may be of single ways."""
@@ -254,7 +254,7 @@
                 whole += 1
                 if self._keeps(disk, member):
                     other.copy(disk)
-        if whole and len(others) - whole <= missing_allowed(len(others), self.tolerated):
+        if whole and len(others) - whole <= missing_members_allowed(len(others), self.tolerated):
             del self.disk_by_host[disk.me.host]
 
     def _change(self, disk: Disk, change: Change) -> None:
--- a/tests/lib/fence_mutants.py
+++ b/tests/lib/fence_mutants.py
@@ -19,7 +19,7 @@
 
 EDITS_BY_RULE: dict[str, tuple[Edit, ...]] = {
     "the catching up of newcomers": (
-        Edit(FENCE, "if has_caught_up or _holds(", "if True or _holds("),
+        Edit(FENCE, "if has_caught_up or _contains(", "if True or _contains("),
     ),
     "versions on reservations": (
         Edit(FENCE, "if asked_version < self.version:", "if False:"),
@@ -29,7 +29,7 @@
         Edit(FENCE, "member.generation == own.generation for", "member.host == own.host for"),
     ),
     "settling between changes": (
-        Edit(FENCE, "return len(behind) <= spare_members(", "return True or bool("),
+        Edit(FENCE, "return len(behind) <= unread_members_allowed(", "return True or bool("),
     ),
     "`tolerated + 1` in a shrunken set": (
         Edit("decisions/disk_quorum.py", ", min(members, tolerated + 1))", ")"),
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -89,11 +89,9 @@
     ),
     "ejection": (
         Edit(BOOK, "FIRST_EJECTION_S = 1.0", "FIRST_EJECTION_S = 0.0"),
-        Edit(BOOK, "LONGEST_EJECTION_S = 8.0", "LONGEST_EJECTION_S = 0.0"),
-    ),
-    "doubt": (
-        Edit("decisions/answer_bounds.py", "LEAST_UNHEARD_S = 0.1", "LEAST_UNHEARD_S = 1e9"),
+        Edit(BOOK, "MAX_EJECTION_S = 8.0", "MAX_EJECTION_S = 0.0"),
     ),
+    "doubt": (Edit("decisions/answer_bounds.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),),
     "lapsed entries": (
         Edit(
             "services/gateway/beliefs.py",
@@ -141,8 +139,8 @@
         ),
     ),
     "homes begin with little": (
-        Edit("decisions/quota_bucket.py", "FIRST_RATE_S = 0.3", "FIRST_RATE_S = 1e9"),
-        Edit("decisions/quota_bucket.py", "FIRST_SHARE = 0.25", "FIRST_SHARE = 1e9"),
+        Edit("decisions/quota_bucket.py", "TAKEOVER_RATE_S = 0.3", "TAKEOVER_RATE_S = 1e9"),
+        Edit("decisions/quota_bucket.py", "TAKEOVER_SHARE = 0.25", "TAKEOVER_SHARE = 1e9"),
     ),
     "unused rights are given back": (
         Edit(
--- a/tests/unit/test_answer_bounds.py
+++ b/tests/unit/test_answer_bounds.py
@@ -3,9 +3,9 @@
 import pytest
 
 from bayhinge._internal.decisions.answer_bounds import (
-    LEAST_UNHEARD_S,
-    TYPICAL_ANSWERS,
-    UNHEARD_OBJECTIVES,
+    MIN_SILENCE_S,
+    SILENCE_OBJECTIVES,
+    TYPICAL_LATENCIES,
     bounds_of,
     usual_answer_s,
 )
@@ -30,7 +30,7 @@
 
 def test_the_routes_own_objective_is_the_bound_while_answers_are_quick() -> None:
     bounds = bounds_of(route(0.25), may_leave=True, usual_s=0.06)
-    assert bounds.unheard_s == UNHEARD_OBJECTIVES * 0.25
+    assert bounds.unheard_s == SILENCE_OBJECTIVES * 0.25
     assert bounds.pause_s == pytest.approx(0.6)
 
 
@@ -39,7 +39,7 @@
     for took_s in (0.3, 0.4, 0.5):
         usual_s = usual_answer_s(usual_s, took_s)
     bounds = bounds_of(route(0.25), may_leave=True, usual_s=usual_s)
-    assert bounds.unheard_s == TYPICAL_ANSWERS * usual_s
+    assert bounds.unheard_s == TYPICAL_LATENCIES * usual_s
     assert bounds.unheard_s > 1.0
 
 
@@ -58,4 +58,4 @@
 
 
 def test_an_objective_of_nothing_does_not_make_the_bound_nothing() -> None:
-    assert bounds_of(route(0.0), may_leave=True).unheard_s == LEAST_UNHEARD_S
+    assert bounds_of(route(0.0), may_leave=True).unheard_s == MIN_SILENCE_S
--- a/tests/unit/test_caller_addresses.py
+++ b/tests/unit/test_caller_addresses.py
@@ -5,9 +5,9 @@
 import attrs
 
 from bayhinge._internal.decisions.caller_addresses import (
-    ENOUGH_NEAR,
-    SPARES,
-    TOLD_NEAR,
+    MIN_ADVERTISED_HOSTS,
+    MIN_LOCAL_HOSTS,
+    SPARE_HOSTS,
     ReadyHost,
     addresses_for,
 )
@@ -22,25 +22,25 @@
 
 
 def test_a_hall_with_hosts_enough_keeps_its_callers_but_for_spares() -> None:
-    north = hosts(ENOUGH_NEAR, "north")
+    north = hosts(MIN_LOCAL_HOSTS, "north")
     answer = told(hosts(9, "south") + north)
     assert answer[: len(north)] == [host.address for host in north]
     spares = answer[len(north) :]
-    assert len(spares) == SPARES
+    assert len(spares) == SPARE_HOSTS
     assert all(address.startswith("south") for address in spares)
 
 
 def test_a_small_hall_shares_its_callers_with_all_others_near_ones_first() -> None:
     abroad = hosts(2, "far", region="overseas")
-    answer = told(abroad + hosts(9, "south") + hosts(ENOUGH_NEAR - 1, "north"))
-    assert len(answer) == 2 + 9 + ENOUGH_NEAR - 1
+    answer = told(abroad + hosts(9, "south") + hosts(MIN_LOCAL_HOSTS - 1, "north"))
+    assert len(answer) == 2 + 9 + MIN_LOCAL_HOSTS - 1
     assert answer[0] == "north-0"
     assert answer[-2:] == ["far-0", "far-1"]
 
 
 def test_spares_are_of_the_callers_region_where_there_are_any() -> None:
-    known = hosts(ENOUGH_NEAR, "north") + hosts(5, "far", region="overseas")
-    assert all(address.startswith("far") for address in told(known)[-SPARES:])
+    known = hosts(MIN_LOCAL_HOSTS, "north") + hosts(5, "far", region="overseas")
+    assert all(address.startswith("far") for address in told(known)[-SPARE_HOSTS:])
     known += hosts(1, "south")
     assert told(known)[-1] == "south-0"
 
@@ -52,11 +52,11 @@
 def test_callers_of_a_large_hall_are_told_of_the_same_few_hosts_whoever_is_asked() -> None:
     near = hosts(60, "north")
     answer = told(near + hosts(9, "south"))
-    assert len(answer) == TOLD_NEAR + SPARES
-    assert set(told(near[::-1])) == set(answer[:TOLD_NEAR])
+    assert len(answer) == MIN_ADVERTISED_HOSTS + SPARE_HOSTS
+    assert set(told(near[::-1])) == set(answer[:MIN_ADVERTISED_HOSTS])
     lost = answer[0]
     left = [host for host in near if host.address != lost]
-    assert len(set(told(left)) & set(answer)) == TOLD_NEAR - 1, "the others stay"
+    assert len(set(told(left)) & set(answer)) == MIN_ADVERTISED_HOSTS - 1, "the others stay"
 
 
 def test_more_hosts_are_told_as_the_load_rises() -> None:
@@ -67,15 +67,15 @@
 
 
 def test_hosts_that_are_cut_off_are_not_told_unless_that_is_most_of_them() -> None:
-    near = hosts(TOLD_NEAR, "north")
+    near = hosts(MIN_ADVERTISED_HOSTS, "north")
     cut = [attrs.evolve(host, is_cut_off=True) for host in near[:3]]
     answer = told(cut + near[3:])
     assert not {host.address for host in cut} & set(answer)
-    assert len(answer) == TOLD_NEAR - 3, (
+    assert len(answer) == MIN_ADVERTISED_HOSTS - 3, (
         "these are too few to keep their hall's callers, but there is no other"
     )
     all_cut = [attrs.evolve(host, is_cut_off=True) for host in near]
-    assert len(told(all_cut)) == TOLD_NEAR
+    assert len(told(all_cut)) == MIN_ADVERTISED_HOSTS
 
 
 def test_spares_are_hosts_that_send_anyway() -> None:
--- a/tests/unit/test_connecting_play.py
+++ b/tests/unit/test_connecting_play.py
@@ -113,7 +113,7 @@
     print(everybody, chosen)
     assert everybody.opened > 0.25
     assert chosen.opened < 0.13
-    assert chosen.busiest_per_s < caller_addresses.REQUESTS_A_HOST
+    assert chosen.busiest_per_s < caller_addresses.REQUESTS_PER_HOST
 
 
 def test_of_equal_endpoints_one_that_is_connected_is_chosen() -> None:
@@ -138,5 +138,5 @@
     known = play(burst * RATE, told(burst * RATE))
     unknown = play(burst * RATE, told(RATE))
     print(known, unknown)
-    assert known.busiest_per_s < 1.2 * caller_addresses.REQUESTS_A_HOST
-    assert unknown.busiest_per_s < burst * caller_addresses.REQUESTS_A_HOST
+    assert known.busiest_per_s < 1.2 * caller_addresses.REQUESTS_PER_HOST
+    assert unknown.busiest_per_s < burst * caller_addresses.REQUESTS_PER_HOST
--- a/tests/unit/test_disk_fence.py
+++ b/tests/unit/test_disk_fence.py
@@ -10,7 +10,7 @@
 import attrs
 import pytest
 
-from bayhinge._internal.decisions.disk_fence import KnownSet, Verdict, spare_members
+from bayhinge._internal.decisions.disk_fence import KnownSet, Verdict, unread_members_allowed
 from bayhinge._internal.decisions.disk_placement import places_of
 from bayhinge._internal.decisions.disk_quorum import committed_tokens, reservations_needed
 
@@ -283,5 +283,5 @@
     for tolerated, members in itertools.product(range(4), range(1, 10)):
         placed = min(members, 2 * tolerated + 1)
         needed = reservations_needed(placed, tolerated)
-        assert spare_members(members, tolerated) < needed
-        assert needed + placed - spare_members(members, tolerated) > placed
+        assert unread_members_allowed(members, tolerated) < needed
+        assert needed + placed - unread_members_allowed(members, tolerated) > placed
--- a/tests/unit/test_disk_rules.py
+++ b/tests/unit/test_disk_rules.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.disk_placement import missing_allowed, places_of
+from bayhinge._internal.decisions.disk_placement import missing_members_allowed, places_of
 from bayhinge._internal.decisions.disk_quorum import (
     committed_tokens,
     copies_needed,
@@ -12,8 +12,8 @@
 )
 from bayhinge._internal.decisions.disk_set_rules import (
     DROP_AFTER_S,
-    has_copied_enough,
-    with_newcomer,
+    has_read_enough,
+    with_member_added,
     without_retired,
     without_silent,
 )
@@ -79,19 +79,19 @@
 
 def test_a_newcomer_replaces_the_lost_disk_of_its_own_host() -> None:
     fresh = Disk("a", 9)
-    assert with_newcomer([A, B, C], fresh) == [B, C, fresh]
-    assert with_newcomer([A, B, C], D) == [A, B, C, D]
-    assert with_newcomer([A, B, C], B) is None
+    assert with_member_added([A, B, C], fresh) == [B, C, fresh]
+    assert with_member_added([A, B, C], D) == [A, B, C, D]
+    assert with_member_added([A, B, C], B) is None
 
 
 def test_a_newcomer_must_have_read_all_but_the_tolerated() -> None:
-    assert has_copied_enough([A, B, C], "d", {"a", "b"}, tolerated=1)
-    assert not has_copied_enough([A, B, C], "d", {"a"}, tolerated=1)
+    assert has_read_enough([A, B, C], "d", {"a", "b"}, tolerated=1)
+    assert not has_read_enough([A, B, C], "d", {"a"}, tolerated=1)
     # Its own earlier disk is the lost one already: all others must have been read.
-    assert has_copied_enough([A, B, C], "a", {"b", "c"}, tolerated=1)
-    assert not has_copied_enough([A, B, C], "a", {"b"}, tolerated=1)
-    assert not has_copied_enough([A], "a", set(), tolerated=1)
-    assert not has_copied_enough([], "a", set(), tolerated=1)
+    assert has_read_enough([A, B, C], "a", {"b", "c"}, tolerated=1)
+    assert not has_read_enough([A, B, C], "a", {"b"}, tolerated=1)
+    assert not has_read_enough([A], "a", set(), tolerated=1)
+    assert not has_read_enough([], "a", set(), tolerated=1)
 
 
 def test_only_long_silence_drops_a_member_and_never_the_last_that_bear_a_loss() -> None:
@@ -136,10 +136,10 @@
 
 
 def test_how_many_may_lack_their_share() -> None:
-    assert missing_allowed(2, 1) == 0
-    assert missing_allowed(3, 1) == 1
-    assert missing_allowed(9, 2) == 2
-    assert missing_allowed(1, 1) == 0
+    assert missing_members_allowed(2, 1) == 0
+    assert missing_members_allowed(3, 1) == 1
+    assert missing_members_allowed(9, 2) == 2
+    assert missing_members_allowed(1, 1) == 0
 
 
 def test_a_disk_leaves_only_a_set_that_can_keep_turns_without_it() -> None:
--- a/tests/unit/test_disk_sets.py
+++ b/tests/unit/test_disk_sets.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.disk_set_rules import with_newcomer
+from bayhinge._internal.decisions.disk_set_rules import with_member_added
 from bayhinge._internal.services.disk_sets import change_disk_set, read_disk_set
 from bayhinge._internal.wire.hosts.ttypes import DiskMember
 from bayhinge.coordination.errors import AlreadyExistsError, VersionConflictError
@@ -64,7 +64,10 @@
         ]
         began_s = asyncio.get_running_loop().time()
         await asyncio.gather(
-            *(change_disk_set(store, partial(with_newcomer, newcomer=member)) for member in members)
+            *(
+                change_disk_set(store, partial(with_member_added, new_member=member))
+                for member in members
+            )
         )
         took_s = asyncio.get_running_loop().time() - began_s
         disk_set = await read_disk_set(store)
--- a/tests/unit/test_endpoint_starts.py
+++ b/tests/unit/test_endpoint_starts.py
@@ -111,7 +111,11 @@
     assert chosen(book) == "b"
     assert book.put(entry(born_ms=BORN_MS + 1)) is EntryNews.STARTED_AGAIN
     assert believed(book) is not former
-    assert (believed(book).load, believed(book).burden, believed(book).failures) == (0, 0, 0)
+    assert (believed(book).load, believed(book).effective_load, believed(book).failures) == (
+        0,
+        0,
+        0,
+    )
     assert not believed(book).is_doubtful
     assert not book.resting(NOW_S)
     assert chosen(book) == "a"
--- a/tests/unit/test_hellos.py
+++ b/tests/unit/test_hellos.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.sightings import AGES_A_SECOND, start_of
+from bayhinge._internal.decisions.sightings import AGE_UNITS_PER_S, start_of
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services import gossip
@@ -148,7 +148,7 @@
 
 
 def test_hellos_bear_what_was_heard_and_stay_short() -> None:
-    ages = {start_of(number << 20): 3 * AGES_A_SECOND for number in range(40)}
+    ages = {start_of(number << 20): 3 * AGE_UNITS_PER_S for number in range(40)}
     told: tuple[object, ...] = ("h", 1, 1, 1, 2, "n", "", "", "", {}, {}, 0, [], False, False, 0)
     hello = Hello(*told, age_by_start=ages)
     data = encode_message(hello)
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -13,7 +13,7 @@
 from bayhinge._internal.bench.world.virtual_time import run_virtual
 from bayhinge._internal.decisions.endpoint_book import EndpointBook
 from bayhinge._internal.decisions.watchers import (
-    LEAST_WAIT_S,
+    MIN_WATCH_S,
     WatchTurn,
     wait_until_turn,
 )
@@ -219,4 +219,4 @@
 ) -> None:
     turn = WatchTurn(hall % halls, halls, watcher, prefix, 2)
     wait_s = wait_until_turn(turn, now_s)
-    assert LEAST_WAIT_S <= wait_s <= turn.period_s + LEAST_WAIT_S
+    assert MIN_WATCH_S <= wait_s <= turn.period_s + MIN_WATCH_S
--- a/tests/unit/test_load_board.py
+++ b/tests/unit/test_load_board.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from bayhinge._internal.decisions.load_board import KEEP_S, HostReport, LoadBoard
+from bayhinge._internal.decisions.load_board import REPORT_TIMEOUT_S, HostReport, LoadBoard
 
 
 def report(
@@ -41,10 +41,10 @@
     board = LoadBoard()
     board.hear(report("a", 7, {"e": 5}), 0.0)
     board.grant("a", "f")
-    board.hear(report("b", 1, {"e": 1}), KEEP_S)
-    board.hear(report("a", 1, {"e": 2}, start=2), KEEP_S)
+    board.hear(report("b", 1, {"e": 1}), REPORT_TIMEOUT_S)
+    board.hear(report("a", 1, {"e": 2}, start=2), REPORT_TIMEOUT_S)
     assert known(board) == {"e": 3}
-    board.forget_silent(2 * KEEP_S + 0.1)
+    board.forget_silent(2 * REPORT_TIMEOUT_S + 0.1)
     assert known(board) == {}
 
 
@@ -63,7 +63,7 @@
     assert board.complaints_by_endpoint()["e"] == 2
     board.hear(report("a", 2, {}), 0.1)
     assert board.complaints_by_endpoint()["e"] == 1
-    board.forget_silent(KEEP_S + 0.1)
+    board.forget_silent(REPORT_TIMEOUT_S + 0.1)
     assert board.complaints_by_endpoint()["e"] == 0
 
 
--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.watchers import LEAST_WAIT_S, WATCH_PERIOD_S, WATCHERS_PER_HALL
+from bayhinge._internal.decisions.watchers import MIN_WATCH_S, WATCH_PERIOD_S, WATCHERS_PER_HALL
 from bayhinge._internal.services.key_follower import (
     FIRST_PAUSE_S,
     LONGEST_PAUSE_S,
@@ -85,7 +85,7 @@
         return took_s
 
     watches = halls * min(hosts_per_hall, WATCHERS_PER_HALL) * len(PREFIXES)
-    unnoticed_s = WATCH_PERIOD_S / watches + LEAST_WAIT_S + WAIT_MARGIN_S
+    unnoticed_s = WATCH_PERIOD_S / watches + MIN_WATCH_S + WAIT_MARGIN_S
     noticed_s = CALL_S + LONGEST_RETRY_S
     told_s = PEER_PATIENCE_S + 0.1
     assert run_virtual(scenario()) <= max(unnoticed_s, noticed_s) + told_s
@@ -144,7 +144,7 @@
 ) -> None:
     took_s = longest_until_known(halls, WATCHERS_PER_HALL, away_s, entry_before_s=0.02)
     ends = halls * WATCHERS_PER_HALL
-    assert took_s <= WATCH_PERIOD_S / ends + LEAST_WAIT_S + WAIT_MARGIN_S + PEER_PATIENCE_S + 0.1
+    assert took_s <= WATCH_PERIOD_S / ends + MIN_WATCH_S + WAIT_MARGIN_S + PEER_PATIENCE_S + 0.1
 
 
 @pytest.mark.parametrize(("halls", "down"), [(1, 0), (2, 0), (3, 0), (2, 1), (3, 1)])
@@ -153,7 +153,7 @@
     # A host that is down has two ends, which stand apart.
     gap_s = WATCH_PERIOD_S / (halls * WATCHERS_PER_HALL * len(PREFIXES)) * (1 + down)
     # Turns within the pause after the entry's change, and right behind it, are passed over.
-    passed_over_s = FIRST_PAUSE_S + LEAST_WAIT_S
+    passed_over_s = FIRST_PAUSE_S + MIN_WATCH_S
     assert took_s <= gap_s + passed_over_s + WAIT_MARGIN_S + PEER_PATIENCE_S + 0.1
 
 
--- a/tests/unit/test_placing_play.py
+++ b/tests/unit/test_placing_play.py
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize(
     ("name", "value", "least_lost"),
-    [("TOKENS_A_REQUEST", 1e9, 0.2), ("TOKENS_A_REQUEST", 4000.0, 0.05)],
+    [("TOKENS_PER_REQUEST", 1e9, 0.2), ("TOKENS_PER_REQUEST", 4000.0, 0.05)],
 )
 def test_the_burst_shows_a_weight_that_is_wrong(
     monkeypatch: pytest.MonkeyPatch, name: str, value: float, least_lost: float
--- a/tests/unit/test_quota_bucket.py
+++ b/tests/unit/test_quota_bucket.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.quota_bucket import FIRST_S, QuotaBucket, QuotaMargin
+from bayhinge._internal.decisions.quota_bucket import TAKEOVER_S, QuotaBucket, QuotaMargin
 from bayhinge._internal.models.account_keys import Quota
 
 MARGIN = QuotaMargin(window_s=5.0, overage=0.1, slack=20.0)
@@ -131,4 +131,4 @@
 def test_a_lower_limit_binds_at_once() -> None:
     bucket = QuotaBucket(Quota(100.0, 100.0), QuotaMargin(), 0.0, SETTLED_S)
     bucket.set_quota(Quota(1.0, 2.0))
-    assert sum(_takes(bucket, FIRST_S) for _ in range(50)) == 2
+    assert sum(_takes(bucket, TAKEOVER_S) for _ in range(50)) == 2
--- a/tests/unit/test_sightings.py
+++ b/tests/unit/test_sightings.py
@@ -2,11 +2,15 @@
 
 import random
 
-from bayhinge._internal.decisions.caller_addresses import TOLD_NEAR, ReadyHost, addresses_for
+from bayhinge._internal.decisions.caller_addresses import (
+    MIN_ADVERTISED_HOSTS,
+    ReadyHost,
+    addresses_for,
+)
 from bayhinge._internal.decisions.sightings import (
-    AGES_A_SECOND,
-    LONGEST_AGE_S,
-    LONGEST_LISTED_S,
+    AGE_UNITS_PER_S,
+    MAX_ADVERTISED_S,
+    MAX_AGE_S,
     Sightings,
     listed_s,
     start_of,
@@ -75,7 +79,7 @@
         listed += [len(hall.listed(host, second)) for host in range(HALL_HOSTS)]
         everybody = set().union(*answers)
         told.append(len(everybody))
-        shared.append(len(everybody.intersection(*answers)) / TOLD_NEAR)
+        shared.append(len(everybody.intersection(*answers)) / MIN_ADVERTISED_HOSTS)
     return (
         sum(listed) / len(listed) / HALL_HOSTS,
         max(told),
@@ -87,12 +91,12 @@
     known, told, shared = figures(tells_ages=False)
     print("by their own ears", known, told, shared)
     assert known < 0.6
-    assert told >= 3 * TOLD_NEAR
+    assert told >= 3 * MIN_ADVERTISED_HOSTS
     assert shared < 0.1
     known, told, shared = figures(tells_ages=True)
     print("by all ears", known, told, shared)
     assert known > 0.97
-    assert told <= TOLD_NEAR + 2
+    assert told <= MIN_ADVERTISED_HOSTS + 2
     assert shared > 0.8
 
 
@@ -100,9 +104,9 @@
     hall = Hall(tells_ages=True)
     hall.play(30.0)
     hall.silent = set(range(17))
-    hall.play(30.0 + LONGEST_LISTED_S)
+    hall.play(30.0 + MAX_ADVERTISED_S)
     for host in range(17, HALL_HOSTS):
-        assert not hall.listed(host, 30.0 + LONGEST_LISTED_S) & hall.silent
+        assert not hall.listed(host, 30.0 + MAX_ADVERTISED_S) & hall.silent
 
 
 def test_ages_only_grow_on_their_way() -> None:
@@ -112,9 +116,9 @@
     assert second.seen_s(7) == 10.5, "half a second on the way"
     first.hear(second.ages(12.0), 12.0)
     assert first.seen_s(7) == 10.5
-    first.hear({7: 5 * AGES_A_SECOND}, 12.0)
+    first.hear({7: 5 * AGE_UNITS_PER_S}, 12.0)
     assert first.seen_s(7) == 10.5, "older news change nothing"
-    assert first.ages(10.5 + LONGEST_AGE_S + 0.1) == {}
+    assert first.ages(10.5 + MAX_AGE_S + 0.1) == {}
 
 
 def test_bad_ages_are_never_in_the_future() -> None:
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from bayhinge._internal.decisions.watchers import (
-    LEAST_WAIT_S,
+    MIN_WATCH_S,
     WATCH_PERIOD_S,
     WATCHERS_PER_HALL,
     HallHost,
@@ -83,7 +83,7 @@
 def test_a_watch_ends_at_its_turn(now_s: float, hall: int, watcher: int, prefix: int) -> None:
     turn = WatchTurn(hall, 3, watcher, prefix, 2)
     wait_s = wait_until_turn(turn, now_s)
-    assert LEAST_WAIT_S <= wait_s <= WATCH_PERIOD_S + LEAST_WAIT_S
+    assert MIN_WATCH_S <= wait_s <= WATCH_PERIOD_S + MIN_WATCH_S
     distance = ((now_s + wait_s) / WATCH_PERIOD_S - turn.phase) % 1
     assert min(distance, 1 - distance) < 1e-4
 
