--- a/src/bayhinge/_internal/decisions/__init__.py
+++ b/src/bayhinge/_internal/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: state, event and time in; actions with their reasons out."""
+"""Pure decision logic without I/O: state, events and time in, actions with reasons out."""
--- a/src/bayhinge/_internal/services/disks/__init__.py
+++ b/src/bayhinge/_internal/services/disks/__init__.py
@@ -1,1 +1,1 @@
-"""The disk host: keeps turns and reservations on its own disk."""
+"""The disk host: stores turns and reservations on its own disk."""
--- a/src/bayhinge/_internal/services/disks/copy_limits.py
+++ b/src/bayhinge/_internal/services/disks/copy_limits.py
@@ -1,10 +1,10 @@
-"""How often disk hosts copy from each other, and how much one call of it takes."""
+"""Period and batch sizes of copying between disk hosts."""
 
 COPY_PERIOD_S = 0.8
-"""Between two looks at what the other disks have written."""
+"""Time between two reads of the other disks' logs."""
 
-KEYS_AT_ONCE = 2000
-"""Keys of one answer: some 80 KB."""
+KEYS_PER_CALL = 2000
+"""Maximum keys in one answer; some 80 KB."""
 
-ENTRIES_AT_ONCE = 60
-"""Entries of one copying call: some 400 KB, so that turns are not kept waiting."""
+ENTRIES_PER_CALL = 60
+"""Maximum entries in one copy call; some 400 KB, so that turns are not delayed."""
--- a/src/bayhinge/_internal/services/disks/disk_host.py
+++ b/src/bayhinge/_internal/services/disks/disk_host.py
@@ -1,4 +1,4 @@
-"""The disk host's service: joins the set of disks, copies from the others, drops who is silent."""
+"""The disk host's service: joins the disk set, copies entries, and drops silent members."""
 
 import asyncio
 import contextlib
@@ -21,8 +21,8 @@
 from bayhinge._internal.network.tcp_peers import TcpPeerNetwork
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.disk_sets import change_disk_set
-from bayhinge._internal.services.disks.copy_limits import COPY_PERIOD_S, ENTRIES_AT_ONCE
-from bayhinge._internal.services.disks.disk_answers import DiskAnswers
+from bayhinge._internal.services.disks.copy_limits import COPY_PERIOD_S, ENTRIES_PER_CALL
+from bayhinge._internal.services.disks.disk_request_handler import DiskRequestHandler
 from bayhinge._internal.services.disks.disk_retirement import DiskRetirement
 from bayhinge._internal.services.disks.disk_state import DiskState
 from bayhinge._internal.services.host_registry import HostRegistry
@@ -32,38 +32,37 @@
 from bayhinge.coordination.store import ObjectStore
 
 JOIN_PERIOD_S = 0.3
-"""Between two looks at what the other disks have written, for a disk that waits to join the set."""
+"""Time between two reads of the other disks' logs by a disk that waits to join the set."""
 
 CATCH_UP_PERIOD_S = 0.1
-"""The same for a disk that has not caught up with a change of the set: until then programs that are
-new to it are not served here."""
+"""The same for a disk that has not caught up with a change of the set, which does not serve newly
+assigned programs until then."""
 
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 
 
 class DiskHost(DiskState, Service):
-    """One start of a disk host."""
+    """The service of a disk host."""
 
     def __init__(self, settings: SiteSettings, store: ObjectStore) -> None:
-        """Takes the settings and the platform's store."""
         Service.__init__(self)
         clock = HybridClock(SystemClock())
-        network = TcpPeerNetwork(CONNECT_S)
+        network = TcpPeerNetwork(CONNECT_TIMEOUT_S)
         DiskState.__init__(self, settings, network.connect(clock))
         self._store = store
-        self._listener = network.listen(settings.peer_address, DiskAnswers(self), clock)
+        self._listener = network.listen(settings.peer_address, DiskRequestHandler(self), clock)
         self._read_hosts: set[str] = set()
         self._silent_since_by_host: dict[str, float] = {}
 
     async def on_start(self) -> None:
-        """Listens, greets, and joins the set of disks in the background."""
+        """Starts the listener and the heartbeats; joins the disk set in the background."""
         if self.disk_set.version:
-            self.fence.take(self.disk_set, self.me)
+            self.fence.apply(self.disk_set, self.me)
         await self._listener.start()
         await self.gossip.start()
         self.gossip.me.phase = wire.HostPhase.READY
         self.gossip.me.disk_set_version = self.disk_set.version
-        self.gossip.on_hello = self._hear
+        self.gossip.on_hello = self._on_heartbeat
         self.gossip.describe = self._describe
         eliot.log_message(
             "disk.started",
@@ -77,28 +76,28 @@
         self.add_future(
             keep_running("announce", lambda: registry.announce(self.gossip, lambda: True))
         )
-        self.add_future(keep_running("keep place", self._keep_place))
+        self.add_future(keep_running("keep place", self._maintain_membership))
 
     async def on_stop(self) -> None:
-        """Syncs and closes everything."""
+        """Stops the network services, then syncs and closes the log."""
         await self.gossip.stop()
         await self._listener.stop()
         await self.peers.close()
         self.turns.close()
         eliot.log_message("disk.stopped", host=self.settings.host)
 
-    # ---- the set ----
+    # ---- membership ----
 
-    async def _keep_place(self) -> None:
-        """Keeps this disk in the set: joins, copies what it lacks, drops who is lost."""
+    async def _maintain_membership(self) -> None:
+        """Joins the set, copies missing entries, and drops lost members until retirement."""
         if self.settings.is_first_start and self.turns.is_fresh:
             self.turns.mark_joined()
-            self.take_disk_set(
+            self.apply_disk_set(
                 await change_disk_set(self._store, lambda found: with_member_added(found, self.me))
             )
         while not self.should_stop and not self.is_retired:
             if not self.disk_set.members:
-                self.take_disk_set(await change_disk_set(self._store, lambda members: None))
+                self.apply_disk_set(await change_disk_set(self._store, lambda members: None))
             await self._copy_from_all()
             self._expire()
             if not self._is_member():
@@ -109,14 +108,14 @@
             await self._pause()
 
     async def _pause(self) -> None:
-        """Waits for the next look at the others; a change of the set ends it."""
+        """Waits until the next read of the other disks, or a change of the set."""
         pause_s = COPY_PERIOD_S if self._is_member() else JOIN_PERIOD_S
         if not self.fence.has_caught_up:
             pause_s = CATCH_UP_PERIOD_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(pause_s * random.uniform(0.8, 1.2)):
                 await self._set_changed.wait()
-                # Disks that join together change the set together: one look for all of it.
+                # Several disks often join at once; waits so that one read covers all changes.
                 await asyncio.sleep(random.uniform(0, CATCH_UP_PERIOD_S))
         self._set_changed.clear()
 
@@ -133,7 +132,7 @@
         if not self.fence.has_settled:
             return
         version = self.disk_set.version
-        self.take_disk_set(
+        self.apply_disk_set(
             await change_disk_set(
                 self._store, lambda found: with_member_added(found, self.me), version
             )
@@ -154,7 +153,7 @@
         if not self.fence.has_settled:
             return
         eliot.log_message("disk_set.dropping", silent_s=silent_s, version=self.disk_set.version)
-        self.take_disk_set(
+        self.apply_disk_set(
             await change_disk_set(
                 self._store,
                 lambda found: without_silent(found, silent_s, tolerated),
@@ -168,26 +167,26 @@
     def _describe(self, me: wire.Hello) -> None:
         me.revision_by_prefix = self.objects.revision_by_prefix
 
-    def _hear(self, hello: wire.Hello) -> None:
-        if hello.role == wire.HostRole.ENTRY:
-            for fetch in self.objects.news(hello):
+    def _on_heartbeat(self, heartbeat: wire.Hello) -> None:
+        if heartbeat.role == wire.HostRole.ENTRY:
+            for fetch in self.objects.fetches_for(heartbeat):
                 self._spawn(fetch)
-        if hello.disk_set_version > self.disk_set.version:
-            self._spawn(self._fetch_disk_set(hello.peer_address))
+        if heartbeat.disk_set_version > self.disk_set.version:
+            self._spawn(self._fetch_disk_set(heartbeat.peer_address))
 
     async def _fetch_disk_set(self, address: str) -> None:
         answer = await self.call(address, methods.DISK_SET, b"")
         if answer is None:
             return
         try:
-            self.take_disk_set(decode_message(wire.DiskSet(), answer))
+            self.apply_disk_set(decode_message(wire.DiskSet(), answer))
         except FrameError as error:
             eliot.log_message("disk_set.unreadable", address=address, why=str(error))
 
     # ---- copying ----
 
     async def _copy_from_all(self) -> None:
-        """Copies what the other members have, and notes who was read and who is silent."""
+        """Copies entries from the other members; records which were read and which are silent."""
         now = asyncio.get_running_loop().time()
         others = [m for m in self.disk_set.members if m.host != self.settings.host]
         results = await asyncio.gather(*(self._copy_from(member) for member in others))
@@ -208,25 +207,25 @@
             if answer is None:
                 return False
             reply = decode_message(wire.KeysReply(), answer)
-            # A disk that has an older set in mind may leave out what this one keeps now.
+            # A disk with an older set may leave out programs that are placed here now.
             if reply.generation != member.generation or reply.disk_set_version < version:
                 return False
             lacking = [key for key in reply.keys if not self.turns.has(key)]
             if not await self._copy_entries(member, lacking):
                 return False
             if self.disk_set.version != version:
-                # The answer left out what this disk keeps only since the change: a position that
-                # came back now would put the reading behind it for good.
+                # The answer left out programs placed here only since the change; storing its
+                # position would skip their entries for good.
                 return False
             self._position_by_generation[member.generation] = reply.position
             if not reply.more:
                 if reply.disk_set_version == version:
-                    self.fence.note_read(member, version, bool(reply.has_caught_up))
+                    self.fence.record_read(member, version, bool(reply.has_caught_up))
                 return True
 
     async def _copy_entries(self, member: wire.DiskMember, keys: list[str]) -> bool:
-        for start in range(0, len(keys), ENTRIES_AT_ONCE):
-            query = wire.EntriesQuery(keys[start : start + ENTRIES_AT_ONCE])
+        for start in range(0, len(keys), ENTRIES_PER_CALL):
+            query = wire.EntriesQuery(keys[start : start + ENTRIES_PER_CALL])
             answer = await self.call(member.address, methods.ENTRIES, encode_message(query))
             if answer is None:
                 return False
--- a/src/bayhinge/_internal/services/disks/disk_answers.py
+++ b/src/bayhinge/_internal/services/disks/disk_request_handler.py
@@ -1,4 +1,4 @@
-"""What a disk host answers to entry hosts and to other disk hosts."""
+"""Handles requests of entry hosts and other disk hosts to a disk host."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -11,7 +11,7 @@
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import AnsweringHandler
 from bayhinge._internal.services import methods
-from bayhinge._internal.services.disks.copy_limits import KEYS_AT_ONCE
+from bayhinge._internal.services.disks.copy_limits import KEYS_PER_CALL
 from bayhinge._internal.services.disks.disk_state import DiskState
 from bayhinge._internal.wire.hosts import ttypes as wire
 
@@ -23,11 +23,10 @@
 }
 
 
-class DiskAnswers(AnsweringHandler):
-    """What a disk host answers."""
+class DiskRequestHandler(AnsweringHandler):
+    """Handles the requests to a disk host."""
 
     def __init__(self, disk: DiskState) -> None:
-        """Takes the disk that is asked."""
         self._disk = disk
         self._handlers: dict[str, Callable[[bytes], Coroutine[Any, Any, bytes]]] = {
             methods.RESERVE: self._reserve,
@@ -43,12 +42,12 @@
         """See :class:`AnsweringHandler`."""
         handler = self._handlers.get(method)
         if handler is None:
-            raise FrameError(f"a disk host has no method '{method}'")
+            raise FrameError(f"unknown disk host method '{method}'")
         try:
             return await handler(payload)
         except OSError as error:
             eliot.log_message("disk.refused", method=method, why=str(error))
-            refusal = refuse_unaccepted(RefusalCode.STORE_UNAVAILABLE, f"the disk refused: {error}")
+            refusal = refuse_unaccepted(RefusalCode.STORE_UNAVAILABLE, f"disk I/O failed: {error}")
             raise RefusedError(refusal) from error
 
     async def _reserve(self, payload: bytes) -> bytes:
@@ -61,7 +60,7 @@
             if reply.verdict != wire.FenceVerdict.TAKEN:
                 return encode_message(reply)
             await self._disk.write([query.reservation])
-            # The set may have changed while the disk was at it; what it reads now counts.
+            # The set may have changed during the write, so the fence is checked again.
             reply.verdict = self._verdict(query)
             ledger = turns.ledger(query.reservation.program)
             reply.open_by_attempt = ledger.open_by_attempt
@@ -77,7 +76,7 @@
     def _verdict(self, query: wire.ReserveTurn) -> wire.FenceVerdict:
         version = query.disk_set_version
         if version is None:
-            # A host of an earlier release; it counts its quorum as it always did.
+            # A host of an earlier release does not send a version and is not fenced.
             return wire.FenceVerdict.TAKEN
         return VERDICTS[self._disk.fence.verdict(query.reservation.program, version)]
 
@@ -85,8 +84,8 @@
         self._refuse_if_retired()
         entries = decode_message(wire.AppendEntries(), payload).entries
         if all(entry.kind == wire.EntryKind.SETTLED for entry in entries):
-            # Where it is lost the turn counts at its most, which is safe: no sync of its own, three
-            # syncs a turn over three disks in place of six.
+            # Not synced: a turn whose settlement is lost counts with its reserved tokens, which is
+            # safe, and this halves the syncs per turn.
             self._disk.turns.append(entries)
         else:
             await self._disk.write(entries)
@@ -96,7 +95,7 @@
         query = decode_message(wire.KeysQuery(), payload)
         turns = self._disk.turns
         after = query.after if query.generation == turns.generation else 0
-        written = turns.keys_after(after, KEYS_AT_ONCE)
+        written = turns.keys_after(after, KEYS_PER_CALL)
         position = max(after, turns.first_position) + len(written)
         more = position < turns.position
         keys = self._disk.keys_kept_by(query.asker, written)
@@ -118,8 +117,8 @@
 
     async def _disk_set(self, payload: bytes) -> bytes:
         if payload:
-            # A host that is ahead tells of the set, so that its reservation need not wait.
-            self._disk.take_disk_set(decode_message(wire.DiskSet(), payload))
+            # A host with a newer set sends it, so that its reservation need not wait.
+            self._disk.apply_disk_set(decode_message(wire.DiskSet(), payload))
         return encode_message(self._disk.disk_set)
 
     async def _objects(self, payload: bytes) -> bytes:
@@ -128,5 +127,5 @@
 
     def _refuse_if_retired(self) -> None:
         if self._disk.is_retired:
-            why = "this disk is being emptied; ask the other disks of the set"
+            why = "this disk is retired; use the other disks of the set"
             raise RefusedError(refuse_unaccepted(RefusalCode.HOST_LEAVING, why))
--- a/src/bayhinge/_internal/services/disks/disk_retirement.py
+++ b/src/bayhinge/_internal/services/disks/disk_retirement.py
@@ -1,4 +1,4 @@
-"""How a disk host is emptied: it leaves the set, and hands what it has to the disks that stay."""
+"""Retirement of a disk host: it leaves the set and copies its entries to the other disks."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,30 +13,29 @@
 from bayhinge._internal.services.disk_sets import change_disk_set
 from bayhinge._internal.services.disks.copy_limits import (
     COPY_PERIOD_S,
-    ENTRIES_AT_ONCE,
-    KEYS_AT_ONCE,
+    ENTRIES_PER_CALL,
+    KEYS_PER_CALL,
 )
 from bayhinge._internal.services.disks.disk_state import DiskState
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.store import ObjectStore
 
-LEAVE_PERIOD_S = 0.8
-"""Between two tries of a disk to leave a set that can't do without it; each is a call of the
-store, and another disk needs about as long to join."""
+LEAVE_RETRY_S = 0.8
+"""Time between two attempts to leave a set that still needs the disk. Each one is a store call, and
+another disk needs about as long to join."""
 
 
 class DiskRetirement:
-    """One disk's way out of the set."""
+    """The retirement of one disk."""
 
     def __init__(self, disk: DiskState, store: ObjectStore) -> None:
-        """Takes the disk and the platform's store, which has the set."""
         self._disk = disk
         self._store = store
 
     async def run(self, allowed_s: float = 0.0) -> None:
-        """Leaves the set and hands everything to the disks that stay.
+        """Leaves the set and copies everything to the remaining disks.
 
-        ``allowed_s`` is the time that may pass until it is empty, in seconds.
+        ``allowed_s`` is the time allowed for the retirement, in seconds.
         """
         eliot.log_message("disk.retiring", host=self._disk.settings.host, allowed_s=allowed_s)
         self._disk.is_retiring = True
@@ -48,37 +47,37 @@
         )
 
     async def _leave_set(self, stay_until_s: float) -> None:
-        """Goes on until the set can do without this disk; it serves as a member until then."""
+        """Leaves the set as soon as it can do without this disk, which serves until then."""
         loop = asyncio.get_running_loop()
         host, tolerated = self._disk.settings.host, self._disk.settings.tolerated_disks
-        has_said_so = False
+        is_logged = False
         while True:
             may_wait = loop.time() < stay_until_s
             if self._disk.fence.has_settled:
                 change = partial(without_retired, host=host, tolerated=tolerated, may_wait=may_wait)
                 version = self._disk.disk_set.version
-                self._disk.take_disk_set(await change_disk_set(self._store, change, version))
+                self._disk.apply_disk_set(await change_disk_set(self._store, change, version))
             if not any(member.host == host for member in self._disk.disk_set.members):
                 return
-            if not has_said_so:
+            if not is_logged:
                 eliot.log_message(
                     "disk.retirement_waits", host=host, members=len(self._disk.disk_set.members)
                 )
-            has_said_so = True
-            await asyncio.sleep(LEAVE_PERIOD_S)
+            is_logged = True
+            await asyncio.sleep(LEAVE_RETRY_S)
 
     async def _hand_over(self) -> bool:
         others = [m for m in self._disk.disk_set.members if m.host != self._disk.settings.host]
-        whole = [member.host for member in others if await self._push_all(member)]
+        complete = [member.host for member in others if await self._push_all(member)]
         allowed = missing_members_allowed(len(others), self._disk.settings.tolerated_disks)
-        return bool(whole) and len(others) - len(whole) <= allowed
+        return bool(complete) and len(others) - len(complete) <= allowed
 
     async def _push_all(self, member: wire.DiskMember) -> bool:
         keys = self._disk.keys_kept_by(
             member, self._disk.turns.keys_after(0, self._disk.turns.position)
         )
-        for start in range(0, len(keys), KEYS_AT_ONCE):
-            query = wire.EntriesQuery(keys[start : start + KEYS_AT_ONCE])
+        for start in range(0, len(keys), KEYS_PER_CALL):
+            query = wire.EntriesQuery(keys[start : start + KEYS_PER_CALL])
             answer = await self._disk.call(member.address, methods.LACKING, encode_message(query))
             if answer is None:
                 return False
@@ -88,8 +87,8 @@
         return True
 
     async def _push(self, member: wire.DiskMember, keys: list[str]) -> bool:
-        for start in range(0, len(keys), ENTRIES_AT_ONCE):
-            entries = list(self._disk.turns.read_entries(keys[start : start + ENTRIES_AT_ONCE]))
+        for start in range(0, len(keys), ENTRIES_PER_CALL):
+            entries = list(self._disk.turns.read_entries(keys[start : start + ENTRIES_PER_CALL]))
             message = encode_message(wire.AppendEntries(entries))
             if await self._disk.call(member.address, methods.APPEND, message) is None:
                 return False
--- a/src/bayhinge/_internal/services/disks/disk_state.py
+++ b/src/bayhinge/_internal/services/disks/disk_state.py
@@ -1,6 +1,6 @@
-"""What a disk host keeps and knows: its entries, the set of disks, and which of them keeps what.
+"""State of a disk host: its entries, the disk set, and the placement of programs on it.
 
-What it answers, how it joins and copies, and how it leaves each build on this.
+The request handler, the disk host's service and the retirement are built on it.
 """
 
 import asyncio
@@ -15,8 +15,8 @@
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
-from bayhinge._internal.services.disks.commit_group import CommitGroup
-from bayhinge._internal.services.disks.object_keeper import ObjectKeeper
+from bayhinge._internal.services.disks.group_commit import GroupCommit
+from bayhinge._internal.services.disks.object_backup import ObjectBackup
 from bayhinge._internal.services.disks.set_fence import SetFence
 from bayhinge._internal.services.disks.turn_log import TurnLog
 from bayhinge._internal.services.gossip import Gossip
@@ -26,28 +26,28 @@
 
 DISK_SET_FILE = "disk-set"
 
-CALL_S = 1.0
-"""Time for another disk's answer."""
+CALL_TIMEOUT_S = 1.0
+"""Timeout of a call to another disk."""
 
 
 class DiskState:
     """One disk host's entries and its view of the set of disks.
 
     Attributes:
-        is_retiring: it is to leave the set, and does not join again.
-        is_retired: it has left the set, and takes no entries any more.
+        is_retiring: the disk is to leave the set, and does not join again.
+        is_retired: the disk has left the set, and accepts no more entries.
     """
 
     def __init__(self, settings: SiteSettings, peers: Peers) -> None:
-        """Takes the settings and the way to other hosts; reads what is on the disk."""
+        """Loads the state that is stored in the data folder."""
         self.settings = settings
         self.peers = peers
         self.turns = TurnLog(Path(settings.data_folder), time.monotonic())
-        self._commits = CommitGroup(self.turns)
+        self._commits = GroupCommit(self.turns)
         self.gossip = Gossip(settings, wire.HostRole.DISK)
-        self.objects = ObjectKeeper(Path(settings.data_folder), peers)
-        self._set_file = Path(settings.data_folder) / DISK_SET_FILE
-        self.disk_set = _read_disk_set(self._set_file)
+        self.objects = ObjectBackup(Path(settings.data_folder), peers)
+        self._disk_set_file = Path(settings.data_folder) / DISK_SET_FILE
+        self.disk_set = _read_disk_set(self._disk_set_file)
         self._position_by_generation: dict[int, int] = {}
         self._hosts_by_program: dict[str, set[str]] = {}
         self._set_changed = asyncio.Event()
@@ -64,16 +64,16 @@
         )
 
     def keys_kept_by(self, member: wire.DiskMember, keys: Iterable[tuple[str, str]]) -> list[str]:
-        """Returns the keys of the programs that a disk keeps, or will keep once it has joined."""
+        """Returns the keys of programs placed on a disk, or that will be once it has joined."""
         if all(one.host != member.host for one in self.disk_set.members):
             members = [*self.disk_set.members, member]
             tolerated = self.settings.tolerated_disks
             return [
                 key for key, program in keys if member in places_of(program, members, tolerated)
             ]
-        return [key for key, program in keys if member.host in self._places(program)]
+        return [key for key, program in keys if member.host in self._replica_hosts(program)]
 
-    def _places(self, program: str) -> set[str]:
+    def _replica_hosts(self, program: str) -> set[str]:
         hosts = self._hosts_by_program.get(program)
         if hosts is None:
             tolerated = self.settings.tolerated_disks
@@ -82,16 +82,16 @@
             self._hosts_by_program[program] = hosts
         return hosts
 
-    def take_disk_set(self, disk_set: wire.DiskSet) -> None:
-        """Takes a set in, unless a newer one is known."""
+    def apply_disk_set(self, disk_set: wire.DiskSet) -> None:
+        """Applies a disk set, unless a newer one is known."""
         if disk_set.version > self.disk_set.version:
             self.disk_set = disk_set
-            self.fence.take(disk_set, self.me)
+            self.fence.apply(disk_set, self.me)
             self._set_changed.set()
-            # What this disk keeps may have changed: the others' logs are read again.
+            # Other programs may be placed here now, so the other logs are read from the start.
             self._position_by_generation.clear()
             self._hosts_by_program.clear()
-            self._keep_disk_set()
+            self._store_disk_set()
             self.gossip.me.disk_set_version = disk_set.version
             self.gossip.say_now()
             eliot.log_message(
@@ -100,26 +100,26 @@
                 members=[member.host for member in disk_set.members],
             )
 
-    def _keep_disk_set(self) -> None:
-        """Keeps the set for a start while the store is down."""
+    def _store_disk_set(self) -> None:
+        """Stores the set, for a restart during an outage of the store."""
         try:
-            replace_synced(self._set_file, encode_message(self.disk_set))
+            replace_synced(self._disk_set_file, encode_message(self.disk_set))
         except OSError as error:
             eliot.log_message("disk.refused", what="disk set", why=str(error))
 
     async def write(self, entries: list[wire.TurnEntry]) -> None:
-        """Appends and syncs.
+        """Appends entries and syncs them.
 
         Raises:
-            OSError: the disk refused.
+            OSError: the write or the sync failed.
         """
         self.turns.append(entries)
         await self._commits.sync()
 
     async def call(self, address: str, method: str, payload: bytes) -> bytes | None:
-        """Returns another host's answer; None where there is none."""
+        """Calls another host; returns its answer, or None where the call failed."""
         try:
-            async with running_timeout(CALL_S):
+            async with running_timeout(CALL_TIMEOUT_S):
                 return await self.peers.call(address, method, payload)
         except (TimeoutError, PeerUnreachableError, PeerFailureError) as error:
             eliot.log_message(
--- a/src/bayhinge/_internal/services/disks/commit_group.py
+++ b/src/bayhinge/_internal/services/disks/group_commit.py
@@ -1,38 +1,37 @@
-"""One sync for all entries that are written in the same round of the loop."""
+"""Group commit: one sync for all entries that are written in one event loop iteration."""
 
 import asyncio
 
 from bayhinge._internal.services.disks.turn_log import TurnLog
 
 
-class CommitGroup:
-    """Syncs once for all entries that were appended in the same round of the loop."""
+class GroupCommit:
+    """Syncs once for all entries that were appended in the same event loop iteration."""
 
     def __init__(self, log: TurnLog) -> None:
-        """Takes the log to sync."""
         self._log = log
-        self._waiting: asyncio.Future[None] | None = None
+        self._pending: asyncio.Future[None] | None = None
 
     async def sync(self) -> None:
-        """Returns when everything appended so far lasts.
+        """Returns when everything appended so far is durable.
 
         Raises:
-            OSError: the disk refused.
+            OSError: the sync failed.
         """
-        if self._waiting is None:
+        if self._pending is None:
             loop = asyncio.get_running_loop()
-            self._waiting = loop.create_future()
+            self._pending = loop.create_future()
             loop.call_soon(self._sync_now)
-        await asyncio.shield(self._waiting)
+        await asyncio.shield(self._pending)
 
     def _sync_now(self) -> None:
-        waiting, self._waiting = self._waiting, None
+        waiting, self._pending = self._pending, None
         assert waiting is not None
         try:
             self._log.sync()
         except OSError as error:
             waiting.set_exception(error)
-            # Whoever waits gets it; without a waiter it must not be reported as lost.
+            # Marks the exception as retrieved, as all waiters may have been cancelled.
             waiting.exception()
         else:
             waiting.set_result(None)
--- a/src/bayhinge/_internal/services/disks/log_frames.py
+++ b/src/bayhinge/_internal/services/disks/log_frames.py
@@ -1,4 +1,4 @@
-"""How an entry stands in a segment: length, checksum, thrift struct."""
+"""Frame format of the entries in a segment: length, checksum, thrift struct."""
 
 import struct
 from collections.abc import Iterator
@@ -14,13 +14,13 @@
 HEADER_BYTES = _FRAME.size
 
 
-def frame_of(data: bytes) -> bytes:
-    """Returns an entry's bytes behind their length and checksum."""
+def encode_frame(data: bytes) -> bytes:
+    """Prefixes an encoded entry with its length and checksum."""
     return _FRAME.pack(len(data), xxhash.xxh3_64_intdigest(data)) + data
 
 
 def read_frames(data: bytes) -> Iterator[tuple[int, int, TurnEntry]]:
-    """Yields offset, length and entry of each frame, up to the first that does not check."""
+    """Yields offset, length and entry of each frame, up to the first invalid one."""
     view = memoryview(data)
     reader = MessageReader(data)
     position = 0
--- a/src/bayhinge/_internal/services/disks/object_keeper.py
+++ b/src/bayhinge/_internal/services/disks/object_backup.py
@@ -1,8 +1,8 @@
-"""Keeps what entry hosts know of the platform's objects, on the disk.
+"""Backup of the platform's objects on the disk, copied from entry hosts.
 
-When every host has lost power while the platform's store is down, this is where the
-configuration and the list of endpoints come from. It is never newer than the store, so
-whoever can read the store does not use it.
+After a power failure of every host during an outage of the platform's store, hosts get the
+configuration and the endpoint list from here. It is never newer than the store, so hosts that can
+read the store do not use it.
 """
 
 import asyncio
@@ -19,23 +19,23 @@
 from bayhinge._internal.utils.durable_files import replace_synced
 from bayhinge._internal.wire.hosts.ttypes import Hello, KnownObjects, ObjectsQuery
 
-FETCH_S = 1.0
-"""Time for an entry host's answer."""
+FETCH_TIMEOUT_S = 1.0
+"""Timeout of a call to an entry host."""
 
-FETCH_PAUSE_S = 1.0
-"""Between two fetches of one prefix: engines that come one by one make one copy, not many."""
+FETCH_DELAY_S = 1.0
+"""Delay before a fetch, so that changes in quick succession are copied once."""
 
 SUFFIX = ".objects"
 
 
-class ObjectKeeper:
-    """The newest known objects by prefix, in one file each."""
+class ObjectBackup:
+    """The newest known objects, in one file per prefix."""
 
     def __init__(self, folder: Path, peers: Peers) -> None:
-        """Takes the disk's folder and the way to entry hosts; reads what is there."""
+        """Reads the stored objects from the disk's folder."""
         self._folder = folder
         self._peers = peers
-        self._busy: set[str] = set()
+        self._fetching: set[str] = set()
         self._known_by_prefix: dict[str, KnownObjects] = {}
         for path in folder.glob(f"*{SUFFIX}"):
             known = _read(path)
@@ -44,28 +44,28 @@
 
     @property
     def revision_by_prefix(self) -> dict[str, int]:
-        """What this disk has, for its hellos."""
+        """The stored revision of each prefix, for this disk's heartbeats."""
         return {prefix: known.revision for prefix, known in self._known_by_prefix.items()}
 
     def known(self, prefix: str) -> KnownObjects:
-        """Returns the objects under a prefix; none where nothing is known of it."""
+        """Returns the objects under a prefix; empty at revision 0 where it is unknown."""
         return self._known_by_prefix.get(prefix, KnownObjects(0, {}, 0))
 
-    def news(self, hello: Hello) -> list[Coroutine[Any, Any, None]]:
-        """Returns the fetches that a hello calls for."""
+    def fetches_for(self, heartbeat: Hello) -> list[Coroutine[Any, Any, None]]:
+        """Returns fetches of the prefixes that are newer at the sender of a heartbeat."""
         wanted = [
             prefix
-            for prefix, revision in hello.revision_by_prefix.items()
-            if prefix not in self._busy and revision > self.known(prefix).revision
+            for prefix, revision in heartbeat.revision_by_prefix.items()
+            if prefix not in self._fetching and revision > self.known(prefix).revision
         ]
-        self._busy.update(wanted)
-        return [self._fetch(prefix, hello.peer_address) for prefix in wanted]
+        self._fetching.update(wanted)
+        return [self._fetch(prefix, heartbeat.peer_address) for prefix in wanted]
 
     async def _fetch(self, prefix: str, address: str) -> None:
         try:
-            await asyncio.sleep(FETCH_PAUSE_S)
+            await asyncio.sleep(FETCH_DELAY_S)
             query = encode_message(ObjectsQuery(prefix))
-            async with asyncio.timeout(FETCH_S):
+            async with asyncio.timeout(FETCH_TIMEOUT_S):
                 answer = await self._peers.call(address, methods.OBJECTS, query)
             known = decode_message(KnownObjects(), answer)
             if known.complete_to > self.known(prefix).complete_to:
@@ -80,7 +80,7 @@
         ) as error:
             eliot.log_message("objects.not_kept", prefix=prefix, why=str(error) or "time-out")
         finally:
-            self._busy.discard(prefix)
+            self._fetching.discard(prefix)
 
 
 def _read(path: Path) -> KnownObjects | None:
--- a/src/bayhinge/_internal/services/disks/set_fence.py
+++ b/src/bayhinge/_internal/services/disks/set_fence.py
@@ -1,4 +1,4 @@
-"""What a disk host has caught up with, kept over the versions of the set of disks."""
+"""Tracks whether a disk host has caught up with the newest version of the disk set."""
 
 import asyncio
 from pathlib import Path
@@ -13,14 +13,19 @@
 
 
 class SetFence:
-    """One disk host's view of the newest version that it knows.
+    """One disk host's fence for the newest version of the disk set that it knows.
 
     Attributes:
-        has_caught_up: what quorums of the version before have taken is here.
+        has_caught_up: this disk has everything that quorums of the previous version accepted.
     """
 
     def __init__(self, tolerated: int, folder: Path) -> None:
-        """Takes how many disks may be lost at once, and where this disk keeps its files."""
+        """Starts without a disk set.
+
+        Args:
+            tolerated: number of disks that may be lost at once.
+            folder: where this disk stores its files.
+        """
         self._tolerated = tolerated
         self._file = folder / CAUGHT_UP_FILE
         self._own: DiskMember | None = None
@@ -30,32 +35,32 @@
         self._caught_up_generations: set[int] = set()
         self.has_caught_up = False
 
-    def take(self, disk_set: DiskSet, own: DiskMember) -> None:
-        """A newer version is known; what was read under the one before counts no more."""
+    def apply(self, disk_set: DiskSet, own: DiskMember) -> None:
+        """Switches to a newer version; reads under the previous one no longer count."""
         self._own = own
         previous = tuple(disk_set.previous or ())
         self._known = KnownSet(disk_set.version, tuple(disk_set.members), previous, self._tolerated)
         self._since_s = asyncio.get_running_loop().time()
         self._read_generations.clear()
         self._caught_up_generations.clear()
-        # What was read is on the disk, so it outlives a start.
-        self.has_caught_up = self._kept_version() == disk_set.version
-        self._look()
+        # What was read is on the disk, so the state survives a restart.
+        self.has_caught_up = self._stored_version() == disk_set.version
+        self._update_caught_up()
 
-    def note_read(self, member: DiskMember, version: int, source_has_caught_up: bool) -> None:
-        """Another disk's log was read to its end, while it and this one knew a version."""
+    def record_read(self, member: DiskMember, version: int, source_has_caught_up: bool) -> None:
+        """Records that another disk's log was read to its end while both knew ``version``."""
         if version != self._known.version:
             return
         self._read_generations.add(member.generation)
         if source_has_caught_up:
             self._caught_up_generations.add(member.generation)
-        self._look()
+        self._update_caught_up()
 
     def verdict(self, program: str, asked_version: int) -> Verdict:
         """See :meth:`KnownSet.verdict`."""
         if self._own is None:
             return Verdict.DISK_IS_BEHIND
-        self._look()
+        self._update_caught_up()
         return self._known.verdict(self._own, program, asked_version, self.has_caught_up)
 
     @property
@@ -66,14 +71,14 @@
             caught_up.add(self._own.generation)
         return self._is_overdue() or self._known.has_settled(caught_up)
 
-    def _look(self) -> None:
+    def _update_caught_up(self) -> None:
         if self.has_caught_up or self._own is None:
             return
         is_sure = self._known.is_caught_up_by(self._own, self._read_generations)
         if is_sure or self._is_overdue():
             self.has_caught_up = True
             if is_sure:
-                self._keep_version()
+                self._store_version()
             eliot.log_message(
                 "disk_set.caught_up",
                 version=self._known.version,
@@ -82,7 +87,7 @@
                 is_sure=is_sure,
             )
 
-    def _kept_version(self) -> int:
+    def _stored_version(self) -> int:
         try:
             text = self._file.read_text()
         except FileNotFoundError:
@@ -92,11 +97,11 @@
             return 0
         return int(text) if text.strip().isdecimal() else 0
 
-    def _keep_version(self) -> None:
+    def _store_version(self) -> None:
         try:
             replace_synced(self._file, f"{self._known.version}\n".encode())
         except OSError as error:
-            # After a start it reads the others again.
+            # After a restart this disk reads the other disks again.
             eliot.log_message("disk.refused", what=self._file.name, why=str(error))
 
     def _is_overdue(self) -> bool:
--- a/src/bayhinge/_internal/services/disks/turn_log.py
+++ b/src/bayhinge/_internal/services/disks/turn_log.py
@@ -1,8 +1,7 @@
 """An append-only log of turns and reservations, in segments with checksums.
 
-An entry is framed as length, checksum and thrift struct. What was not synced when the
-power went may be there, torn or gone, so reading ends at the first frame that does not
-check. An entry never changes; the same key again is the same entry.
+After a power failure unsynced data may be intact, torn or missing, so reading ends at the first
+invalid frame. Entries are immutable; writing a key again is a no-op.
 """
 
 import os
@@ -14,7 +13,7 @@
 
 from bayhinge._internal.models.endpoint_entries import EndpointStart
 from bayhinge._internal.network.frames import decode_message, encode_message
-from bayhinge._internal.services.disks.log_frames import HEADER_BYTES, frame_of, read_frames
+from bayhinge._internal.services.disks.log_frames import HEADER_BYTES, encode_frame, read_frames
 from bayhinge._internal.services.disks.turn_index import (
     Location,
     ProgramLedger,
@@ -25,7 +24,7 @@
 from bayhinge._internal.wire.hosts.ttypes import TurnEntry
 
 SEGMENT_BYTES = 8_000_000
-"""A segment is closed at this size; whole segments are removed when nothing in them lives."""
+"""A segment is closed at this size; it is removed as a whole once none of its programs is live."""
 
 GENERATION_FILE = "generation"
 JOINED_FILE = "joined"
@@ -34,11 +33,13 @@
 
 @attrs.frozen
 class Chain:
-    """A chain of turns as one disk has it.
+    """A chain of turns as stored on one disk.
 
     Attributes:
-        missing: a turn of it that the disk lacks.
-        account: whose the last turn is; None where its entry does not say.
+        text: the joined texts of the turns.
+        run_at: the endpoint incarnation that ran the last turn for which one is known.
+        missing: a turn of the chain that the disk does not have.
+        account: the account of the last turn; None where its entry has none.
     """
 
     text: bytes = b""
@@ -48,12 +49,12 @@
 
 
 class TurnLog:
-    """One disk's entries."""
+    """The log of one disk's entries."""
 
     def __init__(self, folder: Path, now_s: float = 0.0) -> None:
-        """Opens the folder and reads what stands there.
+        """Opens the folder and indexes its segments.
 
-        ``now_s`` is the caller's steady clock; all that is read counts as just written.
+        ``now_s`` is the caller's monotonic clock; all entries read count as written then.
         """
         self._folder = folder
         folder.mkdir(parents=True, exist_ok=True)
@@ -74,7 +75,7 @@
     # ---- reading ----
 
     def chain(self, last: str) -> Chain:
-        """Returns the texts of a chain, joined from the oldest on."""
+        """Returns the chain that ends with a turn, its texts joined from the oldest on."""
         texts: list[bytes] = []
         run_at = EndpointStart()
         attempt: str | None = last
@@ -90,34 +91,34 @@
         return Chain(b"".join(reversed(texts)), run_at, account=account)
 
     def ledger(self, program: str) -> ProgramLedger:
-        """Returns what is known of a program's turns."""
+        """Returns the token use of a program's turns."""
         return self._index.ledger(program)
 
-    def keys_after(self, position: int, most: int) -> list[tuple[str, str]]:
-        """Returns keys in the order in which they were written, each with its program."""
-        return self._index.keys_after(position, most)
+    def keys_after(self, position: int, limit: int) -> list[tuple[str, str]]:
+        """Returns up to ``limit`` keys from a position in write order, each with its program."""
+        return self._index.keys_after(position, limit)
 
     @property
     def first_position(self) -> int:
-        """The position of the oldest entry that is still here."""
+        """The position of the oldest retained entry."""
         return self._index.first_position
 
     @property
     def position(self) -> int:
-        """The number of entries written so far, those dropped included."""
+        """The number of entries written so far, including dropped ones."""
         return self._index.position
 
     @property
     def entry_count(self) -> int:
-        """The number of entries that are here."""
+        """The number of retained entries."""
         return self._index.entry_count
 
     def has(self, key: str) -> bool:
-        """Tells whether an entry is here."""
+        """Whether this disk has an entry."""
         return self._index.has(key)
 
     def read_entries(self, keys: Iterable[str]) -> Iterator[TurnEntry]:
-        """Yields the entries of those keys that are here."""
+        """Yields the entries of those keys that this disk has."""
         for key in keys:
             location = self._index.location(key)
             if location is not None:
@@ -126,10 +127,10 @@
     # ---- writing ----
 
     def append(self, entries: Iterable[TurnEntry]) -> None:
-        """Writes those entries that are not here yet; they last after :meth:`sync`.
+        """Writes the entries that this disk does not have; durable after :meth:`sync`.
 
         Raises:
-            OSError: the disk refused.
+            OSError: the write failed.
         """
         for entry in entries:
             key = entry_key(entry)
@@ -137,11 +138,11 @@
                 self._write(key, entry)
 
     def sync(self) -> None:
-        """Makes everything written so far last.
+        """Makes everything written so far durable.
 
         Raises:
-            OSError: the disk refused; what was written since the last sync is forgotten, for
-                a later sync that works says nothing of it.
+            OSError: the sync failed. Entries since the last sync are discarded, as a later
+                successful sync does not prove that they are durable.
         """
         if not self._unsynced:
             return
@@ -154,21 +155,21 @@
         self._synced_end = self._end
 
     def expire(self, now_s: float) -> int:
-        """Removes the oldest segments in which no program lives; returns how many.
+        """Removes the oldest segments without live programs; returns how many.
 
-        ``now_s`` is the caller's steady clock.
+        ``now_s`` is the caller's monotonic clock.
         """
         self._index.now_s = now_s
-        living = self._index.living(now_s)
+        live_programs = self._index.live_programs(now_s)
         removed = 0
         for segment in sorted(self._files_by_segment):
             keys = self._index.keys_of(segment)
-            if segment == self._segment or any(program in living for _, program in keys):
+            if segment == self._segment or any(program in live_programs for _, program in keys):
                 break
             self._remove_segment(segment, keys)
             removed += 1
         if removed:
-            self._index.drop_unused_starts()
+            self._index.drop_unused_incarnations()
         return removed
 
     def _remove_segment(self, segment: int, keys: list[tuple[str, str]]) -> None:
@@ -177,7 +178,7 @@
         self._index.drop(segment, keys)
 
     def mark_joined(self) -> None:
-        """Notes that this disk counts: it has copied all that it lacked."""
+        """Marks this disk as a member of the set, once it has copied what it lacked."""
         write_synced(self._folder / JOINED_FILE, b"joined\n")
         self.is_joined = True
 
@@ -188,35 +189,35 @@
             os.close(file)
         self._files_by_segment.clear()
 
-    # ---- inside ----
+    # ---- internals ----
 
     def _write(self, key: str, entry: TurnEntry) -> None:
         if self._end >= SEGMENT_BYTES:
             self.sync()
             self._open_segment(self._segment + 1)
         data = encode_message(entry)
-        frame = frame_of(data)
+        frame = encode_frame(data)
         file = self._files_by_segment[self._segment]
         if self._has_torn_tail:
-            self._drop_tail(file)
+            self._truncate_tail(file)
         try:
             written = os.write(file, frame)
         except OSError:
-            self._drop_tail(file)
+            self._truncate_tail(file)
             raise
         if written != len(frame):
-            self._drop_tail(file)
+            self._truncate_tail(file)
             raise OSError(f"only {written} of {len(frame)} bytes were written")
         location = Location(self._segment, self._end + HEADER_BYTES, len(data))
         self._end += len(frame)
         self._unsynced.append(entry)
         self._index.add(key, entry, location)
 
-    def _drop_tail(self, file: int) -> None:
-        """Takes a write back that was not whole, so that what follows can be read.
+    def _truncate_tail(self, file: int) -> None:
+        """Truncates a partial write, so that later frames stay readable.
 
         Raises:
-            OSError: the disk refused; nothing is written until it has taken it back.
+            OSError: the truncation failed; it is repeated before the next write.
         """
         self._has_torn_tail = True
         os.ftruncate(file, self._end)
@@ -228,7 +229,7 @@
             self._index.forget(entry, self.read_entries)
         self._unsynced.clear()
         self._end = self._synced_end
-        self._drop_tail(self._files_by_segment[self._segment])
+        self._truncate_tail(self._files_by_segment[self._segment])
 
     def _read(self, location: Location) -> TurnEntry:
         data = os.pread(self._files_by_segment[location.segment], location.length, location.offset)
@@ -244,7 +245,7 @@
     def _open_segment(self, segment: int) -> None:
         flags = os.O_RDWR | os.O_CREAT
         self._files_by_segment[segment] = os.open(self._segment_path(segment), flags, 0o644)
-        # A new file lasts once it is synced itself.
+        # Makes the new file itself durable.
         os.fsync(self._files_by_segment[segment])
         self._segment = segment
         self._end = self._synced_end = 0
--- a/tests/lib/fence_model.py
+++ b/tests/lib/fence_model.py
@@ -49,18 +49,18 @@
         self.kept_version = kept_version
         self.has_waited = False
 
-    def take(self, disk_set: DiskSet, own: DiskMember) -> None:
+    def apply(self, disk_set: DiskSet, own: DiskMember) -> None:
         self.has_waited = False
-        super().take(disk_set, own)
+        super().apply(disk_set, own)
 
     def wait(self) -> None:
         self.has_waited = True
-        self._look()
+        self._update_caught_up()
 
-    def _kept_version(self) -> int:
+    def _stored_version(self) -> int:
         return self.kept_version
 
-    def _keep_version(self) -> None:
+    def _store_version(self) -> None:
         self.kept_version = self._known.version
 
     def _is_overdue(self) -> bool:
@@ -166,7 +166,7 @@
 
     def _tell_fence(self, disk: Disk) -> None:
         async def main() -> None:
-            disk.fence.take(disk.disk_set, disk.me)
+            disk.fence.apply(disk.disk_set, disk.me)
 
         self.loop.run_until_complete(main())
 
@@ -211,7 +211,7 @@
         if self._keeps(source, disk.me):
             disk.copy(source)
         if source.disk_set.version == disk.disk_set.version:
-            disk.fence.note_read(member, disk.disk_set.version, source.fence.has_caught_up)
+            disk.fence.record_read(member, disk.disk_set.version, source.fence.has_caught_up)
         return True
 
     def _keeps(self, source: Disk, asker: DiskMember) -> bool:
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -82,9 +82,9 @@
     ),
     "the reservation's second look": (
         Edit(
-            "services/disks/disk_answers.py",
-            "what it reads now counts.\n            reply.verdict = self._verdict(query)",
-            "what it reads now counts.",
+            "services/disks/disk_request_handler.py",
+            "so the fence is checked again.\n            reply.verdict = self._verdict(query)",
+            "so the fence is checked again.",
         ),
     ),
     "ejection": (
--- a/tests/unit/test_left_behind_disks.py
+++ b/tests/unit/test_left_behind_disks.py
@@ -113,7 +113,7 @@
     async def main() -> None:
         host = DiskHost(attrs.evolve(SETTINGS, data_folder=str(tmp_path)), cast(ObjectStore, None))
         host.gossip.say_now = lambda: None  # type: ignore[method-assign]
-        host.take_disk_set(wire.DiskSet(1, [host.me, other, *before]))
+        host.apply_disk_set(wire.DiskSet(1, [host.me, other, *before]))
         may_answer = asyncio.Event()
         asked: list[int] = []
 
@@ -133,7 +133,7 @@
         host.call = call  # type: ignore[method-assign]
         copying = asyncio.create_task(host._copy_from(other))
         await asyncio.sleep(0)
-        host.take_disk_set(wire.DiskSet(2, [host.me, other]))
+        host.apply_disk_set(wire.DiskSet(2, [host.me, other]))
         may_answer.set()
         await copying
         await host._copy_from(other)
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -261,7 +261,7 @@
         disk = cast(DiskState, Calling(host.client))
         address = host.directory.disk_set.members[0].address
         call = DiskState.call(disk, address, "echo", b"x")
-        return await stalled(call, after_s, disk_state.CALL_S + 0.1)
+        return await stalled(call, after_s, disk_state.CALL_TIMEOUT_S + 0.1)
 
     answer, _, _ = at_host(scenario)
     assert answer == b"x"
--- a/tests/unit/test_turn_log.py
+++ b/tests/unit/test_turn_log.py
@@ -143,10 +143,10 @@
     # Another program goes on from the last turn of the old one, and keeps all of it alive.
     log.append([TurnEntry(EntryKind.TURN, "new0", "new", 3, "old5", b"y" * 80, "", 60.0)])
     log.append([TurnEntry(EntryKind.TURN, "new1", "new", 3, "new0", b"y" * 80, "", 60.0)])
-    assert log.expire(1000.0 + turn_index.LEAST_KEEP_S + 1) == 0
+    assert log.expire(1000.0 + turn_index.MIN_RETENTION_S + 1) == 0
     assert log.chain("new1").missing is None
     # Once nobody needs them any more, the old segments go; the newest stays open.
-    assert log.expire(1051.0 + turn_index.LEAST_KEEP_S) > 0
+    assert log.expire(1051.0 + turn_index.MIN_RETENTION_S) > 0
     assert not log.has(entry_key(turn("old0")))
     assert log.first_position > 0
     assert log.position == 8
@@ -166,9 +166,9 @@
         log.append([turn(f"t{number}", None, b"x" * 80)])
     log.close()
     again = TurnLog(tmp_path, now_s=90_000.0)
-    assert again.expire(90_000.0 + turn_index.LEAST_KEEP_S / 2) == 0
+    assert again.expire(90_000.0 + turn_index.MIN_RETENTION_S / 2) == 0
     assert again.has(entry_key(turn("t0")))
-    assert again.expire(90_001.0 + turn_index.LEAST_KEEP_S) > 0
+    assert again.expire(90_001.0 + turn_index.MIN_RETENTION_S) > 0
 
 
 def test_what_a_failed_sync_should_have_kept_is_forgotten_and_can_be_written_again(
--- a/tests/unit/test_unheard_sets.py
+++ b/tests/unit/test_unheard_sets.py
@@ -60,10 +60,10 @@
     )
     await store.create(DISK_SET_KEY, encode_message(changed))
     known = changed if is_heard else wire.DiskSet(1, members, [])
-    host.take_disk_set(known)
+    host.apply_disk_set(known)
     for member in known.members:
         if member.host != host.me.host:
-            host.fence.note_read(member, known.version, True)
+            host.fence.record_read(member, known.version, True)
     assert host.fence.has_settled
     await change(host, store)
     stored = await read_disk_set(store)
