--- a/src/bayhinge/_internal/decisions/caller_addresses.py
+++ b/src/bayhinge/_internal/decisions/caller_addresses.py
@@ -26,12 +26,12 @@
 
 REQUESTS_PER_HOST = 12.0
 """Requests a second of one host beyond which further hosts are advertised. Low, as a burst may
-treble the load and takes some 4 ms of processor time a request."""
+treble the load; a request costs some 4 ms of processor time."""
 
 
 @attrs.frozen
 class ReadyHost:
-    """A host that takes callers' requests.
+    """A host that accepts callers' requests.
 
     Attributes:
         requests_per_s: its current rate of callers' requests.
--- a/src/bayhinge/_internal/decisions/cell.py
+++ b/src/bayhinge/_internal/decisions/cell.py
@@ -380,8 +380,8 @@
     def _record_recomputation(self, program: _ProgramState, done: Done) -> None:
         if done.outcome is not Outcome.FINISHED:
             return
-        again = min(program.tokens, done.prompt_tokens) - done.cached_tokens
-        self.estimates.hold.record(self.estimates.prefill_s(max(0, again)))
+        recomputed_tokens = min(program.tokens, done.prompt_tokens) - done.cached_tokens
+        self.estimates.hold.record(self.estimates.prefill_s(max(0, recomputed_tokens)))
         program.tokens = done.prompt_tokens + done.completion_tokens
 
     def _update_estimates(self, done: Done, seconds: float, batch: int) -> None:
--- a/src/bayhinge/_internal/decisions/disk_fence.py
+++ b/src/bayhinge/_internal/decisions/disk_fence.py
@@ -6,9 +6,9 @@
 
 * A reservation carries the version its quorum is counted under; a disk that knows a newer version
   rejects it.
-* A disk has *caught up* with a version once it has read all but
-  :func:`unread_members_allowed` members of the previous version, each of which knew the new one by
-  then. It has then read whatever an old quorum accepted, and no further old quorum can form.
+* A disk has *caught up* with a version once it has read all but :func:`unread_members_allowed`
+  members of the previous version, each of which knew the new one by then. It has then read
+  whatever an old quorum accepted, and no further old quorum can form.
 * A disk to which a program is newly assigned accepts its reservations only once it has caught up.
 * A version may be replaced only when it has settled: enough members have caught up. Otherwise too
   few members may know what was accepted two versions ago.
--- a/src/bayhinge/_internal/decisions/disk_set_rules.py
+++ b/src/bayhinge/_internal/decisions/disk_set_rules.py
@@ -42,7 +42,7 @@
     """Whether a disk outside the set has read enough members to join.
 
     It must have seen every entry that a quorum accepted, so all but ``tolerated`` members must have
-    been read. A member with the own host's name is a lost earlier disk, and counts as not read.
+    been read. A member named ``own_host`` is a lost earlier disk, and counts as not read.
     """
     missed = sum(1 for member in members if member.host not in read_hosts)
     others = [member for member in members if member.host != own_host]
--- a/src/bayhinge/_internal/decisions/endpoint_book.py
+++ b/src/bayhinge/_internal/decisions/endpoint_book.py
@@ -242,7 +242,7 @@
         if not candidates:
             return None
         # Among equal endpoints, prefers one with an idle connection.
-        least = min(
+        least_loaded = min(
             candidates,
             key=lambda state: (
                 self._cost(state),
@@ -254,14 +254,14 @@
         for state in candidates:
             if state is holder:
                 slack = weights.own_cache(state.entry.slots, preference.kept_tokens)
-                if state.effective_load <= least.effective_load + slack:
+                if state.effective_load <= least_loaded.effective_load + slack:
                     return state
         if preference.shared_part:
             for state in self._by_shared_part(candidates, preference.shared_part):
                 slack = weights.shared_part(state.entry.slots, preference.shared_tokens)
-                if state.effective_load <= least.effective_load + slack:
+                if state.effective_load <= least_loaded.effective_load + slack:
                     return state
-        return least
+        return least_loaded
 
     def _by_shared_part(
         self, candidates: list[EndpointBelief], shared_part: str
--- a/src/bayhinge/_internal/decisions/placement_weights.py
+++ b/src/bayhinge/_internal/decisions/placement_weights.py
@@ -15,7 +15,7 @@
 20 ms, in which it serves nothing else."""
 
 OTHER_HALL_SHARE = 0.15
-"""Load accepted to stay in the own hall. A program's turns follow its first one, so a request that
+"""Load accepted to stay in the same hall. A program's turns follow its first one, so a request that
 leaves the hall moves a whole history between halls."""
 
 OTHER_HALL_REQUESTS = 2.0
--- a/src/bayhinge/_internal/decisions/policies.py
+++ b/src/bayhinge/_internal/decisions/policies.py
@@ -13,7 +13,7 @@
 USABLE = frozenset({Standing.LIVE, Standing.PROBING})
 ADMIT_SHARE = 0.95
 """Share of the memory up to which new programs are admitted; the rest is for growth."""
-SHORTEST_WAIT_S = 0.05
+MIN_WAIT_S = 0.05
 RECHECK_S = 0.5
 PRIORITY_AGE_S = 10.0
 """Seconds of age that one priority level is worth."""
@@ -193,15 +193,15 @@
 
     The cost counts the prefill backlog, the prefill of uncached tokens, the slower decoding in a
     larger batch, and the recomputation of what the call evicts from the cache. A program without a
-    cached prefix waits while it fits nowhere, for at most ``longest_hold_s``; then it goes to the
+    cached prefix waits while it fits nowhere, for at most ``max_hold_s``; then it goes to the
     endpoint of the lowest cost.
     """
 
     name = "finish-time"
 
-    def __init__(self, estimates: CellEstimates, longest_hold_s: float = 120.0) -> None:
+    def __init__(self, estimates: CellEstimates, max_hold_s: float = 120.0) -> None:
         self._estimates = estimates
-        self._longest_hold_s = longest_hold_s
+        self._max_hold_s = max_hold_s
         self._now = 0.0
         self._most_free = 0.0
 
@@ -210,7 +210,7 @@
     ) -> Placement | None:
         """See :class:`PlacementPolicy`."""
         offer = waiting.offer
-        overdue = now - waiting.arrived_at >= self._longest_hold_s
+        overdue = now - waiting.arrived_at >= self._max_hold_s
         if not overdue and (
             self._still_waits(waiting, endpoints) or not self._may_fit(offer, endpoints)
         ):
@@ -246,8 +246,8 @@
 
     def has_room(self, endpoints: Iterable[EndpointView], now: float) -> bool:
         """See :class:`PlacementPolicy`."""
-        usual = self._estimates.beginning_tokens.value + self._estimates.answer_tokens.value
-        return self.begin_round(endpoints, now) and self._most_free >= usual
+        average = self._estimates.beginning_tokens.value + self._estimates.answer_tokens.value
+        return self.begin_round(endpoints, now) and self._most_free >= average
 
     def _free(self, view: EndpointView) -> float:
         """Returns the memory that is free for programs without a prefix there."""
@@ -284,13 +284,15 @@
         answer = estimates.answer_tokens.value
         backlog = max(0.0, view.prefill_until - self._now)
         wait = self._wait_s(offer, view)
-        reading = estimates.prefill_s(offer.prompt_tokens - view.cached_tokens(offer))
+        own_prefill_s = estimates.prefill_s(offer.prompt_tokens - view.cached_tokens(offer))
         # Prefill stalls the whole batch, and one more call slows its decoding: the time that
         # other calls lose counts like the call's own time.
-        slowed = answer * estimates.token_s.slope_s * running
-        pushed_out = estimates.prefill_s(self._evicted_tokens(offer, view))
-        own = wait + backlog + reading + answer * estimates.token_s.at(running + 1)
-        return _Cost(view, wait, own + (reading + pushed_out) * (running + 1) + slowed)
+        decode_slowdown_s = answer * estimates.token_s.slope_s * running
+        eviction_s = estimates.prefill_s(self._evicted_tokens(offer, view))
+        own = wait + backlog + own_prefill_s + answer * estimates.token_s.at(running + 1)
+        return _Cost(
+            view, wait, own + (own_prefill_s + eviction_s) * (running + 1) + decode_slowdown_s
+        )
 
     def _wait_s(self, offer: Offer, view: EndpointView) -> float:
         """Returns how long the call must wait there for memory; 0 where it fits now.
@@ -307,7 +309,7 @@
         if excess <= 0 or not held:
             return 0.0
         # Running calls free their memory within about one average call duration.
-        return self._estimates.call_s.value * min(1.0, excess / held) + SHORTEST_WAIT_S
+        return self._estimates.call_s.value * min(1.0, excess / held) + MIN_WAIT_S
 
     def _evicted_tokens(self, offer: Offer, view: EndpointView) -> float:
         """Returns the tokens of recent programs that the call would evict."""
--- a/src/bayhinge/_internal/decisions/quota_bucket.py
+++ b/src/bayhinge/_internal/decisions/quota_bucket.py
@@ -21,8 +21,8 @@
 still ask its predecessor."""
 
 SLOW_FILL_RATE = 0.4
-"""Factor on the fill rate then, and while the host stands in for an unreachable coordinator, which
-may still grant to others: together they stay within the margin for a second."""
+"""Factor on the fill rate in that time, and while the host stands in for an unreachable
+coordinator, which may still grant to others: together they stay within the margin for a second."""
 
 ARRIVAL_DELAY_S = 0.1
 """Usual delay between a grant and the request's arrival at an endpoint."""
--- a/src/bayhinge/_internal/decisions/watchers.py
+++ b/src/bayhinge/_internal/decisions/watchers.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class HallHost:
-    """A host of the own hall.
+    """A host of this host's hall.
 
     Attributes:
         store_fails: its last calls to the store failed.
@@ -82,17 +82,17 @@
         watches of one prefix at once: a failure that hangs the other prefix's watches must still
         be noticed soon.
         """
-        turns = min(self.watchers, WATCHERS_PER_HALL)
-        within_hall = (self.watcher % turns + self.prefix / self.prefixes) / turns
+        slots = min(self.watchers, WATCHERS_PER_HALL)
+        within_hall = (self.watcher % slots + self.prefix / self.prefixes) / slots
         # Shifted by half of the halls, so that the ends of one host, which may be down, are apart.
         hall = (self.hall + self.prefix * self.halls // self.prefixes) % self.halls
         return (hall + within_hall) / self.halls
 
 
-def wait_until_turn(turn: WatchTurn, now_s: float) -> float:
+def wait_until_turn(slot: WatchTurn, now_s: float) -> float:
     """Returns how long a watch that begins now waits, in seconds.
 
     ``now_s`` is wall-clock time; clock skew between hosts only spreads the ends less evenly.
     """
-    wait_s = (turn.phase * turn.period_s - now_s) % turn.period_s
-    return wait_s if wait_s >= MIN_WATCH_S else wait_s + turn.period_s
+    wait_s = (slot.phase * slot.period_s - now_s) % slot.period_s
+    return wait_s if wait_s >= MIN_WATCH_S else wait_s + slot.period_s
--- a/src/bayhinge/_internal/services/disks/disk_request_handler.py
+++ b/src/bayhinge/_internal/services/disks/disk_request_handler.py
@@ -98,7 +98,7 @@
         written = turns.keys_after(after, KEYS_PER_CALL)
         position = max(after, turns.first_position) + len(written)
         more = position < turns.position
-        keys = self._disk.keys_kept_by(query.asker, written)
+        keys = self._disk.keys_placed_on(query.asker, written)
         version = self._disk.disk_set.version
         caught_up = self._disk.fence.has_caught_up
         return encode_message(
--- a/src/bayhinge/_internal/services/disks/disk_retirement.py
+++ b/src/bayhinge/_internal/services/disks/disk_retirement.py
@@ -73,7 +73,7 @@
         return bool(complete) and len(others) - len(complete) <= allowed
 
     async def _push_all(self, member: wire.DiskMember) -> bool:
-        keys = self._disk.keys_kept_by(
+        keys = self._disk.keys_placed_on(
             member, self._disk.turns.keys_after(0, self._disk.turns.position)
         )
         for start in range(0, len(keys), KEYS_PER_CALL):
--- a/src/bayhinge/_internal/services/disks/disk_state.py
+++ b/src/bayhinge/_internal/services/disks/disk_state.py
@@ -63,7 +63,7 @@
             settings.host, self.turns.generation, settings.peer_address, settings.hall
         )
 
-    def keys_kept_by(self, member: wire.DiskMember, keys: Iterable[tuple[str, str]]) -> list[str]:
+    def keys_placed_on(self, member: wire.DiskMember, keys: Iterable[tuple[str, str]]) -> list[str]:
         """Returns the keys of programs placed on a disk, or that will be once it has joined."""
         if all(one.host != member.host for one in self.disk_set.members):
             members = [*self.disk_set.members, member]
@@ -77,8 +77,8 @@
         hosts = self._hosts_by_program.get(program)
         if hosts is None:
             tolerated = self.settings.tolerated_disks
-            places = places_of(program, self.disk_set.members, tolerated)
-            hosts = {member.host for member in places}
+            replicas = places_of(program, self.disk_set.members, tolerated)
+            hosts = {member.host for member in replicas}
             self._hosts_by_program[program] = hosts
         return hosts
 
--- a/src/bayhinge/_internal/services/disks/set_fence.py
+++ b/src/bayhinge/_internal/services/disks/set_fence.py
@@ -16,7 +16,8 @@
     """One disk host's fence for the newest version of the disk set that it knows.
 
     Attributes:
-        has_caught_up: this disk has everything that quorums of the previous version accepted.
+        has_caught_up: this disk has everything that quorums of the previous version accepted, or
+            :data:`CATCH_UP_LIMIT_S` has passed.
     """
 
     def __init__(self, tolerated: int, folder: Path) -> None:
