--- a/src/bayhinge/_internal/decisions/load_board.py
+++ b/src/bayhinge/_internal/decisions/load_board.py
@@ -1,4 +1,4 @@
-"""Requests of all hosts in flight at the endpoints of one hall, kept by its coordinator. Pure.
+"""In-flight requests of all hosts at the endpoints of one hall, kept by its coordinator. Pure.
 
 Each report is complete, so a lost message has no lasting effect. A request that the coordinator
 granted counts at once, until a report of the host includes it.
--- a/src/bayhinge/_internal/decisions/sightings.py
+++ b/src/bayhinge/_internal/decisions/sightings.py
@@ -38,39 +38,42 @@
 
 
 class Sightings:
-    """When each incarnation of a host was last seen by any host."""
+    """When each incarnation of a host was last seen by any host.
+
+    Incarnations are identified by :func:`start_of`.
+    """
 
     def __init__(self) -> None:
         self._last_seen_s_by_incarnation: dict[int, float] = {}
 
-    def see(self, incarnation: int, now_s: float) -> None:
+    def see(self, incarnation_id: int, now_s: float) -> None:
         """Records a heartbeat of a host that accepts callers."""
-        self._last_seen_s_by_incarnation[incarnation] = now_s
+        self._last_seen_s_by_incarnation[incarnation_id] = now_s
 
-    def leave(self, incarnation: int) -> None:
+    def leave(self, incarnation_id: int) -> None:
         """Removes a host whose heartbeat says that it accepts no callers."""
-        self._last_seen_s_by_incarnation.pop(incarnation, None)
+        self._last_seen_s_by_incarnation.pop(incarnation_id, None)
 
-    def hear(self, age_by_incarnation: Mapping[int, int], now_s: float) -> None:
+    def hear(self, age_by_id: Mapping[int, int], now_s: float) -> None:
         """Merges the ages of another host; the network delay is not counted."""
-        for incarnation, age in age_by_incarnation.items():
+        for incarnation_id, age in age_by_id.items():
             seen_s = now_s - max(0, age) / AGE_UNITS_PER_S
-            if seen_s > self._last_seen_s_by_incarnation.get(incarnation, 0.0):
-                self._last_seen_s_by_incarnation[incarnation] = seen_s
+            if seen_s > self._last_seen_s_by_incarnation.get(incarnation_id, 0.0):
+                self._last_seen_s_by_incarnation[incarnation_id] = seen_s
 
-    def seen_s(self, incarnation: int) -> float:
+    def seen_s(self, incarnation_id: int) -> float:
         """Returns when an incarnation was last seen, on the clock of ``now_s``; 0 if never."""
-        return self._last_seen_s_by_incarnation.get(incarnation, 0.0)
+        return self._last_seen_s_by_incarnation.get(incarnation_id, 0.0)
 
     def ages(self, now_s: float) -> dict[int, int]:
         """Returns the ages to send, and removes those that are too old."""
         oldest_s = now_s - MAX_AGE_S
         self._last_seen_s_by_incarnation = {
-            incarnation: seen_s
-            for incarnation, seen_s in self._last_seen_s_by_incarnation.items()
+            incarnation_id: seen_s
+            for incarnation_id, seen_s in self._last_seen_s_by_incarnation.items()
             if seen_s >= oldest_s
         }
         return {
-            incarnation: round((now_s - seen_s) * AGE_UNITS_PER_S)
-            for incarnation, seen_s in self._last_seen_s_by_incarnation.items()
+            incarnation_id: round((now_s - seen_s) * AGE_UNITS_PER_S)
+            for incarnation_id, seen_s in self._last_seen_s_by_incarnation.items()
         }
