--- a/src/bayhinge/_internal/services/gateway/runs_under_way.py
+++ b/src/bayhinge/_internal/services/gateway/active_runs.py
@@ -6,11 +6,11 @@
 from bayhinge._internal.decisions.endpoint_starts import NewStart, is_over
 from bayhinge._internal.network.endpoint_link import EndpointConnection
 
-WHY_OVER = "its endpoint has started again: the run is over"
+ENDED_REASON = "its endpoint has started again: the run is over"
 
 
 @attrs.define(eq=False)
-class RunUnderWay:
+class ActiveRun:
     """One request at one start of an endpoint.
 
     Attributes:
@@ -20,73 +20,73 @@
         is_over: the start has ended, or its address is another's.
     """
 
-    belief: EndpointBelief
+    state: EndpointBelief
     connection: EndpointConnection | None = None
-    is_over: bool = False
+    is_ended: bool = False
 
     @property
     def endpoint(self) -> str:
         """The endpoint's id."""
-        return self.belief.entry.instance
+        return self.state.entry.instance
 
 
-class RunsUnderWay:
+class ActiveRuns:
     """The runs of one host, by endpoint."""
 
     def __init__(self) -> None:
         """Starts with none."""
-        self._runs_by_endpoint: dict[str, set[RunUnderWay]] = {}
+        self._runs_by_endpoint: dict[str, set[ActiveRun]] = {}
 
-    def begin(self, belief: EndpointBelief) -> RunUnderWay:
+    def begin(self, state: EndpointBelief) -> ActiveRun:
         """Counts a request as under way at an endpoint."""
-        run = RunUnderWay(belief)
-        belief.running_here += 1
-        self._runs_by_endpoint.setdefault(belief.entry.instance, set()).add(run)
+        run = ActiveRun(state)
+        state.running_here += 1
+        self._runs_by_endpoint.setdefault(state.entry.instance, set()).add(run)
         return run
 
-    def end(self, run: RunUnderWay) -> None:
+    def end(self, run: ActiveRun) -> None:
         """The request is no longer under way there."""
-        run.belief.running_here -= 1
+        run.state.running_here -= 1
         runs = self._runs_by_endpoint[run.endpoint]
         runs.remove(run)
         if not runs:
             del self._runs_by_endpoint[run.endpoint]
 
-    def start_again(self, newest: EndpointBelief, start: NewStart) -> tuple[int, int]:
+    def handle_restart(self, newest: EndpointBelief, incarnation: NewStart) -> tuple[int, int]:
         """Ends the runs of former starts, and counts the others at the newest one.
 
         Returns how many are over, and how many go on.
         """
-        kept = 0
+        continued = 0
         runs = self._runs_by_endpoint.get(newest.entry.instance, set())
         for run in runs:
-            if _leads_elsewhere(run, start):
+            if _is_stale(run, incarnation):
                 _end(run)
                 continue
-            run.belief.running_here -= 1
-            run.belief = newest
+            run.state.running_here -= 1
+            run.state = newest
             newest.running_here += 1
-            kept += 1
-        return len(runs) - kept, kept
+            continued += 1
+        return len(runs) - continued, continued
 
-    def displace(self, endpoint: str, start: NewStart) -> int:
+    def handle_replacement(self, endpoint: str, incarnation: NewStart) -> int:
         """Ends the runs of an endpoint whose address another one has now; returns how many."""
-        over = 0
+        ended = 0
         for run in self._runs_by_endpoint.get(endpoint, set()):
             connection = run.connection
-            if connection is not None and is_over(connection.contact, start):
+            if connection is not None and is_over(connection.contact, incarnation):
                 _end(run)
-                over += 1
-        return over
+                ended += 1
+        return ended
 
 
-def _leads_elsewhere(run: RunUnderWay, start: NewStart) -> bool:
+def _is_stale(run: ActiveRun, incarnation: NewStart) -> bool:
     if run.connection is None:
-        return run.belief.entry.address != start.address
-    return is_over(run.connection.contact, start)
+        return run.state.entry.address != incarnation.address
+    return is_over(run.connection.contact, incarnation)
 
 
-def _end(run: RunUnderWay) -> None:
-    run.is_over = True
+def _end(run: ActiveRun) -> None:
+    run.is_ended = True
     if run.connection is not None:
-        run.connection.abort(WHY_OVER)
+        run.connection.abort(ENDED_REASON)
--- a/src/bayhinge/_internal/services/gateway/admission.py
+++ b/src/bayhinge/_internal/services/gateway/admission.py
@@ -12,18 +12,18 @@
 )
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.models.routing import Route, RoutingTable
-from bayhinge._internal.services.gateway.beliefs import ConfigurationBelief
 from bayhinge._internal.services.gateway.configuration_proofs import ConfigurationProofs
+from bayhinge._internal.services.gateway.store_listeners import ConfigurationState
 
 RETRY_AFTER_S = 0.4
 """When a request should come again that met a host without a proof, or a closed account: a host
 that is cut off is on no list by then, and elsewhere a proof comes within a fraction of a second."""
 
-LONGEST_SHOWN_S = 1e6
+MAX_REPORTED_AGE_S = 1e6
 """What stands for the age of a proof that there is not: figures are numbers."""
 
 
-class NoLongerAdmittedError(Exception):
+class AdmissionRevokedError(Exception):
     """A request that was let in may not be sent any more."""
 
     def __init__(self, code: RefusalCode, why: str) -> None:
@@ -36,7 +36,7 @@
 class Admission:
     """One host's door."""
 
-    def __init__(self, configuration: ConfigurationBelief, proofs: ConfigurationProofs) -> None:
+    def __init__(self, configuration: ConfigurationState, proofs: ConfigurationProofs) -> None:
         """Takes what the host believes, and how sure it is of it."""
         self._configuration = configuration
         self._proofs = proofs
@@ -61,41 +61,41 @@
             account = self._find(table, request.key_sha256)
             named = account if isinstance(account, RoutedAccount) else None
             return attrs.evolve(request, credentials=(), key_sha256=None, account=named)
-        account = self._known(table, request)
-        if not self._is_sure:
+        account = self._require_account(table, request)
+        if not self._has_proof:
             await self._proofs.wait(request.attempt)
             # A proof alone is not enough where the newest configuration can't be read.
-            if not self._is_sure:
-                raise RefusedError(self._unproven())
+            if not self._has_proof:
+                raise RefusedError(self._unproven_refusal())
         newest = self._configuration.table
         if newest is not None and newest is not table:
             # The proof has brought a newer one.
-            account = self._known(newest, request)
+            account = self._require_account(newest, request)
         return attrs.evolve(request, credentials=(), account=account)
 
     def check(self, request: RoutedRequest) -> None:
         """Checks once more, right before a request is sent.
 
         Raises:
-            NoLongerAdmittedError: its key was taken away, or the proof has become too old.
+            AdmissionRevokedError: its key was taken away, or the proof has become too old.
         """
         table = self._configuration.table
         if request.key_sha256 is None or table is None or table.accounts is None:
             return
         account = table.accounts.find(request.key_sha256)
         if not isinstance(account, RoutedAccount) or account.name != request.account_name:
-            raise NoLongerAdmittedError(
+            raise AdmissionRevokedError(
                 RefusalCode.UNAUTHORIZED, "the key was taken away while the request waited"
             )
-        if not self._is_sure:
-            raise NoLongerAdmittedError(RefusalCode.CONFIG_UNKNOWN, self._unproven().why)
+        if not self._has_proof:
+            raise AdmissionRevokedError(RefusalCode.CONFIG_UNKNOWN, self._unproven_refusal().why)
 
     @property
-    def _is_sure(self) -> bool:
+    def _has_proof(self) -> bool:
         """Whether the newest configuration is surely young enough, and could be read."""
-        return self._proofs.may_admit and not self._configuration.unreadable.now
+        return self._proofs.may_admit and not self._configuration.unreadable.current
 
-    def _known(self, table: RoutingTable, request: RoutedRequest) -> RoutedAccount:
+    def _require_account(self, table: RoutingTable, request: RoutedRequest) -> RoutedAccount:
         account = self._find(table, request.key_sha256)
         if account is None:
             shown = "shows no single key" if request.key_sha256 is None else "bears an unknown key"
@@ -121,7 +121,7 @@
             return None
         return table.accounts.find(digest)
 
-    def _unproven(self) -> Refusal:
+    def _unproven_refusal(self) -> Refusal:
         return refuse_unaccepted(
             RefusalCode.CONFIG_UNKNOWN,
             "this host can't be sure whether the key still counts",
@@ -130,4 +130,4 @@
         )
 
     def _proof_age(self) -> Figure:
-        return Figure("proof_age_s", round(min(self._proofs.age_s, LONGEST_SHOWN_S), 3))
+        return Figure("proof_age_s", round(min(self._proofs.age_s, MAX_REPORTED_AGE_S), 3))
--- a/src/bayhinge/_internal/services/gateway/whole_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/buffered_delivery.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.services.gateway.outside import CallFormat
 
 
-class WholeDelivery(Delivery):
+class BufferedDelivery(Delivery):
     """For requests of plain services."""
 
     def __init__(self, exchange: Exchange, calls: CallFormat) -> None:
--- a/src/bayhinge/_internal/services/gateway/configuration_proofs.py
+++ b/src/bayhinge/_internal/services/gateway/configuration_proofs.py
@@ -39,23 +39,23 @@
 PAUSE_S = 0.2
 """Between two looks of a host whose proof is due and that has nobody to ask."""
 
-LEAST_PAUSE_S = 0.01
+MIN_PAUSE_S = 0.01
 """A pause that rounding makes shorter would be none, and the loop would turn without end."""
 
 PEER_ANSWER_S = 0.15
 """Time for a peer's answer: some thirty times an ordinary one between halls."""
 
-HOLD_S = 0.25
+PROOF_WAIT_S = 0.25
 """Longest wait of a request for a proof. A host that stood still for longer than the bound has one
 again after one call to a peer; where the last try failed a moment ago, requests do not wait."""
 
-FAILED_S = 1.0
+STORE_FAILURE_S = 1.0
 """For so long after a failed try, a host says that it does not reach the store."""
 
-HINT_S = 30.0
+MAX_HINT_AGE_S = 30.0
 """Ages above this are told to nobody: such a proof helps no host."""
 
-NEAR_BEST_S = 0.2
+HINT_TOLERANCE_S = 0.2
 """Hints that are so close to the youngest count as equal, so that one host is not asked by all."""
 
 
@@ -92,9 +92,9 @@
         self._gossip = gossip
         self._peers = peers
         self._bounds = bounds
-        self._book = ProofBook()
+        self._proofs = ProofBook()
         self._failed_s = -math.inf
-        self._due = asyncio.Event()
+        self._renewal_requested = asyncio.Event()
         self._renewed = asyncio.Event()
         self.counts = ProofCounts()
         self.has_accounts: Callable[[], bool] = lambda: False
@@ -102,7 +102,7 @@
     @property
     def age_s(self) -> float:
         """The age of the proof that holds; infinite without one."""
-        return self._book.age_s(self._follower.known_to, asyncio.get_running_loop().time())
+        return self._proofs.age_s(self._follower.known_to, asyncio.get_running_loop().time())
 
     @property
     def may_admit(self) -> bool:
@@ -112,7 +112,7 @@
     @property
     def fails(self) -> bool:
         """Whether this host failed to reach the store a moment ago."""
-        return asyncio.get_running_loop().time() - self._failed_s < FAILED_S
+        return asyncio.get_running_loop().time() - self._failed_s < STORE_FAILURE_S
 
     @property
     def is_needed(self) -> bool:
@@ -122,11 +122,11 @@
     def hint_ms(self) -> int | None:
         """Returns the age that hellos tell, in milliseconds; None where there is no use in it."""
         age_s = self.age_s
-        return round(age_s * 1000) if self.is_needed and age_s < HINT_S else None
+        return round(age_s * 1000) if self.is_needed and age_s < MAX_HINT_AGE_S else None
 
     def answer(self) -> wire.ProofReply:
         """Answers a peer that asks for a proof."""
-        proof = self._book.newest(self._follower.known_to)
+        proof = self._proofs.newest(self._follower.known_to)
         if proof is None:
             return wire.ProofReply()
         age_s = asyncio.get_running_loop().time() - proof.asked_s
@@ -141,9 +141,9 @@
         age_s = self.age_s
         if not self.fails:
             self.counts.waited += 1
-            self._due.set()
+            self._renewal_requested.set()
             try:
-                async with running_timeout(HOLD_S):
+                async with running_timeout(PROOF_WAIT_S):
                     while not self.may_admit:
                         await self._renewed.wait()
             except TimeoutError:
@@ -151,7 +151,7 @@
             eliot.log_message(
                 "request.waited_for_proof",
                 attempt=attempt,
-                proof_age_s=_shown(age_s),
+                proof_age_s=_rounded_age(age_s),
                 waited_ms=round((loop.time() - began_s) * 1000, 1),
                 has_come=self.may_admit,
             )
@@ -167,35 +167,37 @@
                 continue
             due_s = self._bounds.renew_s - self.age_s
             if due_s > 0:
-                await self._pause(max(due_s, LEAST_PAUSE_S))
+                await self._pause(max(due_s, MIN_PAUSE_S))
             elif not await self._renew(self._bounds):
                 await self._pause(PAUSE_S * random.uniform(0.5, 1.5))
 
     async def _pause(self, pause_s: float) -> None:
         try:
             async with asyncio.timeout(pause_s):
-                await self._due.wait()
+                await self._renewal_requested.wait()
         except TimeoutError:
             return
-        self._due.clear()
+        self._renewal_requested.clear()
 
     async def _renew(self, bounds: ProofBounds) -> bool:
         """Asks whoever should know; returns whether the proof is younger now."""
         before_s = self.age_s
-        address = self._best_hint(before_s, bounds)
+        address = self._best_peer(before_s, bounds)
         if address is not None:
             await self._ask_peer(address)
         elif self._is_to_ask_store(before_s, bounds):
             await self._ask_store()
         return self.age_s < min(before_s, bounds.renew_s)
 
-    def _best_hint(self, age_s: float, bounds: ProofBounds) -> str | None:
+    def _best_peer(self, age_s: float, bounds: ProofBounds) -> str | None:
         """Returns the address of a host whose proof seems to be young enough to ask for."""
         now = asyncio.get_running_loop().time()
         age_by_address = {
-            hello.peer_address: hello.proof_age_ms / 1000 + now - self._gossip.heard_s(hello.host)
-            for hello in self._gossip.fresh(wire.HostRole.ENTRY)
-            if hello.proof_age_ms is not None
+            heartbeat.peer_address: heartbeat.proof_age_ms / 1000
+            + now
+            - self._gossip.heard_s(heartbeat.host)
+            for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY)
+            if heartbeat.proof_age_ms is not None
         }
         best_s = min(age_by_address.values(), default=math.inf)
         if best_s > min(age_s - PAUSE_S, bounds.renew_s):
@@ -204,18 +206,20 @@
             [
                 address
                 for address, hinted_s in age_by_address.items()
-                if hinted_s <= best_s + NEAR_BEST_S
+                if hinted_s <= best_s + HINT_TOLERANCE_S
             ]
         )
 
     def _is_to_ask_store(self, age_s: float, bounds: ProofBounds) -> bool:
         me = self._gossip.me
         others = [
-            hello
-            for hello in self._gossip.fresh(wire.HostRole.ENTRY)
-            if hello.phase == wire.HostPhase.READY
+            heartbeat
+            for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY)
+            if heartbeat.phase == wire.HostPhase.READY
         ]
-        fails_by_host = {hello.host: hello.store_fails for hello in others} | {me.host: self.fails}
+        fails_by_host = {heartbeat.host: heartbeat.store_fails for heartbeat in others} | {
+            me.host: self.fails
+        }
         place = place_in_order(
             me.host,
             [host for host, fails in fails_by_host.items() if not fails],
@@ -237,7 +241,7 @@
         if reply.revision is None or reply.age_ms is None or not reply.age_ms >= 0:
             return
         self.counts.from_peers += 1
-        self._take(vouched(reply.revision, reply.age_ms / 1000, asked_s))
+        self._accept(vouched(reply.revision, reply.age_ms / 1000, asked_s))
         self._follower.hear(reply.revision, address)
 
     async def _ask_store(self) -> None:
@@ -247,25 +251,27 @@
         except StoreError as error:
             self._failed_s = asyncio.get_running_loop().time()
             self.counts.failed += 1
-            eliot.log_message("proof.store_failed", proof_age_s=_shown(self.age_s), why=str(error))
+            eliot.log_message(
+                "proof.store_failed", proof_age_s=_rounded_age(self.age_s), why=str(error)
+            )
             return
         self._failed_s = -math.inf
         if stored is None:
             return
         self.counts.from_store += 1
         self._follower.take(stored)
-        self._take(Proof(stored.version, asked_s))
+        self._accept(Proof(stored.version, asked_s))
 
-    def _take(self, proof: Proof) -> None:
-        self._book.take(proof)
-        self.note_known()
+    def _accept(self, proof: Proof) -> None:
+        self._proofs.take(proof)
+        self.wake_waiters()
 
-    def note_known(self) -> None:
+    def wake_waiters(self) -> None:
         """The host may know a revision now that a proof was waiting for."""
         if self.may_admit:
             self._renewed.set()
             self._renewed = asyncio.Event()
 
 
-def _shown(age_s: float) -> float | None:
+def _rounded_age(age_s: float) -> float | None:
     return round(age_s, 3) if math.isfinite(age_s) else None
--- a/src/bayhinge/_internal/services/gateway/delivery.py
+++ b/src/bayhinge/_internal/services/gateway/delivery.py
@@ -7,7 +7,7 @@
 from bayhinge._internal.models.endpoint_entries import EndpointStart
 from bayhinge._internal.models.routed_requests import AnswerMarks
 from bayhinge._internal.network.endpoint_answer import Answer
-from bayhinge._internal.services.gateway.runs_under_way import RunUnderWay
+from bayhinge._internal.services.gateway.active_runs import ActiveRun
 
 
 class Delivery(ABC):
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         """Starts with nothing delivered."""
         self.outcome = ""
-        self.run: RunUnderWay | None = None
+        self.run: ActiveRun | None = None
         self.tokens_handed_out = 0
         self.is_recorded = False
 
@@ -26,9 +26,9 @@
         return "" if self.run is None else self.run.endpoint
 
     @property
-    def start(self) -> EndpointStart:
+    def incarnation(self) -> EndpointStart:
         """The start of the endpoint that gave the answer, as far as is known."""
-        return EndpointStart() if self.run is None else self.run.belief.entry.start
+        return EndpointStart() if self.run is None else self.run.state.entry.start
 
     @property
     def resume_after(self) -> int | None:
@@ -36,7 +36,7 @@
         return None
 
     @property
-    def may_go_on(self) -> bool:
+    def may_continue(self) -> bool:
         """Whether another endpoint may be asked for what this one has not given."""
         return True
 
--- a/src/bayhinge/_internal/services/gateway/disk_asker.py
+++ b/src/bayhinge/_internal/services/gateway/disk_client.py
@@ -13,7 +13,7 @@
 Reply = TypeVar("Reply")
 
 
-class DiskAsker:
+class DiskClient:
     """One entry host's questions to the disks, and what of them runs in the background."""
 
     def __init__(self, directory: DiskDirectory, link: DiskLink) -> None:
@@ -36,7 +36,7 @@
     ) -> AsyncIterator[tuple[wire.DiskMember, Reply]]:
         """Yields answers as they come; calls that are not waited for go on in the background."""
         member_by_task = {
-            self.start(self.call(member, method, message, kind())): member for member in members
+            self.spawn(self.call(member, method, message, kind())): member for member in members
         }
         waiting = set(member_by_task)
         while waiting:
@@ -55,10 +55,10 @@
         except DiskUnreachableError:
             return None
         except FrameError as error:
-            self._directory.note_failure(member, str(error))
+            self._directory.record_failure(member, str(error))
             return None
 
-    def start(self, work: Coroutine[Any, Any, Reply]) -> asyncio.Task[Reply]:
+    def spawn(self, work: Coroutine[Any, Any, Reply]) -> asyncio.Task[Reply]:
         """Runs work in the background; :meth:`drain` waits for it."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
--- a/src/bayhinge/_internal/services/gateway/disk_directory.py
+++ b/src/bayhinge/_internal/services/gateway/disk_directory.py
@@ -15,7 +15,7 @@
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.disk_sets import read_disk_set
-from bayhinge._internal.services.gateway.first_news import FirstNews
+from bayhinge._internal.services.gateway.initial_sync import InitialSync
 from bayhinge._internal.utils.running_time import running_timeout
 from bayhinge._internal.wire.hosts.ttypes import DiskMember, DiskSet, Hello
 from bayhinge.coordination.errors import StoreError
@@ -24,7 +24,7 @@
 SUSPECT_S = 1.0
 """A disk that failed is asked last for so long; it is asked in the background all the same."""
 
-PEER_PATIENCE_S = 0.25
+PEER_WAIT_S = 0.25
 """Time for a hello to tell of the set before the store is asked; longer where the whole system
 starts for the first time, since disks tell of the set as soon as there is one."""
 
@@ -44,30 +44,30 @@
         settings: SiteSettings,
         store: ObjectStore,
         peers: Peers,
-        heard: Callable[[], list[Hello]],
+        live_disks: Callable[[], list[Hello]],
     ) -> None:
         """Takes the host's settings, the platform's store, and the way to other hosts.
 
         ``heard`` returns the hellos of disk hosts that were heard of lately.
         """
-        self._heard = heard
+        self._live_disks = live_disks
         self._settings = settings
         self._store = store
         self._peers = peers
         self._suspect_until_by_host: dict[str, float] = {}
         self._is_fetching = False
-        self.first_ask_s = PEER_PATIENCE_S
-        self._is_told = asyncio.Event()
+        self.initial_store_delay_s = PEER_WAIT_S
+        self._is_known = asyncio.Event()
         self.disk_set = DiskSet(0, [])
         self.reach = DiskReach(settings.tolerated_disks)
-        self.news = FirstNews("disks")
+        self.initial_sync = InitialSync("disks")
         self.on_change: Callable[[DiskSet], None] = lambda disk_set: None
 
     async def load(self) -> None:
         """Reads the set from the store; goes on until there is one or a peer told of one."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self.first_ask_s):
-                await self._is_told.wait()
+            async with asyncio.timeout(self.initial_store_delay_s):
+                await self._is_known.wait()
         while not self.disk_set.members:
             try:
                 disk_set = await read_disk_set(self._store)
@@ -75,7 +75,7 @@
                 eliot.log_message("disk_set.not_read", why=str(error))
             else:
                 if disk_set is not None:
-                    self.take(disk_set)
+                    self.accept(disk_set)
             await asyncio.sleep(RETRY_S)
 
     async def watch_reach(self) -> None:
@@ -88,25 +88,25 @@
                 eliot.log_message("disks.cut_off" if is_cut_off else "disks.reached")
             was_cut_off = is_cut_off
             if is_cut_off and self.disk_set.members:
-                await self._try_to_reach(random.choice(self.disk_set.members))
+                await self._probe(random.choice(self.disk_set.members))
 
-    async def _try_to_reach(self, member: DiskMember) -> None:
+    async def _probe(self, member: DiskMember) -> None:
         try:
             async with running_timeout(FETCH_S):
                 await self._peers.call(member.address, methods.DISK_SET, b"")
         except (TimeoutError, PeerUnreachableError, PeerFailureError) as error:
-            self.note_failure(member, str(error) or "no answer in time")
+            self.record_failure(member, str(error) or "no answer in time")
         else:
-            self.note_success(member)
+            self.record_success(member)
 
-    def take(self, disk_set: DiskSet) -> None:
+    def accept(self, disk_set: DiskSet) -> None:
         """Takes a set in, unless a newer one is known."""
         if disk_set.version <= self.disk_set.version:
             return
         self.disk_set = disk_set
         if disk_set.members:
-            self._is_told.set()
-            self.news.note()
+            self._is_known.set()
+            self.initial_sync.complete()
         self.on_change(disk_set)
         eliot.log_message(
             "disk_set.changed",
@@ -114,11 +114,11 @@
             members=[member.host for member in disk_set.members],
         )
 
-    def hear(self, hello: Hello) -> None:
+    def handle_heartbeat(self, heartbeat: Hello) -> None:
         """Learns from a hello that there is a newer set, and fetches it."""
-        if hello.disk_set_version > self.disk_set.version and not self._is_fetching:
+        if heartbeat.disk_set_version > self.disk_set.version and not self._is_fetching:
             self._is_fetching = True
-            self._fetching = asyncio.ensure_future(self._fetch_heard(hello.peer_address))
+            self._fetching = asyncio.ensure_future(self._fetch_announced(heartbeat.peer_address))
 
     def places(self, program: str) -> list[DiskMember]:
         """Returns the disks that keep a program, nearest first."""
@@ -143,9 +143,9 @@
         """
         hosts = {member.host for member in self.disk_set.members}
         return self.nearest_first() + [
-            DiskMember(hello.host, 0, hello.peer_address, hello.hall)
-            for hello in self._heard()
-            if hello.host not in hosts
+            DiskMember(heartbeat.host, 0, heartbeat.peer_address, heartbeat.hall)
+            for heartbeat in self._live_disks()
+            if heartbeat.host not in hosts
         ]
 
     def is_suspect(self, member: DiskMember) -> bool:
@@ -153,7 +153,7 @@
         until_s = self._suspect_until_by_host.get(member.host, 0.0)
         return until_s > asyncio.get_running_loop().time()
 
-    def note_failure(self, member: DiskMember, why: str) -> None:
+    def record_failure(self, member: DiskMember, why: str) -> None:
         """A disk did not answer, or not without a relay."""
         self.reach.note_silence(member.host)
         now = asyncio.get_running_loop().time()
@@ -161,13 +161,13 @@
             eliot.log_message("disk.silent", disk=member.host, why=why)
         self._suspect_until_by_host[member.host] = now + SUSPECT_S
 
-    def note_success(self, member: DiskMember) -> None:
+    def record_success(self, member: DiskMember) -> None:
         """A disk answered straight."""
         self.reach.note_answer()
         if self._suspect_until_by_host.pop(member.host, None) is not None:
             eliot.log_message("disk.answers", disk=member.host)
 
-    async def _fetch_heard(self, address: str) -> None:
+    async def _fetch_announced(self, address: str) -> None:
         try:
             await self.fetch(address)
         finally:
@@ -178,6 +178,6 @@
         try:
             async with running_timeout(FETCH_S):
                 answer = await self._peers.call(address, methods.DISK_SET, b"")
-            self.take(decode_message(DiskSet(), answer))
+            self.accept(decode_message(DiskSet(), answer))
         except (TimeoutError, PeerUnreachableError, PeerFailureError, FrameError) as error:
             eliot.log_message("disk_set.not_fetched", address=address, why=str(error))
--- a/src/bayhinge/_internal/services/gateway/disk_link.py
+++ b/src/bayhinge/_internal/services/gateway/disk_link.py
@@ -53,60 +53,62 @@
         Raises:
             DiskUnreachableError: there was none, or it was a refusal.
         """
-        ways = _Ways(asyncio.get_running_loop().time())
-        ways.straight.append(self._call_straight(member, method, message))
+        paths = _CallPaths(asyncio.get_running_loop().time())
+        paths.direct.append(self._call_direct(member, method, message))
         if self._directory.is_suspect(member) or self._directory.reach.is_cut_off:
-            ways.around += self._call_around(member, method, message)
+            paths.relayed_calls += self._call_relayed(member, method, message)
         try:
-            answer = await ways.first_answer(HEDGE_S)
+            answer = await paths.first_answer(HEDGE_S)
             if answer is None:
-                self._widen(ways, member, method, message)
-                answer = await ways.first_answer(ANSWER_S)
+                self._add_paths(paths, member, method, message)
+                answer = await paths.first_answer(ANSWER_S)
         finally:
-            ways.cancel()
+            paths.cancel()
         if answer is None:
-            self._directory.note_failure(member, ways.why())
-            raise DiskUnreachableError(ways.why())
-        if any(_has_answered(way) for way in ways.straight):
-            self._directory.note_success(member)
+            self._directory.record_failure(member, paths.why())
+            raise DiskUnreachableError(paths.why())
+        if any(_has_result(task) for task in paths.direct):
+            self._directory.record_success(member)
         else:
-            self._directory.note_failure(member, "only a peer reaches it")
+            self._directory.record_failure(member, "only a peer reaches it")
         return answer
 
-    def _widen(self, ways: "_Ways", member: wire.DiskMember, method: str, message: bytes) -> None:
+    def _add_paths(
+        self, paths: "_CallPaths", member: wire.DiskMember, method: str, message: bytes
+    ) -> None:
         """Adds ways where the first one has not answered in a moment, or has failed."""
-        has_broken = any(_broke_off(way) for way in ways.straight)
-        if has_broken or self._peers.doubt(member.address, ways.began_s):
+        was_cut_off = any(_was_cut_off(task) for task in paths.direct)
+        if was_cut_off or self._peers.doubt(member.address, paths.started_s):
             # The connection may be dead and the disk well: a new one tells within milliseconds.
-            ways.straight.append(self._call_straight(member, method, message))
-        if not ways.around:
-            ways.around += self._call_around(member, method, message)
+            paths.direct.append(self._call_direct(member, method, message))
+        if not paths.relayed_calls:
+            paths.relayed_calls += self._call_relayed(member, method, message)
 
-    def _call_straight(
+    def _call_direct(
         self, member: wire.DiskMember, method: str, message: bytes
     ) -> asyncio.Task[bytes]:
         return asyncio.ensure_future(self._peers.call(member.address, method, message))
 
-    def _call_around(
+    def _call_relayed(
         self, member: wire.DiskMember, method: str, message: bytes
     ) -> list[asyncio.Task[bytes]]:
-        relay = self._relay()
+        relay = self._choose_relay()
         if relay is None:
             return []
-        return [asyncio.ensure_future(self._call_through(relay, member, method, message))]
+        return [asyncio.ensure_future(self._call_via(relay, member, method, message))]
 
-    def _relay(self) -> wire.Hello | None:
+    def _choose_relay(self) -> wire.Hello | None:
         """Returns a host to go through: one that reaches disks, of the own hall if there is one."""
         ready = [
-            hello
-            for hello in self._gossip.fresh(wire.HostRole.ENTRY)
-            if hello.phase == wire.HostPhase.READY
+            heartbeat
+            for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY)
+            if heartbeat.phase == wire.HostPhase.READY
         ]
-        peers = [hello for hello in ready if not hello.is_cut_off] or ready
-        near = [hello for hello in peers if hello.hall == self._gossip.me.hall]
+        peers = [heartbeat for heartbeat in ready if not heartbeat.is_cut_off] or ready
+        near = [heartbeat for heartbeat in peers if heartbeat.hall == self._gossip.me.hall]
         return random.choice(near or peers) if peers else None
 
-    async def _call_through(
+    async def _call_via(
         self, relay: wire.Hello, member: wire.DiskMember, method: str, message: bytes
     ) -> bytes:
         self.relayed += 1
@@ -119,53 +121,53 @@
 
 
 @attrs.define
-class _Ways:
+class _CallPaths:
     """One call, under way several times: straight, and through another host."""
 
-    began_s: float
-    straight: list[asyncio.Task[bytes]] = attrs.field(factory=list)
-    around: list[asyncio.Task[bytes]] = attrs.field(factory=list)
+    started_s: float
+    direct: list[asyncio.Task[bytes]] = attrs.field(factory=list)
+    relayed_calls: list[asyncio.Task[bytes]] = attrs.field(factory=list)
 
     async def first_answer(self, limit_s: float) -> bytes | None:
         """Returns the first answer; None where the time ends before it, or every way has failed."""
         bound = RunningBound(limit_s)
-        waiting = {*self.straight, *self.around}
+        waiting = {*self.direct, *self.relayed_calls}
         while waiting and bound.left_s > 0:
             finished, waiting = await bound.first_of(waiting)
-            for way in finished:
-                if _has_answered(way):
-                    return way.result()
+            for task in finished:
+                if _has_result(task):
+                    return task.result()
         return None
 
     def cancel(self) -> None:
         """Ends what is still under way."""
-        for way in (*self.straight, *self.around):
-            if not way.cancel() and not way.cancelled():
+        for task in (*self.direct, *self.relayed_calls):
+            if not task.cancel() and not task.cancelled():
                 # Looked at, so that asyncio does not report as lost what another way made up for.
-                way.exception()
+                task.exception()
 
     def why(self) -> str:
         """Says why there was no answer."""
-        errors = [str(_error(way)) for way in (*self.straight, *self.around) if _error(way)]
+        errors = [str(_error(task)) for task in (*self.direct, *self.relayed_calls) if _error(task)]
         return errors[-1] if errors else "no answer in time"
 
 
-def _has_answered(way: asyncio.Task[bytes]) -> bool:
-    return way.done() and not way.cancelled() and _error(way) is None
+def _has_result(task: asyncio.Task[bytes]) -> bool:
+    return task.done() and not task.cancelled() and _error(task) is None
 
 
-def _broke_off(way: asyncio.Task[bytes]) -> bool:
-    error = _error(way)
+def _was_cut_off(task: asyncio.Task[bytes]) -> bool:
+    error = _error(task)
     return isinstance(error, PeerUnreachableError) and error.sent
 
 
-def _error(way: asyncio.Task[bytes]) -> BaseException | None:
+def _error(task: asyncio.Task[bytes]) -> BaseException | None:
     """Returns why a way failed.
 
     Raises:
         Exception: an error that no call should end with.
     """
-    error = way.exception() if way.done() and not way.cancelled() else None
+    error = task.exception() if task.done() and not task.cancelled() else None
     if error is not None and not isinstance(error, _CALL_ERRORS):
         raise error
     return error
--- a/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
+++ b/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
@@ -14,7 +14,7 @@
 from bayhinge._internal.decisions.endpoint_starts import NewStart, began_s
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.network.endpoint_link import EndpointLinks
-from bayhinge._internal.services.gateway.runs_under_way import RunsUnderWay
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 
 
 class EndpointRestarts:
@@ -22,27 +22,27 @@
 
     def __init__(
         self,
-        book: EndpointBook,
+        endpoint_table: EndpointBook,
         links: EndpointLinks,
-        runs: RunsUnderWay,
+        runs: ActiveRuns,
         wall_ms: Callable[[], int],
     ) -> None:
         """Takes the endpoints, the connections, the runs, and the time of day."""
-        self._book = book
+        self._endpoint_table = endpoint_table
         self._links = links
         self._runs = runs
         self._wall_ms = wall_ms
         self.known_revision: Callable[[], int] = lambda: 0
         self.forget_loads: Callable[[str], None] = lambda endpoint: None
 
-    def start_again(self, newest: EndpointBelief, former: EndpointEntry) -> None:
+    def handle_restart(self, newest: EndpointBelief, former: EndpointEntry) -> None:
         """A later start of an endpoint is known now."""
         entry = newest.entry
-        self._book.start_revisions.note(entry.instance, self.known_revision())
+        self._endpoint_table.start_revisions.note(entry.instance, self.known_revision())
         self.forget_loads(entry.instance)
-        start = self._new_start(entry)
-        dropped = self._links.start_again(entry.instance, start)
-        over, kept = self._runs.start_again(newest, start)
+        incarnation = self._new_incarnation(entry)
+        closed = self._links.start_again(entry.instance, incarnation)
+        ended, continued = self._runs.handle_restart(newest, incarnation)
         eliot.log_message(
             "endpoint.restarted",
             endpoint=entry.instance,
@@ -50,47 +50,47 @@
             former_born_ms=former.born_ms,
             address=entry.address,
             former_address=former.address,
-            since_s=_since_s(start),
-            runs_over=over,
-            runs_kept=kept,
-            connections_closed=dropped,
+            since_s=_since_s(incarnation),
+            runs_over=ended,
+            runs_kept=continued,
+            connections_closed=closed,
         )
 
-    def come_back(self, newest: EndpointBelief) -> None:
+    def handle_return(self, newest: EndpointBelief) -> None:
         """An endpoint is known that was not: requests may still wait at one of its starts."""
         if newest.entry.born_ms is None:
             return
-        over, kept = self._runs.start_again(newest, self._new_start(newest.entry))
-        if over or kept:
+        ended, continued = self._runs.handle_restart(newest, self._new_incarnation(newest.entry))
+        if ended or continued:
             eliot.log_message(
                 "endpoint.came_back",
                 endpoint=newest.entry.instance,
                 born_ms=newest.entry.born_ms,
-                runs_over=over,
-                runs_kept=kept,
+                runs_over=ended,
+                runs_kept=continued,
             )
 
-    def displace(self, newest: EndpointBelief) -> None:
+    def handle_replacement(self, newest: EndpointBelief) -> None:
         """Ends what waits at endpoints at whose address this one has started since."""
         entry = newest.entry
-        for belief in self._book.displaced_at(entry.address):
-            instance = belief.entry.instance
-            over = self._runs.displace(instance, self._new_start(entry))
+        for state in self._endpoint_table.displaced_at(entry.address):
+            instance = state.entry.instance
+            ended = self._runs.handle_replacement(instance, self._new_incarnation(entry))
             self._links.drop_idle(instance)
             eliot.log_message(
                 "endpoint.displaced",
                 endpoint=instance,
                 by=entry.instance,
                 address=entry.address,
-                runs_over=over,
+                runs_over=ended,
             )
 
-    def _new_start(self, entry: EndpointEntry) -> NewStart:
+    def _new_incarnation(self, entry: EndpointEntry) -> NewStart:
         now_s = asyncio.get_running_loop().time()
         return NewStart(entry.address, began_s(entry.born_ms, self._wall_ms(), now_s))
 
 
-def _since_s(start: NewStart) -> float | None:
-    if start.began_s is None:
+def _since_s(incarnation: NewStart) -> float | None:
+    if incarnation.began_s is None:
         return None
-    return round(asyncio.get_running_loop().time() - start.began_s, 3)
+    return round(asyncio.get_running_loop().time() - incarnation.began_s, 3)
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -23,22 +23,25 @@
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.network.routed_front import RoutedFront
 from bayhinge._internal.network.tcp_peers import TcpPeerNetwork
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.admission import Admission
-from bayhinge._internal.services.gateway.beliefs import ConfigurationBelief, EndpointBelief
 from bayhinge._internal.services.gateway.configuration_proofs import ConfigurationProofs
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.disk_link import DiskLink
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.hall_homes import HallHomes
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange, sum_loads
 from bayhinge._internal.services.gateway.outside import Platform
-from bayhinge._internal.services.gateway.peer_answers import PeerAnswers
-from bayhinge._internal.services.gateway.placement import HomePlacer
+from bayhinge._internal.services.gateway.peer_requests import PeerRequestHandler
+from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
 from bayhinge._internal.services.gateway.quotas import Quotas
+from bayhinge._internal.services.gateway.request_sender import Sender
 from bayhinge._internal.services.gateway.request_service import RequestService
-from bayhinge._internal.services.gateway.runs_under_way import RunsUnderWay
-from bayhinge._internal.services.gateway.sending import Sender
-from bayhinge._internal.services.gateway.turn_keeper import TurnKeeper
+from bayhinge._internal.services.gateway.store_listeners import (
+    ConfigurationState,
+    EndpointTableUpdater,
+)
+from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 from bayhinge._internal.services.gossip import Gossip
 from bayhinge._internal.services.host_registry import HostRegistry
 from bayhinge._internal.services.keep_running import keep_running
@@ -76,16 +79,18 @@
         self.peers = network.connect(clock)
         self.gossip = Gossip(settings, wire.HostRole.ENTRY)
         self.links = EndpointLinks()
-        self.book = EndpointBook(settings.hall)
-        self.configuration = ConfigurationBelief(platform.objects, platform.configuration_key)
-        runs = RunsUnderWay()
-        restarts = EndpointRestarts(self.book, self.links, runs, self._wall_clock.wall_ms)
-        self.endpoints = EndpointBelief(platform.objects, self.book, self.links, restarts)
+        self.endpoint_table = EndpointBook(settings.hall)
+        self.configuration = ConfigurationState(platform.objects, platform.configuration_key)
+        runs = ActiveRuns()
+        restarts = EndpointRestarts(self.endpoint_table, self.links, runs, self._wall_clock.wall_ms)
+        self.endpoints = EndpointTableUpdater(
+            platform.objects, self.endpoint_table, self.links, restarts
+        )
         self.followers_by_prefix = {
             prefix: KeyFollower(
-                platform.store, prefix, partial(self._watch_wait, place), listener, self.peers
+                platform.store, prefix, partial(self._watch_delay_s, index), listener, self.peers
             )
-            for place, (prefix, listener) in enumerate(
+            for index, (prefix, listener) in enumerate(
                 (
                     (platform.configuration_prefix, self.configuration),
                     (platform.endpoints_prefix, self.endpoints),
@@ -94,7 +99,7 @@
         }
         for follower in self.followers_by_prefix.values():
             follower.should_poll = self._is_watcher
-            follower.first_list_s = self._first_list_s()
+            follower.first_list_s = self._first_list_delay_s()
             follower.on_change = self.gossip.say_now
         self.proofs = ConfigurationProofs(
             platform.store,
@@ -105,7 +110,7 @@
             None if settings.taken_away_s is None else proof_bounds(settings.taken_away_s),
         )
         self.proofs.has_accounts = lambda: self.configuration.has_accounts
-        self.configuration.on_change = self.proofs.note_known
+        self.configuration.on_change = self.proofs.wake_waiters
         margin = QuotaMargin(settings.quota_window_s, settings.quota_overage, settings.quota_slack)
         self.quotas = Quotas(self.gossip, self.peers, margin)
         self.quotas.version = lambda: self.configuration.version
@@ -116,30 +121,39 @@
             self.peers,
             lambda: self.gossip.fresh(wire.HostRole.DISK),
         )
-        self.disks.first_ask_s += self._first_list_s()
-        self.link = DiskLink(self.disks, self.gossip, self.peers)
-        self.keeper = TurnKeeper(self.disks, self.link, settings.tolerated_disks)
-        self.homes = HallHomes(self.gossip, settings.region_by_hall)
-        self.exchange = LoadExchange(self.gossip.me, self.book, self.homes)
+        self.disks.initial_store_delay_s += self._first_list_delay_s()
+        self.disk_link = DiskLink(self.disks, self.gossip, self.peers)
+        self.turn_recorder = TurnRecorder(self.disks, self.disk_link, settings.tolerated_disks)
+        self.coordinators = HallCoordinators(self.gossip, settings.region_by_hall)
+        self.exchange = LoadExchange(self.gossip.me, self.endpoint_table, self.coordinators)
         objects = self.followers_by_prefix[platform.endpoints_prefix]
         restarts.known_revision = lambda: objects.revision
         restarts.forget_loads = self.exchange.forget_endpoint
         self.exchange.endpoints_known_to = lambda: objects.known_to
-        self.placer = HomePlacer(self.book, self.homes, self.exchange, self.peers, settings.hall)
+        self.placer = CoordinatorPlacer(
+            self.endpoint_table, self.coordinators, self.exchange, self.peers, settings.hall
+        )
         self.latencies = Latencies()
         self.requests = RequestService(
             self.configuration,
             platform.calls,
-            Sender(self.book, self.links, platform.calls, self.placer, runs, self.admission.check),
-            self.keeper,
+            Sender(
+                self.endpoint_table,
+                self.links,
+                platform.calls,
+                self.placer,
+                runs,
+                self.admission.check,
+            ),
+            self.turn_recorder,
             self.admission,
             self.quotas,
             self.latencies,
-            self.endpoints.news,
-            self.disks.news,
+            self.endpoints.initial_sync,
+            self.disks.initial_sync,
         )
         self.front = RoutedFront(settings.front_address, self.requests, sockets)
-        answers = PeerAnswers(
+        answers = PeerRequestHandler(
             self.followers_by_prefix,
             self.placer,
             self.proofs,
@@ -151,14 +165,14 @@
         self._rate = RequestRate()
         self._random = random.Random()
         self.is_leaving = False
-        self._is_told = False
+        self._is_advertised = False
 
     async def on_start(self) -> None:
         """Listens, greets, and follows the platform's objects."""
         await self._listener.start()
         await self.front.start()
         self.gossip.describe = self._describe
-        self.gossip.on_hello = self._hear
+        self.gossip.on_hello = self._handle_heartbeat
         self.gossip.on_round = self._sum_loads
         self.disks.on_change = self._disks_changed
         await self.gossip.start()
@@ -191,7 +205,7 @@
         self.front.close_idle()
         limit_s = began_s + self.settings.grace_s - STOP_MARGIN_S
         await self.front.wait_until_idle(limit_s - loop.time())
-        await self.keeper.drain(max(0.0, min(0.3, limit_s - loop.time())))
+        await self.turn_recorder.drain(max(0.0, min(0.3, limit_s - loop.time())))
         await self.exchange.stop()
         await self.gossip.stop()
         await self.front.stop()
@@ -230,14 +244,14 @@
         regions = self.settings.region_by_hall
         return [
             ReadyHost(
-                hello.public_address,
-                hello.hall,
-                regions.get(hello.hall, ""),
-                hello.requests_per_s,
-                hello.is_cut_off,
-                hello.is_told,
+                heartbeat.public_address,
+                heartbeat.hall,
+                regions.get(heartbeat.hall, ""),
+                heartbeat.requests_per_s,
+                heartbeat.is_cut_off,
+                heartbeat.is_told,
             )
-            for hello in ready
+            for heartbeat in ready
         ]
 
     # ---- hellos ----
@@ -250,13 +264,13 @@
         """Returns the hosts of this hall that watch the store, as this host believes."""
         me = self.gossip.me
         hosts = [
-            HallHost(hello.host, hello.store_fails)
-            for hello in self.gossip.fresh(wire.HostRole.ENTRY)
-            if hello.hall == me.hall and hello.phase == wire.HostPhase.READY
+            HallHost(heartbeat.host, heartbeat.store_fails)
+            for heartbeat in self.gossip.fresh(wire.HostRole.ENTRY)
+            if heartbeat.hall == me.hall and heartbeat.phase == wire.HostPhase.READY
         ]
         return watchers_of(me.hall, [*hosts, HallHost(me.host, self._store_fails())])
 
-    def _watch_wait(self, prefix_place: int) -> float:
+    def _watch_delay_s(self, prefix_index: int) -> float:
         """Returns how long a watch of a prefix that begins now waits, in seconds."""
         me = self.gossip.me
         halls = sorted({me.hall, *self.settings.region_by_hall})
@@ -265,13 +279,13 @@
             halls.index(me.hall),
             len(halls),
             watchers.index(me.host) if me.host in watchers else 0,
-            prefix_place,
+            prefix_index,
             len(self.followers_by_prefix),
             len(watchers),
         )
         return wait_until_turn(turn, self._wall_clock.wall_ms() / 1000)
 
-    def _first_list_s(self) -> float:
+    def _first_list_delay_s(self) -> float:
         """Returns how long news of peers are waited for before the store is asked."""
         settings = self.settings
         # Seeds ask at once: all others know them, so the news begin there.
@@ -289,29 +303,29 @@
     def _describe(self, me: wire.Hello) -> None:
         me.store_fails = self._store_fails()
         # Without a proof it refuses all that bears a key, so callers do better elsewhere.
-        lacks_proof = self.proofs.is_needed and not self.proofs.may_admit
-        me.is_cut_off = self.disks.reach.is_cut_off or lacks_proof
+        is_without_proof = self.proofs.is_needed and not self.proofs.may_admit
+        me.is_cut_off = self.disks.reach.is_cut_off or is_without_proof
         me.proof_age_ms = self.proofs.hint_ms()
         me.requests_per_s = round(self._rate.per_s)
         me.phase = wire.HostPhase.READY if self.is_ready else wire.HostPhase.STARTING
         if self.is_leaving:
             me.phase = wire.HostPhase.LEAVING
-        me.is_told = self._is_told and self.is_ready
-        me.running_by_endpoint = self.book.running_here()
+        me.is_told = self._is_advertised and self.is_ready
+        me.running_by_endpoint = self.endpoint_table.running_here()
         me.endpoints_known_to = self.exchange.endpoints_known_to()
         me.disk_set_version = self.disks.disk_set.version
         me.revision_by_prefix = {
             prefix: follower.revision for prefix, follower in self.followers_by_prefix.items()
         }
 
-    def _hear(self, hello: wire.Hello) -> None:
-        self.disks.hear(hello)
-        for prefix, revision in hello.revision_by_prefix.items():
+    def _handle_heartbeat(self, heartbeat: wire.Hello) -> None:
+        self.disks.handle_heartbeat(heartbeat)
+        for prefix, revision in heartbeat.revision_by_prefix.items():
             follower = self.followers_by_prefix.get(prefix)
             if follower is not None:
-                follower.hear(revision, hello.peer_address)
+                follower.hear(revision, heartbeat.peer_address)
 
-    def _refresh_told(self) -> None:
+    def _refresh_advertised(self) -> None:
         """Works out whether callers of the own hall are told of this host.
 
         Once a round and not for each hello: 45 idle hosts call 2.46 million functions in 6 s in
@@ -319,15 +333,15 @@
         """
         me = self.gossip.me
         near = [host for host in self._ready_hosts() if host.hall == me.hall]
-        self._is_told = me.public_address in sending(near, me.hall)
+        self._is_advertised = me.public_address in sending(near, me.hall)
 
     def _sum_loads(self) -> None:
-        self._refresh_told()
-        hellos = self.gossip.fresh(wire.HostRole.ENTRY)
-        self.book.hear_loads(sum_loads(hellos, self.book.start_revisions))
-        self.homes.refresh()
+        self._refresh_advertised()
+        heartbeats = self.gossip.fresh(wire.HostRole.ENTRY)
+        self.endpoint_table.hear_loads(sum_loads(heartbeats, self.endpoint_table.start_revisions))
+        self.coordinators.refresh()
         self.quotas.refresh()
-        if self.homes.mine:
+        if self.coordinators.coordinated_hall:
             # A home knows better, but for halls whose homes are silent.
             self.exchange.refresh_book()
 
@@ -338,4 +352,4 @@
         while not self.should_stop:
             await asyncio.sleep(SWEEP_S)
             self.links.sweep()
-            self._rate.note(self.requests.counts.taken, SWEEP_S)
+            self._rate.note(self.requests.counts.received, SWEEP_S)
--- a/src/bayhinge/_internal/services/gateway/first_news.py
+++ b/src/bayhinge/_internal/services/gateway/initial_sync.py
@@ -8,28 +8,28 @@
 
 import eliot
 
-START_WAIT_S = 1.5
+INITIAL_SYNC_WAIT_S = 1.5
 """Longest wait of a request for what its host has not heard yet. A host that started while the
 store answers has everything within 0.1 s, and from other hosts' hellos within 0.6 s where the store
 does not; a caller that waited for longer would do better at another host."""
 
 
-class FirstNews:
+class InitialSync:
     """One thing that a host hears of after its start."""
 
     def __init__(self, name: str) -> None:
         """Takes the name that refusals and log lines use."""
         self.name = name
-        self._has_come = asyncio.Event()
+        self._completed = asyncio.Event()
 
     @property
-    def has_come(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether it was heard."""
-        return self._has_come.is_set()
+        return self._completed.is_set()
 
-    def note(self) -> None:
+    def complete(self) -> None:
         """It was heard."""
-        self._has_come.set()
+        self._completed.set()
 
     async def wait(self, attempt: str, until_s: float) -> bool:
         """Waits for it on behalf of a request; returns whether it has come in time.
@@ -37,26 +37,26 @@
         All that one request waits for shares its time, which ends at ``until_s`` on the loop's
         clock; see :func:`wait_until`.
         """
-        if self._has_come.is_set():
+        if self._completed.is_set():
             return True
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        arrived_s = loop.time()
         try:
             async with asyncio.timeout_at(until_s):
-                await self._has_come.wait()
+                await self._completed.wait()
         except TimeoutError:
             pass
         eliot.log_message(
             "request.waited_for_news",
             attempt=attempt,
             news=self.name,
-            waited_ms=round((loop.time() - began_s) * 1000, 1),
-            has_come=self._has_come.is_set(),
+            waited_ms=round((loop.time() - arrived_s) * 1000, 1),
+            has_come=self._completed.is_set(),
         )
-        return self._has_come.is_set()
+        return self._completed.is_set()
 
 
-def wait_until(began_s: float, patience_s: float | None) -> float:
+def initial_sync_deadline(arrived_s: float, patience_s: float | None) -> float:
     """Returns when a request that came at ``began_s`` stops waiting for its host's first news."""
-    wait_s = START_WAIT_S if patience_s is None else min(START_WAIT_S, patience_s)
-    return began_s + wait_s
+    wait_s = INITIAL_SYNC_WAIT_S if patience_s is None else min(INITIAL_SYNC_WAIT_S, patience_s)
+    return arrived_s + wait_s
--- a/src/bayhinge/_internal/services/gateway/open_turn.py
+++ b/src/bayhinge/_internal/services/gateway/open_turn.py
@@ -21,7 +21,7 @@
     attempt: str
     context: TurnContext
     history: bytes
-    read_at: EndpointStart
+    last_engine: EndpointStart
     reserved: int
-    is_kept: bool = True
+    is_retained: bool = True
     account: str = ""
--- a/src/bayhinge/_internal/services/gateway/peer_answers.py
+++ b/src/bayhinge/_internal/services/gateway/peer_requests.py
@@ -9,19 +9,19 @@
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gateway.configuration_proofs import ConfigurationProofs
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
-from bayhinge._internal.services.gateway.placement import HomePlacer
+from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
 from bayhinge._internal.services.gateway.quotas import Quotas
 from bayhinge._internal.services.key_follower import KeyFollower
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 
-class PeerAnswers(AnsweringHandler):
+class PeerRequestHandler(AnsweringHandler):
     """Answers by the parts that know."""
 
     def __init__(
         self,
         followers_by_prefix: Mapping[str, KeyFollower],
-        placer: HomePlacer,
+        placer: CoordinatorPlacer,
         proofs: ConfigurationProofs,
         quotas: Quotas,
         disks: DiskDirectory,
--- a/src/bayhinge/_internal/services/gateway/wishes.py
+++ b/src/bayhinge/_internal/services/gateway/placement_preferences.py
@@ -5,14 +5,14 @@
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 
-MOST_WEIGHED_TOKENS = 10_000_000
+MAX_WEIGHTED_TOKENS = 10_000_000
 """A caller may name any number; more than the longest history changes no choice."""
 
 
-def wish_of(request: RoutedRequest, turn: OpenTurn | None) -> Wish:
+def preference_of(request: RoutedRequest, turn: OpenTurn | None) -> Wish:
     """Returns the wish of a request, and of its turn where it has one."""
     shared = request.parts[0] if len(request.parts) > 1 else None
-    start = EndpointStart() if turn is None else turn.read_at
+    start = EndpointStart() if turn is None else turn.last_engine
     kept_tokens = 0
     if turn is not None and turn.history:
         tokens = sum(part.tokens for part in request.parts)
@@ -20,6 +20,6 @@
     return Wish(
         start,
         request.affinity or "" if shared is None else shared.name,
-        min(MOST_WEIGHED_TOKENS, kept_tokens),
-        0 if shared is None else min(MOST_WEIGHED_TOKENS, shared.tokens),
+        min(MAX_WEIGHTED_TOKENS, kept_tokens),
+        0 if shared is None else min(MAX_WEIGHTED_TOKENS, shared.tokens),
     )
--- a/src/bayhinge/_internal/services/gateway/quotas.py
+++ b/src/bayhinge/_internal/services/gateway/quotas.py
@@ -33,19 +33,19 @@
 ANSWER_S = 0.06
 """Time for a home's answer: some fifteen times an ordinary one between halls."""
 
-HOPS = 3
+MAX_CALLS = 3
 """Homes that are asked for one request: a silent one, its successor, and one redirection."""
 
-NO_HOME_RETRY_S = 0.3
+NO_COORDINATOR_RETRY_S = 0.3
 """When a request should come again for whose account no home answered: by then it has another."""
 
 STALL_S = 1.0
 """A host whose rounds were so late stood still: others took its accounts over meanwhile."""
 
-KNOWN_S = 10.0
+SITE_MEMBER_S = 10.0
 """Hosts that were heard within this time count as part of the site."""
 
-KEEP_S = 60.0
+IDLE_BUCKET_KEEP_S = 60.0
 """A bucket that nobody asked for so long is dropped: it is full, as a new one would be."""
 
 
@@ -55,14 +55,14 @@
 
     granted: int = 0
     refused: int = 0
-    refused_begins: int = 0
-    without_home: int = 0
-    given_back: int = 0
+    refused_first_requests: int = 0
+    without_coordinator: int = 0
+    returned: int = 0
     answered: int = 0
 
 
 @attrs.define
-class _Kept:
+class _AccountBucket:
     """One account's bucket at its home.
 
     Attributes:
@@ -73,7 +73,7 @@
 
     bucket: QuotaBucket
     version: int
-    used_s: float
+    last_used_s: float
     is_own: bool
 
 
@@ -87,9 +87,9 @@
         self._margin = margin
         self._suspects = SuspectHosts(gossip.heard_s)
         self._address_by_host: dict[str, str] = {}
-        self._home_by_account: dict[str, str] = {}
-        self._kept_by_account: dict[str, _Kept] = {}
-        self._unused_by_account: dict[str, int] = {}
+        self._coordinator_by_account: dict[str, str] = {}
+        self._bucket_by_account: dict[str, _AccountBucket] = {}
+        self._returned_by_account: dict[str, int] = {}
         self._changed_s = -math.inf
         self._round_s = -math.inf
         self._share = 1.0
@@ -98,7 +98,7 @@
 
     # ---- this host's own requests ----
 
-    async def take(self, account: RoutedAccount, begins_program: bool) -> None:
+    async def acquire(self, account: RoutedAccount, begins_program: bool) -> None:
         """Takes the right to send one request.
 
         Raises:
@@ -106,12 +106,12 @@
         """
         if account.quota is None:
             return
-        wait_s = await self._ask(account.name, account.quota, begins_program)
+        wait_s = await self._ask_coordinator(account.name, account.quota, begins_program)
         if wait_s is None:
             self.counts.granted += 1
             return
         self.counts.refused += 1
-        self.counts.refused_begins += begins_program
+        self.counts.refused_first_requests += begins_program
         raise RefusedError(
             refuse_unaccepted(
                 RefusalCode.QUOTA_EXCEEDED,
@@ -122,14 +122,16 @@
             )
         )
 
-    def give_back(self, account: RoutedAccount) -> None:
+    def return_unused(self, account: RoutedAccount) -> None:
         """A request that took a right has reached no endpoint."""
         if account.quota is not None:
-            unused = self._unused_by_account.get(account.name, 0)
-            self._unused_by_account[account.name] = unused + 1
-            self.counts.given_back += 1
+            unused = self._returned_by_account.get(account.name, 0)
+            self._returned_by_account[account.name] = unused + 1
+            self.counts.returned += 1
 
-    async def _ask(self, account: str, quota: Quota, begins_program: bool) -> float | None:
+    async def _ask_coordinator(
+        self, account: str, quota: Quota, begins_program: bool
+    ) -> float | None:
         """Returns None where the right was granted, or after how many seconds to come again."""
         call = wire.QuotaCall(
             self._gossip.me.host,
@@ -138,35 +140,37 @@
             quota.rate_per_s,
             quota.burst,
             begins_program,
-            self._unused_by_account.pop(account, 0),
+            self._returned_by_account.pop(account, 0),
             [],
         )
         redirected = ""
-        for _ in range(HOPS):
-            home = redirected or self._home_of(account)
-            if home == self._gossip.me.host:
+        for _ in range(MAX_CALLS):
+            coordinator = redirected or self._coordinator_of(account)
+            if coordinator == self._gossip.me.host:
                 return self._grant(call)
-            reply = await self._call(home, call)
+            reply = await self._call_coordinator(coordinator, call)
             redirected = ""
             if reply is None:
-                self._suspects.add(home)
-                self._home_by_account.pop(account, None)
-                call.silent.append(home)
+                self._suspects.add(coordinator)
+                self._coordinator_by_account.pop(account, None)
+                call.silent.append(coordinator)
             elif reply.home is None:
-                return None if reply.granted else (reply.wait_s or NO_HOME_RETRY_S)
+                return None if reply.granted else (reply.wait_s or NO_COORDINATOR_RETRY_S)
             elif reply.home in self._address_by_host:
                 redirected = reply.home
-        self.counts.without_home += 1
+        self.counts.without_coordinator += 1
         raise RefusedError(
             refuse_unaccepted(
                 RefusalCode.OWNER_UNREACHABLE,
                 f"no host answered for the quota of account '{account}'",
-                retry_after_s=NO_HOME_RETRY_S,
+                retry_after_s=NO_COORDINATOR_RETRY_S,
             )
         )
 
-    async def _call(self, home: str, call: wire.QuotaCall) -> wire.QuotaReply | None:
-        address = self._address_by_host[home]
+    async def _call_coordinator(
+        self, coordinator: str, call: wire.QuotaCall
+    ) -> wire.QuotaReply | None:
+        address = self._address_by_host[coordinator]
         try:
             async with running_timeout(ANSWER_S):
                 answer = await self._peers.call(address, methods.QUOTA, encode_message(call))
@@ -175,7 +179,7 @@
             eliot.log_message(
                 "quota.home_silent",
                 account=call.account,
-                home=home,
+                home=coordinator,
                 why=str(error) or "no answer in time",
             )
             return None
@@ -185,9 +189,9 @@
 
     def answer(self, call: wire.QuotaCall) -> wire.QuotaReply:
         """Answers another host."""
-        home = self._home_of(call.account, call.silent)
-        if home != self._gossip.me.host:
-            return wire.QuotaReply(False, None, home)
+        coordinator = self._coordinator_of(call.account, call.silent)
+        if coordinator != self._gossip.me.host:
+            return wire.QuotaReply(False, None, coordinator)
         self.counts.answered += 1
         wait_s = self._grant(call)
         return wire.QuotaReply(wait_s is None, wait_s)
@@ -195,22 +199,24 @@
     def _grant(self, call: wire.QuotaCall) -> float | None:
         now = asyncio.get_running_loop().time()
         quota = Quota(call.rate_per_s, call.burst)
-        stands_in = self._home_of(call.account) != self._gossip.me.host
-        settled_s = 0.0 if stands_in else now - self._changed_s
-        kept = self._kept_by_account.get(call.account)
-        if kept is None:
+        is_substitute = self._coordinator_of(call.account) != self._gossip.me.host
+        settled_s = 0.0 if is_substitute else now - self._changed_s
+        entry = self._bucket_by_account.get(call.account)
+        if entry is None:
             bucket = QuotaBucket(quota, self._margin, now, settled_s)
-            kept = self._kept_by_account[call.account] = _Kept(bucket, call.version, now, True)
-        elif not kept.is_own:
-            kept.bucket.begin_anew(now, settled_s)
-        if call.version > kept.version:
-            kept.bucket.set_quota(quota)
-            kept.version = call.version
-        kept.used_s = now
-        kept.is_own = True
-        kept.bucket.fill(now, self._share, stands_in)
-        kept.bucket.give_back(call.unused)
-        return kept.bucket.take(call.begins_program)
+            entry = self._bucket_by_account[call.account] = _AccountBucket(
+                bucket, call.version, now, True
+            )
+        elif not entry.is_own:
+            entry.bucket.begin_anew(now, settled_s)
+        if call.version > entry.version:
+            entry.bucket.set_quota(quota)
+            entry.version = call.version
+        entry.last_used_s = now
+        entry.is_own = True
+        entry.bucket.fill(now, self._share, is_substitute)
+        entry.bucket.give_back(call.unused)
+        return entry.bucket.take(call.begins_program)
 
     # ---- who is there ----
 
@@ -218,42 +224,42 @@
         """Works out anew which hosts may be homes; called with each round of hellos."""
         now = asyncio.get_running_loop().time()
         me = self._gossip.me
-        heard = self._gossip.fresh(wire.HostRole.ENTRY)
+        live = self._gossip.fresh(wire.HostRole.ENTRY)
         ready = {
-            hello.host: hello.peer_address
-            for hello in (*heard, me)
-            if hello.phase == wire.HostPhase.READY and not self._suspects.has(hello.host)
+            heartbeat.host: heartbeat.peer_address
+            for heartbeat in (*live, me)
+            if heartbeat.phase == wire.HostPhase.READY and not self._suspects.has(heartbeat.host)
         }
-        stood_still = now - self._round_s > STALL_S
+        has_stalled = now - self._round_s > STALL_S
         has_changed = ready.keys() != self._address_by_host.keys()
         self._round_s = now
         self._address_by_host = ready
-        if has_changed or stood_still:
-            self._home_by_account = {}
+        if has_changed or has_stalled:
+            self._coordinator_by_account = {}
             self._changed_s = now
-            self._disown(stood_still)
-        known = 1 + self._gossip.heard_within(wire.HostRole.ENTRY, KNOWN_S)
-        self._share = min(1.0, (1 + len(heard)) / known)
-        for account, kept in list(self._kept_by_account.items()):
-            if kept.used_s < now - KEEP_S:
-                del self._kept_by_account[account]
-
-    def _disown(self, stood_still: bool) -> None:
+            self._clear_ownership(has_stalled)
+        known = 1 + self._gossip.heard_within(wire.HostRole.ENTRY, SITE_MEMBER_S)
+        self._share = min(1.0, (1 + len(live)) / known)
+        for account, entry in list(self._bucket_by_account.items()):
+            if entry.last_used_s < now - IDLE_BUCKET_KEEP_S:
+                del self._bucket_by_account[account]
+
+    def _clear_ownership(self, has_stalled: bool) -> None:
         """Notes for which accounts another host may have granted, or may do so from now on."""
-        for account, kept in self._kept_by_account.items():
-            if stood_still or self._home_of(account) != self._gossip.me.host:
-                kept.is_own = False
+        for account, entry in self._bucket_by_account.items():
+            if has_stalled or self._coordinator_of(account) != self._gossip.me.host:
+                entry.is_own = False
 
-    def _home_of(self, account: str, silent: Collection[str] = ()) -> str:
+    def _coordinator_of(self, account: str, silent: Collection[str] = ()) -> str:
         """Returns an account's home; ``silent`` hosts did not answer somebody else."""
-        home = self._home_by_account.get(account)
-        if home is None or home in silent:
+        coordinator = self._coordinator_by_account.get(account)
+        if coordinator is None or coordinator in silent:
             hosts = [
                 host
                 for host in self._address_by_host
                 if host not in silent and not self._suspects.has(host)
             ]
-            home = choose(f"quota of {account}", hosts) or self._gossip.me.host
+            coordinator = choose(f"quota of {account}", hosts) or self._gossip.me.host
             if not silent:
-                self._home_by_account[account] = home
-        return home
+                self._coordinator_by_account[account] = coordinator
+        return coordinator
--- a/src/bayhinge/_internal/services/gateway/sending.py
+++ b/src/bayhinge/_internal/services/gateway/request_sender.py
@@ -23,32 +23,32 @@
     UnreachableError,
 )
 from bayhinge._internal.network.endpoint_link import EndpointConnection, EndpointLinks
-from bayhinge._internal.services.gateway.admission import NoLongerAdmittedError
+from bayhinge._internal.services.gateway.active_runs import (
+    ENDED_REASON,
+    ActiveRun,
+    ActiveRuns,
+)
+from bayhinge._internal.services.gateway.admission import AdmissionRevokedError
 from bayhinge._internal.services.gateway.delivery import Delivery
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.outside import CallFormat
-from bayhinge._internal.services.gateway.placement import OwnPlacer, Placer
-from bayhinge._internal.services.gateway.runs_under_way import (
-    WHY_OVER,
-    RunsUnderWay,
-    RunUnderWay,
-)
-from bayhinge._internal.services.gateway.wishes import wish_of
+from bayhinge._internal.services.gateway.placement import LocalPlacer, Placer
+from bayhinge._internal.services.gateway.placement_preferences import preference_of
 from bayhinge._internal.utils.running_time import running_timeout
 
-MOST_UNTAKEN_SENDS = 4
+MAX_REJECTED_SENDS = 4
 """Endpoints that are asked although none has taken the request; each costs a round trip."""
 
 RETRY_AFTER_S = 0.3
 """When a request that no endpoint took should come again."""
 
 
-class NotTakenError(Exception):
+class RequestRejectedError(Exception):
     """The endpoint promises that the request did not run."""
 
 
 @attrs.define
-class _Sending:
+class _SendState:
     """One request under way.
 
     Attributes:
@@ -61,13 +61,13 @@
     route: Route
     request: RoutedRequest
     body: bytes
-    wish: Wish
+    preference: Wish
     attempt: CallAttempt
     deadline_s: float
     delivery: Delivery
-    tried: list[RunUnderWay] = attrs.field(factory=list)
+    tried: list[ActiveRun] = attrs.field(factory=list)
     ran: int = 0
-    untaken: int = 0
+    rejected: int = 0
 
 
 @attrs.define
@@ -81,10 +81,10 @@
         cut: runs that broke off within an event.
     """
 
-    doubted: int = 0
-    again: int = 0
+    suspected: int = 0
+    retried: int = 0
     resumed: int = 0
-    cut: int = 0
+    cut_in_event: int = 0
 
 
 class Sender:
@@ -92,24 +92,24 @@
 
     def __init__(
         self,
-        book: EndpointBook,
+        endpoint_table: EndpointBook,
         links: EndpointLinks,
         calls: CallFormat,
         placer: Placer | None = None,
-        runs: RunsUnderWay | None = None,
-        check: Callable[[RoutedRequest], None] = lambda request: None,
+        runs: ActiveRuns | None = None,
+        check_admission: Callable[[RoutedRequest], None] = lambda request: None,
     ) -> None:
         """Takes the endpoints, the connections, the format of calls, who chooses, and the runs.
 
-        ``check`` raises NoLongerAdmittedError where a request may not be sent any more.
+        ``check`` raises AdmissionRevokedError where a request may not be sent any more.
         """
-        self._check = check
-        self._book = book
-        self._placer = placer or OwnPlacer(book)
+        self._check_admission = check_admission
+        self._endpoint_table = endpoint_table
+        self._placer = placer or LocalPlacer(endpoint_table)
         self._links = links
         self._calls = calls
         self.counts = SendCounts()
-        self._runs = runs or RunsUnderWay()
+        self._runs = runs or ActiveRuns()
         self._usual_answer_s_by_service: dict[str, float] = {}
 
     async def send(
@@ -128,120 +128,122 @@
             RefusedError: no endpoint gave an answer that can be delivered.
         """
         body = request.body if turn is None else turn.history + request.body
-        sending = _Sending(
+        send_state = _SendState(
             service,
             route,
             request,
             body,
-            wish_of(request, turn),
+            preference_of(request, turn),
             attempt,
             deadline_s,
             delivery,
         )
         while True:
-            run = await self._next_run(sending)
+            run = await self._next_run(send_state)
             try:
-                await self._send_to(run, sending)
+                await self._send_to(run, send_state)
                 return
-            except NoLongerAdmittedError as error:
+            except AdmissionRevokedError as error:
                 attempt.note_unsent()
-                raise RefusedError(self._refuse_late(sending, error)) from error
+                raise RefusedError(self._admission_refusal(send_state, error)) from error
             except UnreachableError as error:
                 attempt.note_unsent()
-                sending.untaken += 1
-                self._note_failure(run, sending, str(error))
-            except NotTakenError as error:
+                send_state.rejected += 1
+                self._record_failure(run, send_state, str(error))
+            except RequestRejectedError as error:
                 attempt.note_unsent()
-                sending.untaken += 1
-                self._log("send.not_taken", run, sending, str(error))
+                send_state.rejected += 1
+                self._log("send.not_taken", run, send_state, str(error))
             except BrokenAnswerError as error:
-                sending.ran += 1
-                self.counts.cut += error.cut_bytes > 0
-                if isinstance(error, SilentEndpointError) and self._book.is_current(run.belief):
+                send_state.ran += 1
+                self.counts.cut_in_event += error.cut_bytes > 0
+                if isinstance(error, SilentEndpointError) and self._endpoint_table.is_current(
+                    run.state
+                ):
                     # What is kept open to it may be as dead as the connection that was used.
                     self._links.drop_idle(run.endpoint)
-                self._note_failure(run, sending, error.why, error.cut_bytes)
-                self._give_up_unless_repeatable(sending, error)
+                self._record_failure(run, send_state, error.why, error.cut_bytes)
+                self._raise_unless_repeatable(send_state, error)
 
-    def _refuse_late(self, sending: _Sending, error: NoLongerAdmittedError) -> Refusal:
-        if sending.ran:
-            return sending.attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
+    def _admission_refusal(self, send_state: _SendState, error: AdmissionRevokedError) -> Refusal:
+        if send_state.ran:
+            return send_state.attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
         retry_after_s = None if error.code is RefusalCode.UNAUTHORIZED else RETRY_AFTER_S
-        return sending.attempt.refuse(error.code, error.why, retry_after_s=retry_after_s)
-
-    async def _next_run(self, sending: _Sending) -> RunUnderWay:
-        belief = None
-        if sending.untaken < MOST_UNTAKEN_SENDS:
-            tried = self._still_tried(sending)
-            wish = attrs.evolve(sending.wish, connected=self._links.connected())
-            belief = await self._placer.place(sending.service, wish, tried)
-        if belief is None:
-            code = RefusalCode.OUTCOME_UNKNOWN if sending.ran else RefusalCode.NO_ENDPOINT
-            why = f"none of {len(sending.tried)} endpoint(s) of the service took the request"
-            raise RefusedError(sending.attempt.refuse(code, why, retry_after_s=RETRY_AFTER_S))
-        sending.attempt.note_send()
-        run = self._runs.begin(belief)
-        sending.tried.append(run)
+        return send_state.attempt.refuse(error.code, error.why, retry_after_s=retry_after_s)
+
+    async def _next_run(self, send_state: _SendState) -> ActiveRun:
+        state = None
+        if send_state.rejected < MAX_REJECTED_SENDS:
+            tried = self._tried_endpoints(send_state)
+            preference = attrs.evolve(send_state.preference, connected=self._links.connected())
+            state = await self._placer.place(send_state.service, preference, tried)
+        if state is None:
+            code = RefusalCode.OUTCOME_UNKNOWN if send_state.ran else RefusalCode.NO_ENDPOINT
+            why = f"none of {len(send_state.tried)} endpoint(s) of the service took the request"
+            raise RefusedError(send_state.attempt.refuse(code, why, retry_after_s=RETRY_AFTER_S))
+        send_state.attempt.note_send()
+        run = self._runs.begin(state)
+        send_state.tried.append(run)
         return run
 
-    def _still_tried(self, sending: _Sending) -> list[str]:
+    def _tried_endpoints(self, send_state: _SendState) -> list[str]:
         """Returns the endpoints whose present starts were asked already."""
         return [
             run.endpoint
-            for run in sending.tried
-            if self._book.find_start(run.belief.entry.start) is not None
+            for run in send_state.tried
+            if self._endpoint_table.find_start(run.state.entry.start) is not None
         ]
 
-    async def _send_to(self, run: RunUnderWay, sending: _Sending) -> None:
+    async def _send_to(self, run: ActiveRun, send_state: _SendState) -> None:
         connection: EndpointConnection | None = None
-        is_clean = False
+        is_complete = False
         try:
-            connection = await self._links.acquire(run.endpoint, run.belief.entry.address)
-            if run.is_over:
-                raise UnreachableError(WHY_OVER)
+            connection = await self._links.acquire(run.endpoint, run.state.entry.address)
+            if run.is_ended:
+                raise UnreachableError(ENDED_REASON)
             run.connection = connection
-            answer, marks = await self._exchange(connection, run, sending)
-            is_clean = True
+            answer, marks = await self._exchange(connection, run, send_state)
+            is_complete = True
             self._keep_or_close(connection, answer, marks)
             if marks.not_run or marks.wrong_instance:
-                raise NotTakenError(f"status {answer.status}")
-            run.belief.note_success()
+                raise RequestRejectedError(f"status {answer.status}")
+            run.state.note_success()
         finally:
             self._runs.end(run)
-            self._placer.note_ended(run.belief)
-            if connection is not None and not is_clean:
+            self._placer.record_end(run.state)
+            if connection is not None and not is_complete:
                 # Also tells the endpoint to stop: the caller has left or the time is over.
                 connection.abort("given up")
 
     async def _exchange(
-        self, connection: EndpointConnection, run: RunUnderWay, sending: _Sending
+        self, connection: EndpointConnection, run: ActiveRun, send_state: _SendState
     ) -> tuple[Answer, AnswerMarks]:
         """Sends, and reads the answer to its end; delivers it unless the request did not run."""
-        request, route = sending.request, sending.route
+        request, route = send_state.request, send_state.route
         loop = asyncio.get_running_loop()
-        may_repeat = route.may_repeat and sending.ran + 1 < route.max_endpoints
+        may_repeat = route.may_repeat and send_state.ran + 1 < route.max_endpoints
         bounds = bounds_of(
             route,
-            may_repeat and sending.delivery.may_go_on,
-            self._usual_answer_s_by_service.get(sending.service, 0.0),
+            may_repeat and send_state.delivery.may_continue,
+            self._usual_answer_s_by_service.get(send_state.service, 0.0),
         )
         head = self._calls.request_head(
             request,
-            len(sending.body),
+            len(send_state.body),
             run.endpoint,
-            sending.deadline_s - loop.time(),
+            send_state.deadline_s - loop.time(),
             route.urgency_of(request.account),
-            sending.delivery.resume_after,
+            send_state.delivery.resume_after,
         )
-        self._check(request)
+        self._check_admission(request)
         # A program asks for a turn again that failed, so a turn may end early as well.
-        connection.send(head, sending.body, may_repeat or route.kind is RouteKind.STREAMING)
-        answer, marks = await self._answer_in_time(connection, run, sending, bounds)
+        connection.send(head, send_state.body, may_repeat or route.kind is RouteKind.STREAMING)
+        answer, marks = await self._answer_in_time(connection, run, send_state, bounds)
         if marks.not_run or marks.wrong_instance:
             await answer.read_body()
             return answer, marks
-        sending.delivery.run = run
-        await sending.delivery.deliver(answer, marks, may_repeat, bounds)
+        send_state.delivery.run = run
+        await send_state.delivery.deliver(answer, marks, may_repeat, bounds)
         return answer, marks
 
     def _keep_or_close(
@@ -255,8 +257,8 @@
     async def _answer_in_time(
         self,
         connection: EndpointConnection,
-        run: RunUnderWay,
-        sending: _Sending,
+        run: ActiveRun,
+        send_state: _SendState,
         bounds: AnswerBounds,
     ) -> tuple[Answer, AnswerMarks]:
         """Returns the head of the answer; doubts an endpoint that says nothing to anybody here.
@@ -270,31 +272,36 @@
             try:
                 # What came while this host stood still is read before anybody is doubted.
                 async with running_timeout(bounds.unheard_s):
-                    answer, marks = await self._own_answer(connection, sending.request.attempt)
-                self._note_answer(sending.service, sent_s)
+                    answer, marks = await self._matching_answer(
+                        connection, send_state.request.attempt
+                    )
+                self._record_answer_time(send_state.service, sent_s)
                 return answer, marks
             except TimeoutError:
                 waits += 1
-            is_heard = self._links.was_heard_since(run.endpoint, sent_s)
-            should_leave = waits >= MOST_WAITS or not is_heard
-            if should_leave and bounds.may_leave and self._has_other(sending):
+            has_responded = self._links.was_heard_since(run.endpoint, sent_s)
+            should_leave = waits >= MOST_WAITS or not has_responded
+            if should_leave and bounds.may_leave and self._has_untried_endpoint(send_state):
                 raise SilentEndpointError(f"no answer for {waits * bounds.unheard_s:.3f} s")
-            if waits == 1 and not is_heard:
-                self.counts.doubted += 1
-                self._note_failure(run, sending, f"not heard for {bounds.unheard_s:.3f} s")
+            if waits == 1 and not has_responded:
+                self.counts.suspected += 1
+                self._record_failure(run, send_state, f"not heard for {bounds.unheard_s:.3f} s")
 
-    def _note_answer(self, service: str, sent_s: float) -> None:
+    def _record_answer_time(self, service: str, sent_s: float) -> None:
         took_s = asyncio.get_running_loop().time() - sent_s
         before_s = self._usual_answer_s_by_service.get(service)
         self._usual_answer_s_by_service[service] = usual_answer_s(before_s, took_s)
 
-    def _has_other(self, sending: _Sending) -> bool:
+    def _has_untried_endpoint(self, send_state: _SendState) -> bool:
         """Whether an endpoint is left that was not asked yet."""
         now = asyncio.get_running_loop().time()
-        tried = self._still_tried(sending)
-        return self._book.choose(sending.service, sending.wish, tried, now) is not None
+        tried = self._tried_endpoints(send_state)
+        return (
+            self._endpoint_table.choose(send_state.service, send_state.preference, tried, now)
+            is not None
+        )
 
-    async def _own_answer(
+    async def _matching_answer(
         self, connection: EndpointConnection, attempt: str
     ) -> tuple[Answer, AnswerMarks]:
         """Returns the answer that bears the request's id; passes over those of earlier ones."""
@@ -312,38 +319,38 @@
             if answer.closes_connection:
                 raise BrokenAnswerError("the connection ended behind another request's answer")
 
-    def _give_up_unless_repeatable(self, sending: _Sending, error: BrokenAnswerError) -> None:
-        may_repeat = sending.route.may_repeat and sending.delivery.may_go_on
-        if may_repeat and sending.ran < sending.route.max_endpoints:
-            self.counts.again += 1
-            self.counts.resumed += sending.delivery.resume_after is not None
+    def _raise_unless_repeatable(self, send_state: _SendState, error: BrokenAnswerError) -> None:
+        may_repeat = send_state.route.may_repeat and send_state.delivery.may_continue
+        if may_repeat and send_state.ran < send_state.route.max_endpoints:
+            self.counts.retried += 1
+            self.counts.resumed += send_state.delivery.resume_after is not None
             eliot.log_message(
                 "send.again",
-                attempt=sending.request.attempt,
-                resume_after=sending.delivery.resume_after,
-                sends_ran=sending.ran,
+                attempt=send_state.request.attempt,
+                resume_after=send_state.delivery.resume_after,
+                sends_ran=send_state.ran,
             )
             return
         raise RefusedError(
-            sending.attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
+            send_state.attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
         ) from error
 
-    def _note_failure(
-        self, run: RunUnderWay, sending: _Sending, why: str, cut_bytes: int = 0
+    def _record_failure(
+        self, run: ActiveRun, send_state: _SendState, why: str, cut_bytes: int = 0
     ) -> None:
-        run.belief.note_failure(asyncio.get_running_loop().time())
-        self._log("send.failed", run, sending, why, cut_bytes)
+        run.state.note_failure(asyncio.get_running_loop().time())
+        self._log("send.failed", run, send_state, why, cut_bytes)
 
     def _log(
-        self, what: str, run: RunUnderWay, sending: _Sending, why: str, cut_bytes: int = 0
+        self, what: str, run: ActiveRun, send_state: _SendState, why: str, cut_bytes: int = 0
     ) -> None:
         eliot.log_message(
             what,
-            attempt=sending.request.attempt,
+            attempt=send_state.request.attempt,
             endpoint=run.endpoint,
             why=why,
-            load=round(run.belief.load, 2),
-            sends_ran=sending.ran,
-            sends_untaken=sending.untaken,
+            load=round(run.state.load, 2),
+            sends_ran=send_state.ran,
+            sends_untaken=send_state.rejected,
             cut_bytes=cut_bytes,
         )
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -21,16 +21,16 @@
 from bayhinge._internal.models.routing import ClosedRoute, Route, RouteKind, RoutingTable
 from bayhinge._internal.network.routed_front import BodyTooLongError, Exchange, ExchangeHandler
 from bayhinge._internal.services.gateway.admission import Admission
-from bayhinge._internal.services.gateway.beliefs import ConfigurationBelief
+from bayhinge._internal.services.gateway.buffered_delivery import BufferedDelivery
 from bayhinge._internal.services.gateway.delivery import Delivery
-from bayhinge._internal.services.gateway.first_news import FirstNews, wait_until
+from bayhinge._internal.services.gateway.initial_sync import InitialSync, initial_sync_deadline
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.outside import CallFormat
 from bayhinge._internal.services.gateway.quotas import Quotas
-from bayhinge._internal.services.gateway.sending import RETRY_AFTER_S, Sender
+from bayhinge._internal.services.gateway.request_sender import RETRY_AFTER_S, Sender
+from bayhinge._internal.services.gateway.store_listeners import ConfigurationState
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
-from bayhinge._internal.services.gateway.turn_keeper import TurnKeeper
-from bayhinge._internal.services.gateway.whole_delivery import WholeDelivery
+from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 from bayhinge._internal.services.latencies import Latencies
 
 STATUS_BY_RUN_STATE = {
@@ -47,7 +47,7 @@
 class RequestCounts:
     """Requests by how they ended."""
 
-    taken: int = 0
+    received: int = 0
     ended_by_outcome: dict[str, int] = attrs.field(factory=dict)
 
     def end(self, outcome: str) -> None:
@@ -60,24 +60,24 @@
 
     def __init__(
         self,
-        configuration: ConfigurationBelief,
+        configuration: ConfigurationState,
         calls: CallFormat,
         sender: Sender,
-        keeper: TurnKeeper,
+        turn_recorder: TurnRecorder,
         admission: Admission,
         quotas: Quotas,
         latencies: Latencies,
-        endpoint_news: FirstNews,
-        disk_news: FirstNews,
+        endpoint_sync: InitialSync,
+        disk_sync: InitialSync,
     ) -> None:
         """Takes what a request needs on its way, and what a host hears before it can serve."""
-        self._endpoint_news = endpoint_news
-        self._disk_news = disk_news
+        self._endpoint_sync = endpoint_sync
+        self._disk_sync = disk_sync
         self._configuration = configuration
         self._calls = calls
         self._sender = sender
-        self.sent = sender.counts
-        self._keeper = keeper
+        self.send_counts = sender.counts
+        self._turn_recorder = turn_recorder
         self._admission = admission
         self._quotas = quotas
         self._latencies = latencies
@@ -86,7 +86,7 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """See :class:`ExchangeHandler`."""
-        self.counts.taken += 1
+        self.counts.received += 1
         request: RoutedRequest | None = None
         try:
             request = self._calls.read_request(exchange.method, exchange.target, exchange.headers)
@@ -94,23 +94,23 @@
                 raise RefusedError(
                     refuse_unaccepted(RefusalCode.BAD_REQUEST, "the request has no attempt id")
                 )
-            table = await self._known_table(request, exchange)
-            await self._serve(exchange, table, request)
+            table = await self._require_table(request, exchange)
+            await self._route(exchange, table, request)
         except RefusedError as error:
             if exchange.has_begun:
                 # What was sent must not look whole; the caller may ask again.
                 exchange.break_off()
-                self._note(request, "broken_off", "", exchange, error.refusal.why)
+                self._record_end(request, "broken_off", "", exchange, error.refusal.why)
                 return
             await self._refuse(exchange, request, error.refusal)
         except asyncio.CancelledError:
-            self._note(request, "caller_left", "", exchange)
+            self._record_end(request, "caller_left", "", exchange)
             raise
 
-    async def _known_table(self, request: RoutedRequest, exchange: Exchange) -> RoutingTable:
+    async def _require_table(self, request: RoutedRequest, exchange: Exchange) -> RoutingTable:
         """Returns the configuration; a host that has just started hears of it first."""
-        until_s = wait_until(exchange.began_s, request.patience_s)
-        await self._configuration.news.wait(request.attempt, until_s)
+        sync_deadline_s = initial_sync_deadline(exchange.began_s, request.patience_s)
+        await self._configuration.initial_sync.wait(request.attempt, sync_deadline_s)
         table = self._configuration.table
         if table is None:
             raise RefusedError(
@@ -122,7 +122,7 @@
             )
         return table
 
-    async def _serve(self, exchange: Exchange, table: RoutingTable, request: RoutedRequest) -> None:
+    async def _route(self, exchange: Exchange, table: RoutingTable, request: RoutedRequest) -> None:
         route = table.find(request.host, request.path)
         if route is None:
             raise RefusedError(
@@ -145,10 +145,10 @@
         try:
             async with asyncio.timeout_at(deadline_s):
                 request = await self._admission.admit(table, route, request)
-                _check_head(route, request)
+                _validate_head(route, request)
                 async with self._within_quota(route, request, attempt):
-                    request = await self._with_body(exchange, table, request)
-                    await self._pass_on(exchange, table, route, request, attempt, deadline_s)
+                    request = await self._read_body(exchange, table, request)
+                    await self._forward(exchange, table, route, request, attempt, deadline_s)
         except TimeoutError:
             raise RefusedError(
                 attempt.refuse(
@@ -167,14 +167,14 @@
         if account is None:
             yield
             return
-        await self._quotas.take(account, _begins_program(route, request))
+        await self._quotas.acquire(account, _begins_program(route, request))
         try:
             yield
         finally:
             if attempt.run_state is RunState.NOT_RUN:
-                self._quotas.give_back(account)
+                self._quotas.return_unused(account)
 
-    async def _with_body(
+    async def _read_body(
         self, exchange: Exchange, table: RoutingTable, request: RoutedRequest
     ) -> RoutedRequest:
         try:
@@ -189,7 +189,7 @@
             ) from None
         return attrs.evolve(request, body=body)
 
-    async def _pass_on(
+    async def _forward(
         self,
         exchange: Exchange,
         table: RoutingTable,
@@ -198,28 +198,28 @@
         attempt: CallAttempt,
         deadline_s: float,
     ) -> None:
-        until_s = wait_until(exchange.began_s, request.patience_s)
-        await self._endpoint_news.wait(request.attempt, until_s)
-        turn = await self._open_turn(route, request, until_s)
+        sync_deadline_s = initial_sync_deadline(exchange.began_s, request.patience_s)
+        await self._endpoint_sync.wait(request.attempt, sync_deadline_s)
+        turn = await self._open_turn(route, request, sync_deadline_s)
         service = route.choose_service(self._random)
         delivery = self._delivery(exchange, table, route, service, request, turn)
         try:
             await self._sender.send(service, route, request, turn, attempt, deadline_s, delivery)
         finally:
             if turn is not None and not delivery.is_recorded:
-                self._keeper.settle(turn, delivery.tokens_handed_out)
-        self._note(request, delivery.outcome, delivery.endpoint, exchange)
+                self._turn_recorder.settle(turn, delivery.tokens_handed_out)
+        self._record_end(request, delivery.outcome, delivery.endpoint, exchange)
 
     async def _open_turn(
-        self, route: Route, request: RoutedRequest, until_s: float
+        self, route: Route, request: RoutedRequest, sync_deadline_s: float
     ) -> OpenTurn | None:
         """Opens a turn of a program: one to be kept, or one whose tokens have a budget."""
         context = request.turn
         if route.kind is not RouteKind.STREAMING or context is None:
             return None
         if route.keeps_turns or context.token_budget is not None:
-            await self._disk_news.wait(request.attempt, until_s)
-            return await self._keeper.open(
+            await self._disk_sync.wait(request.attempt, sync_deadline_s)
+            return await self._turn_recorder.open(
                 request.attempt, context, route.keeps_turns, request.account_name
             )
         return None
@@ -234,11 +234,11 @@
         turn: OpenTurn | None,
     ) -> Delivery:
         if route.kind is not RouteKind.STREAMING:
-            return WholeDelivery(exchange, self._calls)
+            return BufferedDelivery(exchange, self._calls)
         spec = table.services_by_name.get(service)
         tokens_per_event = spec.engine.tokens_per_event if spec and spec.engine else 1
         return StreamDelivery(
-            exchange, self._calls, self._keeper, turn, request, tokens_per_event, route
+            exchange, self._calls, self._turn_recorder, turn, request, tokens_per_event, route
         )
 
     async def _refuse(
@@ -265,7 +265,7 @@
         headers = self._calls.refusal_headers(attempt, retry_after_s)
         await exchange.respond(status, headers, refusal.to_json())
 
-    def _note(
+    def _record_end(
         self,
         request: RoutedRequest | None,
         outcome: str,
@@ -295,7 +295,7 @@
     return route.keeps_turns and context is not None and context.previous is None
 
 
-def _check_head(route: Route, request: RoutedRequest) -> None:
+def _validate_head(route: Route, request: RoutedRequest) -> None:
     """Refuses what can't be served as it was asked.
 
     Raises:
--- a/src/bayhinge/_internal/services/gateway/beliefs.py
+++ b/src/bayhinge/_internal/services/gateway/store_listeners.py
@@ -11,29 +11,32 @@
 from bayhinge._internal.models.routing import RoutingTable
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.first_news import FirstNews
+from bayhinge._internal.services.gateway.initial_sync import InitialSync
 from bayhinge._internal.services.gateway.outside import ObjectReader
-from bayhinge._internal.services.gateway.unreadable import SHOWN_FINDINGS, UnreadableObjects
+from bayhinge._internal.services.gateway.unreadable_objects import (
+    MAX_LOGGED_FINDINGS,
+    UnreadableObjects,
+)
 from bayhinge._internal.services.key_follower import FollowListener
 from bayhinge.coordination.store import Change
 
-VANISHED_GRACE_S = 1.8
+MISSING_ENTRY_GRACE_S = 1.8
 """An endpoint whose entry vanished is a last resort for so long, then it is gone: one that leaves
 must get nothing new two seconds after its entry went."""
 
-LAPSED_GRACE_S = 2.6
+MISSING_AFTER_OUTAGE_GRACE_S = 2.6
 """The same where the store came back only just before. Entries lapse in outages, and those that
 live and reach the store are back within about two seconds of the end; a host counts as in touch
 three seconds after it. With the shorter time 6 to 20 endpoints were dropped for 0.2 to 0.5 s at
 each return (five played days of six, over all hosts of two small sites)."""
 
-GONE_KEEP_S = 60.0
+REMOVED_ENTRY_KEEP_S = 60.0
 """For so long the last start of an endpoint that is gone is remembered, so that an entry of an
 earlier one that comes late does not bring it back. Calls to the store that got no answer may be
 done seconds later, and news of peers are less than a second old."""
 
 
-class ConfigurationBelief(FollowListener):
+class ConfigurationState(FollowListener):
     """The newest configuration that could be read; never an older one."""
 
     def __init__(self, reader: ObjectReader, key: str) -> None:
@@ -42,7 +45,7 @@
         self._key = key
         self.unreadable = UnreadableObjects("configuration.unreadable")
         self.table: RoutingTable | None = None
-        self.news = FirstNews("configuration")
+        self.initial_sync = InitialSync("configuration")
         self.on_change: Callable[[], None] = lambda: None
 
     @property
@@ -59,27 +62,27 @@
         """See :class:`FollowListener`."""
         value = value_by_key.get(self._key)
         if value is not None:
-            self._take(value)
+            self._load(value)
         self.on_change()
 
     def apply(self, change: Change, is_after_outage: bool) -> None:
         """See :class:`FollowListener`."""
         if change.key == self._key and change.value is not None:
-            self._take(change.value)
+            self._load(change.value)
         self.on_change()
 
-    def _take(self, value: bytes) -> None:
+    def _load(self, value: bytes) -> None:
         try:
             table = self._reader.read_configuration(value)
         except UnreadableObjectError as error:
-            self.unreadable.note(error)
+            self.unreadable.record(error)
             return
-        self.unreadable.clear(self._key)
+        self.unreadable.resolve(self._key)
         if self.table is not None and table.version <= self.table.version:
             return
         before = self.version
         self.table = table
-        self.news.note()
+        self.initial_sync.complete()
         eliot.log_message(
             "configuration.in_force",
             version=table.version,
@@ -91,46 +94,46 @@
             eliot.log_message(
                 "configuration.read_in_part",
                 version=table.version,
-                findings=list(table.findings[:SHOWN_FINDINGS]),
-                further_findings=max(0, len(table.findings) - SHOWN_FINDINGS),
+                findings=list(table.findings[:MAX_LOGGED_FINDINGS]),
+                further_findings=max(0, len(table.findings) - MAX_LOGGED_FINDINGS),
             )
 
 
-class EndpointBelief(FollowListener):
+class EndpointTableUpdater(FollowListener):
     """Keeps the endpoint book true to the platform's entries."""
 
     def __init__(
         self,
         reader: ObjectReader,
-        book: EndpointBook,
+        endpoint_table: EndpointBook,
         links: EndpointLinks,
         restarts: EndpointRestarts,
     ) -> None:
         """Takes the decoder of entries, the book to keep, the connections, and restarts' ends."""
         self._reader = reader
-        self._book = book
+        self._endpoint_table = endpoint_table
         self._links = links
         self._restarts = restarts
-        self._missing_by_instance: dict[str, asyncio.TimerHandle] = {}
-        self.news = FirstNews("endpoints")
+        self._removal_timer_by_instance: dict[str, asyncio.TimerHandle] = {}
+        self.initial_sync = InitialSync("endpoints")
         self.unreadable = UnreadableObjects("endpoint.unreadable")
 
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
         """See :class:`FollowListener`."""
         instances = {_instance(key) for key in value_by_key}
-        for belief in self._book.all():
-            if belief.entry.instance not in instances:
-                self._vanished(belief.entry.instance, is_after_outage)
-        self.unreadable.keep_only(set(value_by_key))
+        for state in self._endpoint_table.all():
+            if state.entry.instance not in instances:
+                self._mark_missing(state.entry.instance, is_after_outage)
+        self.unreadable.retain_only(set(value_by_key))
         for key, value in value_by_key.items():
             self._put(key, value)
-        self.news.note()
+        self.initial_sync.complete()
 
     def apply(self, change: Change, is_after_outage: bool) -> None:
         """See :class:`FollowListener`."""
         if change.value is None:
-            self.unreadable.clear(change.key)
-            self._vanished(_instance(change.key), is_after_outage)
+            self.unreadable.resolve(change.key)
+            self._mark_missing(_instance(change.key), is_after_outage)
         else:
             self._put(change.key, change.value)
 
@@ -138,32 +141,32 @@
         try:
             entry = self._reader.read_endpoint(key, value)
         except UnreadableObjectError as error:
-            self.unreadable.note(error)
-            self._withdraw(_instance(key))
+            self.unreadable.record(error)
+            self._withdraw_unreadable(_instance(key))
             return
-        self.unreadable.clear(key)
-        known = self._book.last_entry(entry.instance)
-        news = self._book.put(entry)
-        if news is EntryNews.OUTDATED:
+        self.unreadable.resolve(key)
+        previous = self._endpoint_table.last_entry(entry.instance)
+        update = self._endpoint_table.put(entry)
+        if update is EntryNews.OUTDATED:
             # Says nothing of the start that is known: its entry may well have vanished.
             eliot.log_message("endpoint.outdated", endpoint=entry.instance, born_ms=entry.born_ms)
             return
-        timer = self._missing_by_instance.pop(entry.instance, None)
+        timer = self._removal_timer_by_instance.pop(entry.instance, None)
         if timer is not None:
             timer.cancel()
-        if news is not EntryNews.NOTHING:
-            self._note_news(entry, news, known)
+        if update is not EntryNews.NOTHING:
+            self._handle_update(entry, update, previous)
 
-    def _note_news(
-        self, entry: EndpointEntry, news: EntryNews, known: EndpointEntry | None
+    def _handle_update(
+        self, entry: EndpointEntry, update: EntryNews, previous: EndpointEntry | None
     ) -> None:
-        newest = self._book.find(entry.instance)
+        newest = self._endpoint_table.find(entry.instance)
         assert newest is not None
-        if news is EntryNews.STARTED_AGAIN and known is not None:
-            self._restarts.start_again(newest, known)
-        if news is EntryNews.FOUND:
-            self._restarts.come_back(newest)
-        self._restarts.displace(newest)
+        if update is EntryNews.STARTED_AGAIN and previous is not None:
+            self._restarts.handle_restart(newest, previous)
+        if update is EntryNews.FOUND:
+            self._restarts.handle_return(newest)
+        self._restarts.handle_replacement(newest)
         eliot.log_message(
             "endpoint.known",
             endpoint=entry.instance,
@@ -173,37 +176,39 @@
             born_ms=entry.born_ms,
         )
 
-    def _withdraw(self, instance: str) -> None:
+    def _withdraw_unreadable(self, instance: str) -> None:
         """Sends nothing new to an endpoint whose entry can't be read any more; its runs go on.
 
         Not even as a last resort, as where an entry vanished: this one is there, and names nobody.
         """
-        if self._book.withdraw(instance):
+        if self._endpoint_table.withdraw(instance):
             self._links.drop_idle(instance)
             eliot.log_message("endpoint.withdrawn", endpoint=instance)
 
-    def _vanished(self, instance: str, is_after_outage: bool) -> None:
-        belief = self._book.find(instance)
-        if belief is None or instance in self._missing_by_instance:
+    def _mark_missing(self, instance: str, is_after_outage: bool) -> None:
+        state = self._endpoint_table.find(instance)
+        if state is None or instance in self._removal_timer_by_instance:
             return
-        belief.is_doubtful = True
-        grace_s = LAPSED_GRACE_S if is_after_outage else VANISHED_GRACE_S
+        state.is_doubtful = True
+        grace_s = MISSING_AFTER_OUTAGE_GRACE_S if is_after_outage else MISSING_ENTRY_GRACE_S
         eliot.log_message(
-            "endpoint.vanished", endpoint=instance, running=belief.running_here, grace_s=grace_s
+            "endpoint.vanished", endpoint=instance, running=state.running_here, grace_s=grace_s
         )
-        self._missing_by_instance[instance] = asyncio.get_running_loop().call_later(
-            grace_s, self._gone_for_good, instance
+        self._removal_timer_by_instance[instance] = asyncio.get_running_loop().call_later(
+            grace_s, self._remove_missing, instance
         )
 
-    def _gone_for_good(self, instance: str) -> None:
-        del self._missing_by_instance[instance]
+    def _remove_missing(self, instance: str) -> None:
+        del self._removal_timer_by_instance[instance]
         self._remove(instance, "its entry vanished and did not come back")
 
     def _remove(self, instance: str, why: str) -> None:
-        known = self._book.last_entry(instance)
-        if known is not None and self._book.remove(instance):
+        previous = self._endpoint_table.last_entry(instance)
+        if previous is not None and self._endpoint_table.remove(instance):
             self._links.forget(instance)
-            asyncio.get_running_loop().call_later(GONE_KEEP_S, self._book.forget_gone, known.start)
+            asyncio.get_running_loop().call_later(
+                REMOVED_ENTRY_KEEP_S, self._endpoint_table.forget_gone, previous.start
+            )
             eliot.log_message("endpoint.gone", endpoint=instance, why=why)
 
 
--- a/src/bayhinge/_internal/services/gateway/stream_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/stream_delivery.py
@@ -22,7 +22,7 @@
 from bayhinge._internal.services.gateway.delivery import Delivery, is_success
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.outside import CallFormat
-from bayhinge._internal.services.gateway.turn_keeper import TurnKeeper
+from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 from bayhinge._internal.utils.running_time import running_timeout
 
 
@@ -33,7 +33,7 @@
         self,
         exchange: Exchange,
         calls: CallFormat,
-        keeper: TurnKeeper,
+        turn_recorder: TurnRecorder,
         turn: OpenTurn | None,
         request: RoutedRequest,
         tokens_per_event: int,
@@ -43,7 +43,7 @@
         super().__init__()
         self._exchange = exchange
         self._calls = calls
-        self._keeper = keeper
+        self._turn_recorder = turn_recorder
         self._turn = turn
         self._new_input = request.body
         self._tokens_per_event = tokens_per_event
@@ -57,7 +57,7 @@
         return None if self._splice is None else self._splice.last
 
     @property
-    def may_go_on(self) -> bool:
+    def may_continue(self) -> bool:
         """See :class:`Delivery`."""
         return self._splice is not None and self._splice.may_go_on
 
@@ -66,29 +66,29 @@
     ) -> None:
         """See :class:`Delivery`."""
         if not is_success(answer.status):
-            await self._pass_failure_on(answer, may_repeat)
+            await self._deliver_failure(answer, may_repeat)
             return
         if not marks.is_signed or marks.is_encoded:
             raise BrokenAnswerError("the answer is not the endpoint's own")
         if self._splice is None:
-            await self._pass_bytes(answer)
+            await self._deliver_bytes(answer)
         else:
-            await self._pass_events(answer, self._splice, bounds)
+            await self._deliver_events(answer, self._splice, bounds)
         await self._record()
         await self._exchange.finish()
         self.outcome = "served"
 
-    async def _pass_failure_on(self, answer: Answer, may_repeat: bool) -> None:
+    async def _deliver_failure(self, answer: Answer, may_repeat: bool) -> None:
         body = await answer.read_body()
-        is_at_fault = may_repeat and answer.status >= status_codes.HTTP_SERVER_ERROR
-        if is_at_fault or self._exchange.has_begun:
+        is_server_error = may_repeat and answer.status >= status_codes.HTTP_SERVER_ERROR
+        if is_server_error or self._exchange.has_begun:
             raise BrokenAnswerError(f"status {answer.status}")
         self.outcome = f"status_{answer.status}"
         await self._exchange.respond(
             answer.status, self._calls.answer_headers(answer.headers), body
         )
 
-    async def _pass_bytes(self, answer: Answer) -> None:
+    async def _deliver_bytes(self, answer: Answer) -> None:
         await self._begin(answer)
         reader = EventReader()
         try:
@@ -103,7 +103,7 @@
         if not reader.is_between_events:
             raise BrokenAnswerError("the stream ended within an event")
 
-    async def _pass_events(
+    async def _deliver_events(
         self, answer: Answer, splice: StreamSplice, bounds: AnswerBounds
     ) -> None:
         """Passes whole events on; the head goes out with the first one.
@@ -113,18 +113,18 @@
         """
         run = splice.begin_run()
         try:
-            async for piece in _pieces(answer, bounds):
-                await self._pass_piece(answer, run.feed(piece))
+            async for piece in _read_pieces(answer, bounds):
+                await self._deliver_piece(answer, run.feed(piece))
             if not run.is_between_events:
                 raise BrokenAnswerError("the stream ended within an event")
-            await self._pass_piece(answer, run.end())
+            await self._deliver_piece(answer, run.end())
         except BrokenAnswerError as error:
             error.cut_bytes = run.cut_bytes
             raise
         if not self._exchange.has_begun:
             await self._begin(answer)
 
-    async def _pass_piece(self, answer: Answer, spliced: Spliced) -> None:
+    async def _deliver_piece(self, answer: Answer, spliced: Spliced) -> None:
         if spliced.text:
             if not self._exchange.has_begun:
                 await self._begin(answer)
@@ -141,20 +141,20 @@
         self.tokens_handed_out += len(events) * self._tokens_per_event
 
     async def _record(self) -> None:
-        if self._turn is None or not self._turn.is_kept:
+        if self._turn is None or not self._turn.is_retained:
             return
-        said = b"".join(event.data + b"\n" for event in self._events)
-        await self._keeper.close(
+        output = b"".join(event.data + b"\n" for event in self._events)
+        await self._turn_recorder.close(
             self._turn,
-            self._new_input + said,
+            self._new_input + output,
             self.tokens_handed_out,
-            self.start,
+            self.incarnation,
             self._route.keep_turns_s,
         )
         self.is_recorded = True
 
 
-async def _pieces(answer: Answer, bounds: AnswerBounds) -> AsyncIterator[bytes]:
+async def _read_pieces(answer: Answer, bounds: AnswerBounds) -> AsyncIterator[bytes]:
     """Yields an answer's bytes as they come.
 
     Raises:
--- a/src/bayhinge/_internal/services/gateway/suspect_hosts.py
+++ b/src/bayhinge/_internal/services/gateway/suspect_hosts.py
@@ -10,9 +10,9 @@
 class SuspectHosts:
     """Hosts that did not answer."""
 
-    def __init__(self, heard_s: Callable[[str], float]) -> None:
+    def __init__(self, last_seen_s: Callable[[str], float]) -> None:
         """Takes what tells when a host was last heard, on the loop's clock."""
-        self._heard_s = heard_s
+        self._last_seen_s = last_seen_s
         self._since_by_host: dict[str, float] = {}
 
     def add(self, host: str) -> None:
@@ -25,7 +25,7 @@
         if since_s is None:
             return False
         now = asyncio.get_running_loop().time()
-        if now < since_s + SUSPECT_S or self._heard_s(host) < since_s:
+        if now < since_s + SUSPECT_S or self._last_seen_s(host) < since_s:
             return True
         del self._since_by_host[host]
         return False
--- a/src/bayhinge/_internal/services/gateway/turn_histories.py
+++ b/src/bayhinge/_internal/services/gateway/turn_histories.py
@@ -9,10 +9,14 @@
 )
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.services import methods
-from bayhinge._internal.services.gateway.disk_asker import DiskAsker
+from bayhinge._internal.services.gateway.disk_client import DiskClient
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
-from bayhinge._internal.services.gateway.turn_refusals import OPEN_S, RETRY_AFTER_S, too_few_disks
+from bayhinge._internal.services.gateway.turn_refusals import (
+    DISK_ANSWER_S,
+    RETRY_AFTER_S,
+    too_few_disks,
+)
 from bayhinge._internal.utils.running_time import running_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 
@@ -20,9 +24,9 @@
 class TurnHistories:
     """One entry host's way to the texts of earlier turns."""
 
-    def __init__(self, asker: DiskAsker, directory: DiskDirectory) -> None:
+    def __init__(self, disk_client: DiskClient, directory: DiskDirectory) -> None:
         """Takes the way to ask disks, and who they are."""
-        self._asker = asker
+        self._disk_client = disk_client
         self._directory = directory
 
     async def add(self, turn: OpenTurn, replies: list[wire.ReserveReply]) -> None:
@@ -36,7 +40,7 @@
         for reply in replies:
             if reply.chain is not None and reply.missing is None:
                 _check_account(turn, reply.account)
-                turn.history, turn.read_at = reply.chain, _read_at(reply)
+                turn.history, turn.last_engine = reply.chain, _last_engine(reply)
                 return
         message = encode_message(wire.ReserveTurn(None, turn.context.previous, True))
         # Its own disks first; then all, for a program may go on from another one's turn.
@@ -44,12 +48,12 @@
             self._directory.places(turn.context.program)[1:],
             self._directory.nearest_first(),
         ):
-            async for _, reply in self._asker.ask(
+            async for _, reply in self._disk_client.ask(
                 disks, methods.RESERVE, message, wire.ReserveReply
             ):
                 if reply.missing is None and reply.chain is not None:
                     _check_account(turn, reply.account)
-                    turn.history, turn.read_at = reply.chain, _read_at(reply)
+                    turn.history, turn.last_engine = reply.chain, _last_engine(reply)
                     return
         await self._assemble(turn)
 
@@ -61,8 +65,8 @@
             entry = await self._find_turn(attempt, is_first=not texts)
             if not texts:
                 _check_account(turn, entry.account)
-            if not turn.read_at.endpoint:
-                turn.read_at = EndpointStart(entry.endpoint or "", entry.endpoint_born_ms)
+            if not turn.last_engine.endpoint:
+                turn.last_engine = EndpointStart(entry.endpoint or "", entry.endpoint_born_ms)
             texts.append(entry.text or b"")
             attempt = entry.previous
         turn.history = b"".join(reversed(texts))
@@ -76,8 +80,8 @@
         answered = 0
         newest = version
         try:
-            async with running_timeout(OPEN_S):
-                async for _, reply in self._asker.ask(
+            async with running_timeout(DISK_ANSWER_S):
+                async for _, reply in self._disk_client.ask(
                     members, methods.ENTRIES, message, wire.EntriesReply
                 ):
                     answered += 1
@@ -121,5 +125,5 @@
     )
 
 
-def _read_at(reply: wire.ReserveReply) -> EndpointStart:
+def _last_engine(reply: wire.ReserveReply) -> EndpointStart:
     return EndpointStart(reply.endpoint or "", reply.endpoint_born_ms)
--- a/src/bayhinge/_internal/services/gateway/turn_keeper.py
+++ b/src/bayhinge/_internal/services/gateway/turn_recorder.py
@@ -16,7 +16,7 @@
 from bayhinge._internal.models.routed_requests import TurnContext
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.services import methods
-from bayhinge._internal.services.gateway.disk_asker import DiskAsker
+from bayhinge._internal.services.gateway.disk_client import DiskClient
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.disk_link import DiskLink
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
@@ -25,11 +25,11 @@
 from bayhinge._internal.services.gateway.turn_reservations import TurnReservations
 from bayhinge._internal.wire.hosts import ttypes as wire
 
-CLOSE_PAUSE_S = 0.1
+APPEND_RETRY_S = 0.1
 """Between two tries to make a turn last."""
 
 
-class TurnKeeper(DiskAsker):
+class TurnRecorder(DiskClient):
     """One entry host's way to the disks."""
 
     def __init__(self, directory: DiskDirectory, link: DiskLink, tolerated: int) -> None:
@@ -40,7 +40,7 @@
         self._histories = TurnHistories(self, directory)
 
     async def open(
-        self, attempt: str, context: TurnContext, is_kept: bool = True, account: str = ""
+        self, attempt: str, context: TurnContext, is_retained: bool = True, account: str = ""
     ) -> OpenTurn:
         """Reserves the turn's tokens, and fetches its history where it is kept.
 
@@ -49,14 +49,14 @@
         Raises:
             RefusedError: the budget is spent, there is no such turn, or too few disks answer.
         """
-        if not is_kept:
+        if not is_retained:
             context = attrs.evolve(context, previous=None)
         reserved = context.most_tokens if context.token_budget is not None else 0
         if account:
             # Callers draw the ids, so another account may know one: it must not spend its budget.
             context = attrs.evolve(context, program=f"{account}/{context.program}")
-        turn = OpenTurn(attempt, context, b"", EndpointStart(), reserved, is_kept, account)
-        self._refuse_hopeless(turn)
+        turn = OpenTurn(attempt, context, b"", EndpointStart(), reserved, is_retained, account)
+        self._check_turn_size(turn)
         replies = await self._reservations.reserve(attempt, context, reserved)
         try:
             self._check_budget(turn, replies)
@@ -67,7 +67,7 @@
         return turn
 
     async def close(
-        self, turn: OpenTurn, text: bytes, tokens: int, run_at: EndpointStart, keep_s: float
+        self, turn: OpenTurn, text: bytes, tokens: int, engine: EndpointStart, keep_s: float
     ) -> None:
         """Makes a whole turn last on enough disks; goes on until it does."""
         entry = wire.TurnEntry(
@@ -77,9 +77,9 @@
             tokens,
             turn.context.previous,
             text,
-            run_at.endpoint,
+            engine.endpoint,
             keep_s,
-            run_at.born_ms,
+            engine.born_ms,
             turn.account,
         )
         message = encode_message(wire.AppendEntries([entry]))
@@ -106,13 +106,13 @@
                     disk_set_version=self._directory.disk_set.version,
                 )
             tries += 1
-            await asyncio.sleep(CLOSE_PAUSE_S)
+            await asyncio.sleep(APPEND_RETRY_S)
 
     def settle(self, turn: OpenTurn, tokens: int) -> None:
         """Says in the background what a turn without a whole answer has used."""
         self._reservations.settle(turn, tokens)
 
-    def _refuse_hopeless(self, turn: OpenTurn) -> None:
+    def _check_turn_size(self, turn: OpenTurn) -> None:
         """Refuses a turn that the whole budget would not hold, without asking any disk."""
         budget = turn.context.token_budget
         if budget is not None and (budget == 0 or turn.reserved > budget):
--- a/src/bayhinge/_internal/services/gateway/turn_refusals.py
+++ b/src/bayhinge/_internal/services/gateway/turn_refusals.py
@@ -8,7 +8,7 @@
 )
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 
-OPEN_S = 0.45
+DISK_ANSWER_S = 0.45
 """Time for enough disks to answer before a turn is refused as not run."""
 
 RETRY_AFTER_S = 0.6
--- a/src/bayhinge/_internal/services/gateway/turn_reservations.py
+++ b/src/bayhinge/_internal/services/gateway/turn_reservations.py
@@ -13,17 +13,17 @@
 from bayhinge._internal.models.routed_requests import TurnContext
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.services import methods
-from bayhinge._internal.services.gateway.disk_asker import DiskAsker
+from bayhinge._internal.services.gateway.disk_client import DiskClient
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
-from bayhinge._internal.services.gateway.turn_refusals import OPEN_S, too_few_disks
+from bayhinge._internal.services.gateway.turn_refusals import DISK_ANSWER_S, too_few_disks
 from bayhinge._internal.utils.running_time import RunningBound
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 HISTORY_HEDGE_S = 0.06
 """Time that the nearest disk's history is waited for once enough disks have answered."""
 
-REOPEN_PAUSE_S = 0.1
+RESERVE_RETRY_S = 0.1
 """Between two tries to reach a disk that refused at once: one that restarts is back within a
 second, and a caller has few tries."""
 
@@ -31,9 +31,9 @@
 class TurnReservations:
     """One entry host's reservations."""
 
-    def __init__(self, asker: DiskAsker, directory: DiskDirectory, tolerated: int) -> None:
+    def __init__(self, disk_client: DiskClient, directory: DiskDirectory, tolerated: int) -> None:
         """Takes the way to ask disks, who they are, and how many may be lost at once."""
-        self._asker = asker
+        self._disk_client = disk_client
         self._directory = directory
         self._tolerated = tolerated
 
@@ -49,7 +49,7 @@
             return []
         entry = wire.TurnEntry(wire.EntryKind.RESERVED, attempt, context.program, reserved)
         reservation = entry if reserved else None
-        bound = RunningBound(OPEN_S)
+        bound = RunningBound(DISK_ANSWER_S)
         try:
             while True:
                 # A quorum counts under one version of the set; where the disks know a newer one it
@@ -86,9 +86,9 @@
         needed = 1
         if reservation is not None:
             needed = reservations_needed(len(members), self._tolerated)
-        is_decided = asyncio.Event()
+        decided = asyncio.Event()
         tasks = [
-            self._asker.start(
+            self._disk_client.spawn(
                 self._reserve_at(
                     member,
                     encode_message(
@@ -96,7 +96,7 @@
                             reservation, context.previous, member is members[0], version
                         )
                     ),
-                    is_decided,
+                    decided,
                 )
             )
             for member in members
@@ -104,10 +104,10 @@
         try:
             return needed, await self._first_replies(tasks, needed, context, version, bound)
         finally:
-            is_decided.set()
+            decided.set()
 
     async def _reserve_at(
-        self, member: wire.DiskMember, message: bytes, is_decided: asyncio.Event
+        self, member: wire.DiskMember, message: bytes, decided: asyncio.Event
     ) -> wire.ReserveReply | None:
         """Asks one disk, again where it can't be reached, until the turn needs it no more.
 
@@ -115,24 +115,28 @@
         """
         version = self._directory.disk_set.version
         while True:
-            reply = await self._asker.call(member, methods.RESERVE, message, wire.ReserveReply())
+            reply = await self._disk_client.call(
+                member, methods.RESERVE, message, wire.ReserveReply()
+            )
             if reply is not None and reply.verdict == wire.FenceVerdict.TAKEN:
                 return reply
-            if is_decided.is_set():
+            if decided.is_set():
                 return None
-            if reply is None or not await self._meets(member, reply, version):
-                await asyncio.sleep(REOPEN_PAUSE_S)
+            if reply is None or not await self._sync_disk_set(member, reply, version):
+                await asyncio.sleep(RESERVE_RETRY_S)
             if self._directory.disk_set.version != version:
                 return None
 
-    async def _meets(self, member: wire.DiskMember, reply: wire.ReserveReply, version: int) -> bool:
+    async def _sync_disk_set(
+        self, member: wire.DiskMember, reply: wire.ReserveReply, version: int
+    ) -> bool:
         """Tells the set to whichever is behind, host or disk; returns whether it helped."""
         if reply.verdict == wire.FenceVerdict.HOST_IS_BEHIND:
             await self._directory.fetch(member.address)
             return self._directory.disk_set.version != version
         if reply.verdict == wire.FenceVerdict.DISK_IS_BEHIND:
             newest = encode_message(self._directory.disk_set)
-            known = await self._asker.call(member, methods.DISK_SET, newest, wire.DiskSet())
+            known = await self._disk_client.call(member, methods.DISK_SET, newest, wire.DiskSet())
             return known is not None and known.version >= version
         return False
 
@@ -168,4 +172,6 @@
         entry = wire.TurnEntry(wire.EntryKind.SETTLED, turn.attempt, turn.context.program, tokens)
         message = encode_message(wire.AppendEntries([entry]))
         for member in self._directory.places(turn.context.program):
-            self._asker.start(self._asker.call(member, methods.APPEND, message, wire.AppendReply()))
+            self._disk_client.spawn(
+                self._disk_client.call(member, methods.APPEND, message, wire.AppendReply())
+            )
--- a/tests/dense/ablation.py
+++ b/tests/dense/ablation.py
@@ -94,10 +94,14 @@
         Edit("decisions/disk_reach.py", "return len(self._silent_since_answer) >", "return 0 >"),
     ),
     "waits for disks": (
-        Edit("services/gateway/turn_refusals.py", "OPEN_S = 0.45", "OPEN_S = 0.05"),
+        Edit("services/gateway/turn_refusals.py", "DISK_ANSWER_S = 0.45", "DISK_ANSWER_S = 0.05"),
     ),
     "first news": (
-        Edit("services/gateway/first_news.py", "START_WAIT_S = 1.5", "START_WAIT_S = 0.0"),
+        Edit(
+            "services/gateway/initial_sync.py",
+            "INITIAL_SYNC_WAIT_S = 1.5",
+            "INITIAL_SYNC_WAIT_S = 0.0",
+        ),
     ),
 }
 
--- a/tests/functional/test_accounts.py
+++ b/tests/functional/test_accounts.py
@@ -188,7 +188,7 @@
     async def scenario(site: PlatformSite) -> None:
         site.store.put("config", "main", {"version": "odd", "tenants": 7})
         gateways = [entry._gateway for entry in site.entry_by_name.values()]
-        await site.until(lambda: all(one.configuration.unreadable.now for one in gateways))
+        await site.until(lambda: all(one.configuration.unreadable.current for one in gateways))
         for at in site.entry_by_name:
             reply = await site.ask("/look/x", at=at, Authorization=bearing(KEY_OF_DESK))
             assert reply.status == 503
@@ -225,7 +225,7 @@
     """A turn waits for its disks, its key is taken away meanwhile: no endpoint may run it."""
 
     async def scenario(site: PlatformSite) -> None:
-        keeper = site.entry_by_name["entry-0"]._gateway.keeper
+        keeper = site.entry_by_name["entry-0"]._gateway.turn_recorder
         opened, go_on = keeper.open, asyncio.Event()
 
         async def waits(*arguments: Any) -> Any:
--- a/tests/functional/test_callers_that_leave.py
+++ b/tests/functional/test_callers_that_leave.py
@@ -106,7 +106,7 @@
         await asked.wait()
         writer.close()
         await site.until(lambda: gateway.front.running == 0, limit_s=GONE_S)
-        assert gateway.book.running_here() == {}, "it counts no longer as under way there"
+        assert gateway.endpoint_table.running_here() == {}, "it counts no longer as under way there"
 
     run_site(tmp_path, scenario)
 
--- a/tests/functional/test_cut_hosts.py
+++ b/tests/functional/test_cut_hosts.py
@@ -77,7 +77,7 @@
         hellos = gateway.gossip.fresh
         await site.until(lambda: any(one.is_cut_off for one in hellos(gateway.gossip.me.role)))
         for _ in range(5):
-            relay = gateway.link._relay()
+            relay = gateway.disk_link._choose_relay()
             assert relay is not None and relay.host == "entry-1"
         began_s = asyncio.get_running_loop().time()
         assert (await site.turn(b"two ", at="entry-2")).status == 200
--- a/tests/functional/test_endpoint_restarts.py
+++ b/tests/functional/test_endpoint_restarts.py
@@ -43,7 +43,7 @@
 
     def known() -> bool:
         entries = [
-            entry._gateway.book.last_entry(endpoint.instance)
+            entry._gateway.endpoint_table.last_entry(endpoint.instance)
             for entry in site.entry_by_name.values()
         ]
         return all(
@@ -116,7 +116,7 @@
         await engine.restart(now_ms())
         announce(site, engine)
         assert_may_have_run(await ended(waiting))
-        book = site.entry_by_name["entry-0"]._gateway.book
+        book = site.entry_by_name["entry-0"]._gateway.endpoint_table
         assert not book.resting(asyncio.get_running_loop().time()), "that was the former start"
         assert await turns_at_once(site, 4) == [200] * 4
 
@@ -205,7 +205,7 @@
         for one in site.engines:
             announce(site, one)
         await is_known(site, engine)
-        book = site.entry_by_name["entry-0"]._gateway.book
+        book = site.entry_by_name["entry-0"]._gateway.endpoint_table
         belief = book.find(engine.instance)
         assert belief is not None and belief.running_here == 1
         reply = await waiting
@@ -260,7 +260,7 @@
         announce(site, engine)
         assert_may_have_run(await ended(waiting))
         assert await turns_at_once(site, 8) == [200] * 8
-        books = [entry._gateway.book for entry in site.entry_by_name.values()]
+        books = [entry._gateway.endpoint_table for entry in site.entry_by_name.values()]
         assert all(book.find(former) for book in books), "its entry has not gone yet"
 
     play(tmp_path, scenario)
--- a/tests/functional/test_homes.py
+++ b/tests/functional/test_homes.py
@@ -27,15 +27,17 @@
     home_of_both = choose("home of north", names)
     assert home_of_both is not None
 
-    def homes() -> set[str]:
-        found = [site.entry_by_name[name]._gateway.homes.home_of("north") for name in names]
+    def coordinators() -> set[str]:
+        found = [
+            site.entry_by_name[name]._gateway.coordinators.coordinator_of("north") for name in names
+        ]
         return {home.host if home else "" for home in found}
 
     def heard() -> set[int]:
         hellos = [site.entry_by_name[name]._gateway.gossip.fresh(HostRole.ENTRY) for name in names]
         return {len([one for one in found if one.host in names]) for found in hellos}
 
-    await site.until(lambda: homes() == {home_of_both} and heard() == {1})
+    await site.until(lambda: coordinators() == {home_of_both} and heard() == {1})
     return home_of_both
 
 
@@ -50,8 +52,8 @@
         # By their own figures, three hosts would each send their first one to the same endpoint.
         assert [len(service.runs) for service in site.services] == [6, 6]
         counts = [site.entry_by_name[name]._gateway.placer.counts for name in HOSTS]
-        assert sum(one.by_home for one in counts) >= 4
-        assert sum(one.alone for one in counts) == 0
+        assert sum(one.by_coordinator for one in counts) >= 4
+        assert sum(one.local for one in counts) == 0
 
     run_site(tmp_path, scenario, entries=3)
 
@@ -66,7 +68,7 @@
         )
         assert [reply.status for reply in replies] == [200] * 8
         gateway = site.entry_by_name[left]._gateway
-        await site.until(lambda: gateway.homes.mine == "north")
+        await site.until(lambda: gateway.coordinators.coordinated_hall == "north")
         assert (await site.ask("/act/x", b"pay", at="entry-1")).status == 200
 
     run_site(tmp_path, scenario, entries=3)
@@ -76,12 +78,12 @@
     async def scenario(site: PlatformSite) -> None:
         home = await hall_has_one_home(site)
         other = "entry-2" if home == "entry-0" else "entry-0"
-        homes = site.entry_by_name["entry-1"]._gateway.homes
-        assert homes.redirect("north", other) is not None
+        coordinators = site.entry_by_name["entry-1"]._gateway.coordinators
+        assert coordinators.follow_redirect("north", other) is not None
         assert (await site.ask("/act/x", b"pay", at="entry-1")).status == 200
 
         def believed() -> str:
-            found = homes.home_of("north")
+            found = coordinators.coordinator_of("north")
             return found.host if found else ""
 
         await site.until(lambda: believed() == home)
@@ -111,11 +113,11 @@
 
     async def scenario(site: PlatformSite) -> None:
         gateway = site.entry_by_name["entry-0"]._gateway
-        await site.until(lambda: gateway.homes.mine == "north")
+        await site.until(lambda: gateway.coordinators.coordinated_hall == "north")
         gateway.is_leaving = True
         gateway.gossip.say_now()
-        gateway.homes.refresh()
-        assert gateway.homes.mine == ""
+        gateway.coordinators.refresh()
+        assert gateway.coordinators.coordinated_hall == ""
         gateway.is_leaving = False
         eliot.add_destinations(lines.append)
         await site.entry_by_name["entry-0"].stop()
--- a/tests/functional/test_left_behind_sends.py
+++ b/tests/functional/test_left_behind_sends.py
@@ -11,7 +11,7 @@
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.platform.call_format import PlatformCallFormat
-from bayhinge._internal.services.gateway.sending import Sender
+from bayhinge._internal.services.gateway.request_sender import Sender
 from tests.functional.test_sending import REQUEST, Keep, reply, send
 from tests.functional.test_sending import ROUTE as ONCE
 from tests.lib.cut_answers import ROUTE, Caller, delivery_to
--- a/tests/functional/test_odd_objects.py
+++ b/tests/functional/test_odd_objects.py
@@ -62,7 +62,10 @@
             replies = await asyncio.gather(*(site.ask("/act/x", at=entry) for _ in range(12)))
             assert [reply.status for reply in replies] == [200] * 12
         assert all(service.runs for service in site.services)
-        known = {one.entry.instance for one in site.entry_by_name["entry-2"]._gateway.book.all()}
+        known = {
+            one.entry.instance
+            for one in site.entry_by_name["entry-2"]._gateway.endpoint_table.all()
+        }
         assert known == {"i-llm-1", "i-llm-2", "i-app-1", "i-app-2", "i-behind"}
         async with site.session.get(
             f"http://{site.entry_by_name['entry-2']._gateway.settings.ip}:9464/metrics"
--- a/tests/functional/test_platform_turns.py
+++ b/tests/functional/test_platform_turns.py
@@ -188,7 +188,7 @@
         peers._link = cut  # type: ignore[attr-defined]
         second = await site.turn(b"two ", first, at="entry-0")
         assert (second.status, second.is_whole) == (200, True)
-        assert gateway.keeper._link.relayed >= 2
+        assert gateway.turn_recorder._link.relayed >= 2
 
     run_site(tmp_path, scenario)
 
@@ -198,7 +198,7 @@
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
         gateway = site.entry_by_name["entry-0"]._gateway
-        call = gateway.link.call
+        call = gateway.disk_link.call
         asked = asyncio.Event()
 
         async def slow(member, method, message):  # type: ignore[no-untyped-def]
@@ -208,11 +208,11 @@
                 await asyncio.sleep(0.3)
             return answer
 
-        gateway.link.call = slow  # type: ignore[method-assign]
+        gateway.disk_link.call = slow  # type: ignore[method-assign]
         asking = asyncio.create_task(site.turn(b"x", budget=60, most=50))
         await asked.wait()
         asking.cancel()
-        gateway.link.call = call  # type: ignore[method-assign]
+        gateway.disk_link.call = call  # type: ignore[method-assign]
         await asyncio.sleep(0.6)
         assert (await site.turn(b"x", budget=60, most=50)).status == 200
 
--- a/tests/functional/test_sending.py
+++ b/tests/functional/test_sending.py
@@ -15,9 +15,9 @@
 from bayhinge._internal.network.endpoint_answer import Answer
 from bayhinge._internal.network.endpoint_link import EndpointConnection, EndpointLinks
 from bayhinge._internal.platform.call_format import PlatformCallFormat
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.delivery import Delivery
-from bayhinge._internal.services.gateway.runs_under_way import RunsUnderWay
-from bayhinge._internal.services.gateway.sending import Sender
+from bayhinge._internal.services.gateway.request_sender import Sender
 
 pytestmark = pytest.mark.functional
 Wire = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -148,7 +148,7 @@
             await asyncio.start_server(wire(name), "127.0.0.1", 0) for name in ("left", "new")
         ]
         addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
-        book, links, runs = EndpointBook("north"), SlowLinks(), RunsUnderWay()
+        book, links, runs = EndpointBook("north"), SlowLinks(), ActiveRuns()
         book.put(EndpointEntry("e-1", "app", addresses[0], "north", 4, False, 1_000))
         sender = Sender(book, links, PlatformCallFormat(), runs=runs)
         delivery, attempt = Keep(), CallAttempt()
@@ -161,7 +161,7 @@
         assert book.put(again) is EntryNews.STARTED_AGAIN
         newest = book.find("e-1")
         assert newest is not None
-        assert runs.start_again(newest, NewStart(addresses[1], None)) == (1, 0)
+        assert runs.handle_restart(newest, NewStart(addresses[1], None)) == (1, 0)
         links.may_go_on.set()
         await sending
         assert newest.running_here == 0
@@ -195,7 +195,7 @@
 
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        book, links, runs = EndpointBook("north"), EndpointLinks(), RunsUnderWay()
+        book, links, runs = EndpointBook("north"), EndpointLinks(), ActiveRuns()
         book.put(EndpointEntry("e-1", "app", address, "north", 4, False, 1_000))
         sender = Sender(book, links, PlatformCallFormat(), runs=runs)
         limit_s = asyncio.get_running_loop().time() + 2
@@ -207,7 +207,7 @@
         newest = book.find("e-1")
         assert newest is not None
         # Sent since the restart, as far as can be told: it is at the new start already.
-        assert runs.start_again(newest, NewStart(address, None)) == (0, 1)
+        assert runs.handle_restart(newest, NewStart(address, None)) == (0, 1)
         may_close.set()
         refused = None
         try:
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -11,7 +11,7 @@
 from bayhinge._internal.network.peer_client import PeerClient
 from bayhinge._internal.network.peer_server import PeerServer
 from bayhinge._internal.network.peers import AnsweringHandler
-from bayhinge._internal.services.gateway.turn_refusals import OPEN_S
+from bayhinge._internal.services.gateway.turn_refusals import DISK_ANSWER_S
 from bayhinge.coordination.clock import HybridClock, SystemClock
 from tests.lib.charged_time import charged_time
 from tests.lib.platform_data import CONFIGURATION
@@ -121,7 +121,7 @@
         began = loop.time()
         second = await site.turn(b"two ", first)
         assert (second.status, second.is_whole) == (200, True)
-        assert loop.time() - began < OPEN_S
+        assert loop.time() - began < DISK_ANSWER_S
         replies = await asyncio.gather(
             *(site.turn(b"x", program=f"p{number}", at="entry-1") for number in range(5))
         )
--- a/tests/functional/test_starting_host.py
+++ b/tests/functional/test_starting_host.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bayhinge._internal.services.gateway.first_news import START_WAIT_S
+from bayhinge._internal.services.gateway.initial_sync import INITIAL_SYNC_WAIT_S
 from tests.lib.platform_site import PlatformSite, run_site
 
 pytestmark = pytest.mark.functional
@@ -45,9 +45,9 @@
         reply = await site.turn(b"one ")
         assert reply.status == 503
         assert float(reply.headers["Retry-After"]) > 0
-        assert START_WAIT_S - 0.1 <= loop.time() - began < START_WAIT_S + 0.5
+        assert INITIAL_SYNC_WAIT_S - 0.1 <= loop.time() - began < INITIAL_SYNC_WAIT_S + 0.5
         impatient = await site.turn(b"one ", Bayhinge_Deadline_Ms="200")
         assert impatient.status in {429, 503}
-        assert loop.time() - began < START_WAIT_S + 1.0
+        assert loop.time() - began < INITIAL_SYNC_WAIT_S + 1.0
 
     run_site(tmp_path, scenario)
--- a/tests/lib/asked_endpoints.py
+++ b/tests/lib/asked_endpoints.py
@@ -27,7 +27,7 @@
         site.store.remove("servers", other.instance)
         await other.stop()
         for entry in site.entry_by_name.values():
-            await site.until(partial(_is_unknown, entry._gateway.book, other.instance))
+            await site.until(partial(_is_unknown, entry._gateway.endpoint_table, other.instance))
 
 
 def _is_unknown(book: EndpointBook, instance: str) -> bool:
--- a/tests/lib/cut_answers.py
+++ b/tests/lib/cut_answers.py
@@ -12,7 +12,7 @@
 from bayhinge._internal.network.routed_front import Exchange
 from bayhinge._internal.platform.call_format import PlatformCallFormat
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
-from bayhinge._internal.services.gateway.turn_keeper import TurnKeeper
+from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 
 TOKENS = 3
 """Tokens that an event counts as."""
@@ -77,7 +77,7 @@
     return StreamDelivery(
         cast(Exchange, caller),
         PlatformCallFormat(),
-        cast(TurnKeeper, None),
+        cast(TurnRecorder, None),
         None,
         request,
         TOKENS,
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -96,9 +96,9 @@
     ),
     "lapsed entries": (
         Edit(
-            "services/gateway/beliefs.py",
-            "LAPSED_GRACE_S if is_after_outage else VANISHED_GRACE_S",
-            "VANISHED_GRACE_S",
+            "services/gateway/store_listeners.py",
+            "MISSING_AFTER_OUTAGE_GRACE_S if is_after_outage else MISSING_ENTRY_GRACE_S",
+            "MISSING_ENTRY_GRACE_S",
         ),
     ),
     "drain": (
@@ -119,12 +119,16 @@
     "proofs count from the question": (
         Edit(
             "services/gateway/configuration_proofs.py",
-            "self._take(Proof(stored.version, asked_s))",
-            "self._take(Proof(stored.version, asyncio.get_running_loop().time()))",
+            "self._accept(Proof(stored.version, asked_s))",
+            "self._accept(Proof(stored.version, asyncio.get_running_loop().time()))",
         ),
     ),
     "keys are looked at again before a send": (
-        Edit("services/gateway/sending.py", "        self._check(request)", "        pass"),
+        Edit(
+            "services/gateway/request_sender.py",
+            "        self._check_admission(request)",
+            "        pass",
+        ),
     ),
     "turns belong to an account": (
         Edit(
--- a/tests/unit/test_configuration_proofs.py
+++ b/tests/unit/test_configuration_proofs.py
@@ -11,7 +11,7 @@
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services.gateway.configuration_proofs import (
-    HOLD_S,
+    PROOF_WAIT_S,
     ConfigurationProofs,
 )
 from bayhinge._internal.services.gossip import Gossip
@@ -182,11 +182,11 @@
         running = asyncio.create_task(host.proofs.run())
         await asyncio.sleep(0.01)
         # As after the process stood still for longer than any proof holds.
-        host.proofs._book.__init__()  # type: ignore[misc]
+        host.proofs._proofs.__init__()  # type: ignore[misc]
         began_s = loop.time()
         assert await host.proofs.wait("a1")
-        assert loop.time() - began_s < HOLD_S
-        host.proofs._book.__init__()  # type: ignore[misc]
+        assert loop.time() - began_s < PROOF_WAIT_S
+        host.proofs._proofs.__init__()  # type: ignore[misc]
         host.store.fails = True
         await host.proofs._ask_store()
         began_s = loop.time()
--- a/tests/unit/test_endpoint_news.py
+++ b/tests/unit/test_endpoint_news.py
@@ -15,17 +15,17 @@
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
-from bayhinge._internal.services.gateway.beliefs import (
-    GONE_KEEP_S,
-    LAPSED_GRACE_S,
-    VANISHED_GRACE_S,
-    EndpointBelief,
-)
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.hall_homes import HallHomes
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange, sum_loads
-from bayhinge._internal.services.gateway.placement import HomePlacer
-from bayhinge._internal.services.gateway.runs_under_way import RunsUnderWay
+from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
+from bayhinge._internal.services.gateway.store_listeners import (
+    MISSING_AFTER_OUTAGE_GRACE_S,
+    MISSING_ENTRY_GRACE_S,
+    REMOVED_ENTRY_KEEP_S,
+    EndpointTableUpdater,
+)
 from bayhinge._internal.services.key_follower import FollowListener, KeyFollower
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.store import Change, Listing, StoredObject
@@ -55,9 +55,11 @@
     def __init__(self) -> None:
         self.book = EndpointBook("north")
         self.links = EndpointLinks()
-        self.runs = RunsUnderWay()
+        self.runs = ActiveRuns()
         self.restarts = EndpointRestarts(self.book, self.links, self.runs, lambda: BORN_MS + 9_000)
-        self.listener = EndpointBelief(PlatformObjectReader(), self.book, self.links, self.restarts)
+        self.listener = EndpointTableUpdater(
+            PlatformObjectReader(), self.book, self.links, self.restarts
+        )
 
     def hear(self, value: bytes | None, key: str = KEY, revision: int = 5) -> None:
         self.listener.apply(Change(key, value, revision, revision), False)
@@ -79,9 +81,9 @@
         host = Host()
         host.hear(entry_value(BORN_MS))
         host.hear(None)
-        await asyncio.sleep(VANISHED_GRACE_S / 2)
+        await asyncio.sleep(MISSING_ENTRY_GRACE_S / 2)
         host.hear(entry_value(BORN_MS + 1))
-        await asyncio.sleep(VANISHED_GRACE_S)
+        await asyncio.sleep(MISSING_ENTRY_GRACE_S)
         assert not host.believed().is_doubtful
 
     run_virtual(scenario())
@@ -93,11 +95,11 @@
         host.hear(entry_value(BORN_MS + 1))
         host.hear(None)
         host.hear(entry_value(BORN_MS))
-        await asyncio.sleep(VANISHED_GRACE_S + 0.1)
+        await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
         assert host.book.find("a") is None
         host.hear(entry_value(BORN_MS))
         assert host.book.find("a") is None
-        await asyncio.sleep(GONE_KEEP_S)
+        await asyncio.sleep(REMOVED_ENTRY_KEEP_S)
         host.hear(entry_value(BORN_MS))
         assert host.book.find("a") is not None
 
@@ -116,7 +118,7 @@
         first.list(old, is_after_outage=True)
         second.list(old, is_after_outage=True)
         second.list(new, is_after_outage=True)
-        await asyncio.sleep(LAPSED_GRACE_S + 0.1)
+        await asyncio.sleep(MISSING_AFTER_OUTAGE_GRACE_S + 0.1)
         for host in (first, second):
             assert host.believed().entry.address == "10.0.0.1:81"
             assert host.believed().entry.born_ms == BORN_MS + 1
@@ -148,7 +150,7 @@
         host.hear(entry_value(BORN_MS + 1))
         assert (former.running_here, host.believed().running_here) == (0, 1)
         host.hear(entry_value(BORN_MS + 2, 81))
-        assert run.is_over, "its connection leads to an address that was left"
+        assert run.is_ended, "its connection leads to an address that was left"
         assert host.believed().running_here == 0
         host.runs.end(run)
         assert host.believed().running_here == 0
@@ -162,7 +164,7 @@
         host.hear(entry_value(BORN_MS))
         run = host.runs.begin(host.believed())
         host.hear(None)
-        await asyncio.sleep(VANISHED_GRACE_S + 0.1)
+        await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
         assert host.book.find("a") is None
         host.hear(entry_value(BORN_MS))
         assert host.believed().running_here == 1
@@ -186,7 +188,7 @@
 
 def exchange_of(host: Host) -> LoadExchange:
     me = wire.Hello(host="me", hall="north", incarnation=1)
-    exchange = LoadExchange(me, host.book, HallHomes.__new__(HallHomes))
+    exchange = LoadExchange(me, host.book, HallCoordinators.__new__(HallCoordinators))
     host.restarts.forget_loads = exchange.forget_endpoint
     host.restarts.known_revision = lambda: 50
     return exchange
@@ -201,13 +203,13 @@
         host = Host()
         exchange = exchange_of(host)
         host.hear(entry_value(BORN_MS))
-        exchange.hear(loads(1, 40))
+        exchange.receive_loads(loads(1, 40))
         exchange.refresh_book()
         assert (host.believed().running_at_peers, host.believed().complaints) == (3, 1)
         host.hear(entry_value(BORN_MS + 1))
         for beat, known_to, counts in ((2, 49, 0), (3, 50, 1), (4, None, 1)):
             exchange.refresh_book()
-            exchange.hear(loads(beat, known_to))
+            exchange.receive_loads(loads(beat, known_to))
             exchange.refresh_book()
             belief = host.believed()
             assert (belief.running_at_peers, belief.complaints) == (3 * counts, counts)
@@ -220,20 +222,20 @@
         host = Host()
         exchange = exchange_of(host)
         host.book.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS))
-        exchange._hear_hall(wire.HallLoads("south", "home", 1, 1, {"a": 6}, 40))
-        exchange.note_abroad(host.believed())
+        exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 1, {"a": 6}, 40))
+        exchange.record_remote_grant(host.believed())
         exchange.refresh_book()
         assert host.believed().running_at_peers == 7
         host.book.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS + 1))
-        host.restarts.start_again(
+        host.restarts.handle_restart(
             host.believed(), EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
         )
         exchange.refresh_book()
         assert host.believed().running_at_peers == 0
-        exchange._hear_hall(wire.HallLoads("south", "home", 1, 2, {"a": 6}, 49))
+        exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 2, {"a": 6}, 49))
         exchange.refresh_book()
         assert host.believed().running_at_peers == 0
-        exchange._hear_hall(wire.HallLoads("south", "home", 1, 3, {"a": 2}, 50))
+        exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 3, {"a": 2}, 50))
         exchange.refresh_book()
         assert host.believed().running_at_peers == 2
 
@@ -252,19 +254,19 @@
     assert sum_loads(hellos, revisions) == {"a": 4, "b": 3}
 
 
-class AtHome(HallHomes):
+class AtHome(HallCoordinators):
     """This host is the home of its hall."""
 
     def __init__(self) -> None:
         return
 
     @property
-    def mine(self) -> str:
+    def coordinated_hall(self) -> str:
         return "north"
 
 
-def placer_of(host: Host) -> HomePlacer:
-    return HomePlacer(host.book, AtHome(), exchange_of(host), OnePeer(), "north")
+def placer_of(host: Host) -> CoordinatorPlacer:
+    return CoordinatorPlacer(host.book, AtHome(), exchange_of(host), OnePeer(), "north")
 
 
 def place_call(known_to: int | None, wished: str, born_ms: int | None) -> wire.PlaceCall:
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -23,7 +23,7 @@
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services import key_follower
 from bayhinge._internal.services.gateway.disk_directory import SUSPECT_S, DiskDirectory
-from bayhinge._internal.services.gateway.hall_homes import HallHomes
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
 from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as HOME_SUSPECT_S
 from bayhinge._internal.services.gossip import LEAST_FRESH_S, Gossip
@@ -117,7 +117,7 @@
         store = MemoryObjectStore(MemoryObjects())
         directory = DiskDirectory(site, store, cast(Peers, None), list)
         member = DiskMember("disk-1", 1, "10.1.0.50:7381", "north")
-        directory.note_failure(member, "silent")
+        directory.record_failure(member, "silent")
         await asyncio.sleep(SUSPECT_S * 0.9)
         always(True, lambda: directory.is_suspect(member))
         await asyncio.sleep(SUSPECT_S * 0.2)
@@ -145,10 +145,10 @@
 def test_a_silent_home_is_passed_over_for_its_time(site: SiteSettings) -> None:
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
-        homes = HallHomes(gossip)
+        homes = HallCoordinators(gossip)
         heard(gossip, "edge-2")
         homes.refresh()
-        home = homes.home_of("north")
+        home = homes.coordinator_of("north")
         assert home is not None
         homes.suspect(home, "no answer")
         await asyncio.sleep(HOME_SUSPECT_S * 0.9)
@@ -165,14 +165,14 @@
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
         book = EndpointBook("north")
-        exchange = LoadExchange(gossip.me, book, HallHomes(gossip))
+        exchange = LoadExchange(gossip.me, book, HallCoordinators(gossip))
         loads = HostLoads("edge-2", 1, 1, 0, {ENDPOINT: 3}, [])
 
         def counted() -> bool:
             exchange.refresh_book()
-            return bool(exchange._board.running_by_endpoint().get(ENDPOINT))
+            return bool(exchange._load_table.running_by_endpoint().get(ENDPOINT))
 
-        exchange.hear(loads)
+        exchange.receive_loads(loads)
         await asyncio.sleep(1.8)
         always(True, counted)
         await asyncio.sleep(0.4)
--- a/tests/unit/test_left_behind_streams.py
+++ b/tests/unit/test_left_behind_streams.py
@@ -88,6 +88,6 @@
         ]
         caller, _, delivery = await play(None, runs)
         assert caller.body.count(b"data: one\n\n") == 1
-        assert not delivery.may_go_on
+        assert not delivery.may_continue
 
     asyncio.run(main())
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -15,10 +15,13 @@
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.platform import objects_api
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
-from bayhinge._internal.services.gateway import unreadable
-from bayhinge._internal.services.gateway.beliefs import ConfigurationBelief, EndpointBelief
+from bayhinge._internal.services.gateway import unreadable_objects
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.runs_under_way import RunsUnderWay
+from bayhinge._internal.services.gateway.store_listeners import (
+    ConfigurationState,
+    EndpointTableUpdater,
+)
 from bayhinge.coordination.store import Change
 from tests.lib.log_lines import Line, collected_lines, told
 from tests.lib.odd_objects import (
@@ -66,8 +69,8 @@
     def __init__(self) -> None:
         self.book = EndpointBook("north")
         links = EndpointLinks()
-        restarts = EndpointRestarts(self.book, links, RunsUnderWay(), lambda: 0)
-        self.belief = EndpointBelief(READER, self.book, links, restarts)
+        restarts = EndpointRestarts(self.book, links, ActiveRuns(), lambda: 0)
+        self.belief = EndpointTableUpdater(READER, self.book, links, restarts)
         self.lines: list[Line] = []
 
     def told(self, kind: str) -> list[Line]:
@@ -172,7 +175,7 @@
         assert {one.entry.instance for one in watched.book.all()} == {"i-1", "i-2"}
         watched.belief.replace_all({"servers/i-1": GOOD}, is_after_outage)
         assert watched.chosen() == "i-1"
-        assert watched.belief.unreadable.now == 0
+        assert watched.belief.unreadable.current == 0
 
     watch(scenario)
 
@@ -186,7 +189,7 @@
         lines = watched.told("endpoint.unreadable")
         assert [line["key"] for line in lines] == ["servers/i-1"]
         assert "'slots' must be >= 1" in lines[0]["findings"][0]
-        assert (watched.belief.unreadable.now, watched.belief.unreadable.met) == (1, 10)
+        assert (watched.belief.unreadable.current, watched.belief.unreadable.total) == (1, 10)
         watched.say("i-1", b"5")
         watched.say("i-1", GOOD)
         watched.say("i-1", odd)
@@ -198,14 +201,14 @@
 def test_odd_entries_without_number_make_few_lines_and_no_long_ones() -> None:
     def scenario(watched: Watched) -> None:
         value = orjson.dumps(ENTRY | {"service": ["x" * 100_000]})
-        for number in range(2 * unreadable.MOST_KEYS):
+        for number in range(2 * unreadable_objects.MAX_TRACKED_KEYS):
             watched.say(f"{number}" * 500, value)
         lines = watched.told("endpoint.unreadable")
         # The loop's second may turn once meanwhile.
-        assert len(lines) <= 3 * unreadable.LINES_PER_S
+        assert len(lines) <= 3 * unreadable_objects.MAX_LOG_LINES_PER_S
         assert max(len(str(line)) for line in lines) < 1000
-        assert watched.belief.unreadable.met == 2 * unreadable.MOST_KEYS
-        assert watched.belief.unreadable.now == unreadable.MOST_KEYS
+        assert watched.belief.unreadable.total == 2 * unreadable_objects.MAX_TRACKED_KEYS
+        assert watched.belief.unreadable.current == unreadable_objects.MAX_TRACKED_KEYS
 
     watch(scenario)
 
@@ -286,25 +289,25 @@
 @pytest.mark.parametrize("form", ODD_CONFIGURATION_BY_FORM)
 def test_a_configuration_that_can_not_be_used_leaves_the_one_in_force(form: str) -> None:
     async def main() -> None:
-        belief = ConfigurationBelief(READER, CONFIGURATION_KEY)
+        belief = ConfigurationState(READER, CONFIGURATION_KEY)
         belief.replace_all({CONFIGURATION_KEY: orjson.dumps(CONFIGURATION)}, False)
         odd = ODD_CONFIGURATION_BY_FORM[form]
         belief.apply(Change(CONFIGURATION_KEY, odd, 2, 2), False)
         belief.replace_all({CONFIGURATION_KEY: odd}, False)
         assert belief.table is not None
         assert (belief.table.version, len(belief.table.routes)) == (7, 5)
-        assert belief.unreadable.met == 2
+        assert belief.unreadable.total == 2
         newer = orjson.dumps(CONFIGURATION | {"version": 9})
         belief.apply(Change(CONFIGURATION_KEY, newer, 3, 3), False)
         assert belief.table.version == 9
-        assert belief.unreadable.now == 0
+        assert belief.unreadable.current == 0
 
     asyncio.run(main())
 
 
 def test_another_object_beside_the_configuration_is_none() -> None:
     async def main() -> None:
-        belief = ConfigurationBelief(READER, CONFIGURATION_KEY)
+        belief = ConfigurationState(READER, CONFIGURATION_KEY)
         other = orjson.dumps(CONFIGURATION | {"version": 99, "routes": []})
         both = {"config/draft": other, CONFIGURATION_KEY: orjson.dumps(CONFIGURATION)}
         belief.replace_all(both, False)
--- a/tests/unit/test_runs_of_every_kind.py
+++ b/tests/unit/test_runs_of_every_kind.py
@@ -15,10 +15,10 @@
 from bayhinge._internal.network.endpoint_answer import Answer, BrokenAnswerError
 from bayhinge._internal.network.routed_front import Exchange
 from bayhinge._internal.platform.call_format import PlatformCallFormat
+from bayhinge._internal.services.gateway.active_runs import ActiveRun
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
-from bayhinge._internal.services.gateway.runs_under_way import RunUnderWay
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
-from bayhinge._internal.services.gateway.turn_keeper import TurnKeeper
+from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 from tests.lib.cut_answers import ROUTE, SIGNED, Caller, CutAnswer
 
 EVENTS = 4
@@ -81,7 +81,7 @@
     delivery = StreamDelivery(
         cast(Exchange, caller),
         PlatformCallFormat(),
-        cast(TurnKeeper, keeper),
+        cast(TurnRecorder, keeper),
         turn,
         request,
         3,
@@ -89,7 +89,7 @@
     )
     for run, (kind, length, size, early) in enumerate([*ends, ("whole", 10_000, 5, 0)], start=1):
         entry = EndpointEntry(f"e-{run}", "llm", "127.0.0.1:1", "north", 4, False, run)
-        delivery.run = RunUnderWay(EndpointBelief(entry))
+        delivery.run = ActiveRun(EndpointBelief(entry))
         first = max(1, (delivery.resume_after or 0) + 1 - early)
         text = b"".join(
             BEAT * (number % 2) + event(number, run) for number in range(first, EVENTS + 1)
@@ -102,7 +102,7 @@
         try:
             await delivery.deliver(cast(Answer, answer), marks, True, BOUNDS)
         except BrokenAnswerError:
-            assert delivery.may_go_on
+            assert delivery.may_continue
         else:
             break
     return caller, delivery, keeper
@@ -134,4 +134,4 @@
     ((text, tokens, start),) = keeper.closed
     assert text == said
     assert tokens == 3 * (EVENTS - (has or 0)) == delivery.tokens_handed_out
-    assert start == delivery.start
+    assert start == delivery.incarnation
--- a/tests/unit/test_stalls_endpoints.py
+++ b/tests/unit/test_stalls_endpoints.py
@@ -12,7 +12,7 @@
 from bayhinge._internal.decisions.answer_bounds import AnswerBounds
 from bayhinge._internal.network.endpoint_answer import Answer, SilentEndpointError
 from bayhinge._internal.network.endpoint_link import CONNECT_S, EndpointLinks
-from bayhinge._internal.services.gateway.stream_delivery import _pieces
+from bayhinge._internal.services.gateway.stream_delivery import _read_pieces
 from tests.lib.disks_elsewhere import disks_elsewhere
 
 PAUSE_S = 0.04
@@ -51,7 +51,7 @@
     asyncio.get_running_loop().call_later(0.02, time.sleep, stall_s)
     pieces: list[bytes] = []
     try:
-        async for piece in _pieces(cast(Answer, StreamedAnswer(reader)), BOUNDS):
+        async for piece in _read_pieces(cast(Answer, StreamedAnswer(reader)), BOUNDS):
             pieces.append(piece)
             if b"".join(pieces).count(b"\n\n") == events:
                 break
@@ -80,7 +80,7 @@
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         with pytest.raises(SilentEndpointError):
-            async for _ in _pieces(cast(Answer, Pausing()), BOUNDS):
+            async for _ in _read_pieces(cast(Answer, Pausing()), BOUNDS):
                 pass
         return loop.time() - began_s
 
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -21,8 +21,8 @@
 from bayhinge._internal.services.gateway import disk_directory, disk_link
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.disk_link import DiskLink
-from bayhinge._internal.services.gateway.turn_keeper import TurnKeeper
-from bayhinge._internal.services.gateway.turn_refusals import OPEN_S
+from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
+from bayhinge._internal.services.gateway.turn_refusals import DISK_ANSWER_S
 from bayhinge._internal.services.gossip import Gossip
 from bayhinge._internal.services.key_follower import (
     LISTENER_PATIENCE_S,
@@ -96,7 +96,7 @@
     client: PeerClient
     directory: DiskDirectory
     link: DiskLink
-    keeper: TurnKeeper
+    keeper: TurnRecorder
 
 
 async def stalled(work: Awaitable[Result], after_s: float, stall_s: float) -> Result:
@@ -122,9 +122,9 @@
             wire.DiskMember(f"disk-{number}", number + 1, address, "north")
             for number, address in enumerate(addresses[:3])
         ]
-        directory.take(wire.DiskSet(1, members))
+        directory.accept(wire.DiskSet(1, members))
         link = DiskLink(directory, cast(Gossip, Hearing(addresses[3])), client)
-        host = Host(client, directory, link, TurnKeeper(directory, link, 1))
+        host = Host(client, directory, link, TurnRecorder(directory, link, 1))
         for address in addresses:
             # A host that serves has its connections open.
             await client.call(address, "echo", b"")
@@ -146,7 +146,7 @@
 def test_a_turn_is_not_refused_because_its_host_stood_still(after_s: float) -> None:
     async def scenario(host: Host) -> None:
         context = TurnContext("p", 100, 30, None)
-        await stalled(host.keeper.open("a1", context), after_s, OPEN_S + 0.1)
+        await stalled(host.keeper.open("a1", context), after_s, DISK_ANSWER_S + 0.1)
 
     at_host(scenario)
 
@@ -155,7 +155,7 @@
 def test_a_host_that_stood_still_waits_for_the_nearest_disks_history(after_s: float) -> None:
     async def scenario(host: Host) -> bytes:
         context = TurnContext("p", None, 30, "a0")
-        turn = await stalled(host.keeper.open("a1", context), after_s, OPEN_S + 0.1)
+        turn = await stalled(host.keeper.open("a1", context), after_s, DISK_ANSWER_S + 0.1)
         return turn.history
 
     history, disks, _ = at_host(scenario)
@@ -166,7 +166,9 @@
 @pytest.mark.parametrize("after_s", STALLS_AFTER_S)
 def test_a_turn_that_is_looked_for_is_found_by_a_host_that_stood_still(after_s: float) -> None:
     async def scenario(host: Host) -> bytes | None:
-        entry = await stalled(host.keeper._histories._find_turn("a0", True), after_s, OPEN_S + 0.1)
+        entry = await stalled(
+            host.keeper._histories._find_turn("a0", True), after_s, DISK_ANSWER_S + 0.1
+        )
         return cast(bytes | None, entry.text)
 
     text, _, _ = at_host(scenario)
@@ -233,10 +235,10 @@
     async def scenario(host: Host) -> bool:
         members = host.directory.disk_set.members
         for member in members:
-            host.directory.note_failure(member, "cut off")
+            host.directory.record_failure(member, "cut off")
         assert host.directory.reach.is_cut_off
         stall_s = disk_directory.FETCH_S + 0.1
-        await stalled(host.directory._try_to_reach(members[0]), after_s, stall_s)
+        await stalled(host.directory._probe(members[0]), after_s, stall_s)
         return host.directory.reach.is_cut_off
 
     is_cut_off, _, _ = at_host(scenario)
--- a/tests/unit/test_stream_delivery.py
+++ b/tests/unit/test_stream_delivery.py
@@ -59,7 +59,7 @@
         except BrokenAnswerError as error:
             whole = kept.rpartition(b"\n\n")
             assert error.cut_bytes == len(whole[2])
-            assert delivery.may_go_on
+            assert delivery.may_continue
         else:
             break
     return caller, delivery
