--- a/src/bayhinge/_internal/services/gateway/__init__.py
+++ b/src/bayhinge/_internal/services/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The entry host on a platform: passes requests on along routes and keeps turns."""
+"""The gateway of an entry host: routes requests to endpoints and records turns."""
--- a/src/bayhinge/_internal/services/gateway/admission.py
+++ b/src/bayhinge/_internal/services/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may be served at all: whose key it bears, and whether that key still counts."""
+"""Authenticates requests: finds the account of a key and checks that the key is still valid."""
 
 import attrs
 
@@ -16,41 +16,39 @@
 from bayhinge._internal.services.gateway.store_listeners import ConfigurationState
 
 RETRY_AFTER_S = 0.4
-"""When a request should come again that met a host without a proof, or a closed account: a host
-that is cut off is on no list by then, and elsewhere a proof comes within a fraction of a second."""
+"""Retry delay when the host has no proof or can't read the account. By then a partitioned host is
+no longer advertised, and any other host has a new proof."""
 
 MAX_REPORTED_AGE_S = 1e6
-"""What stands for the age of a proof that there is not: figures are numbers."""
+"""Reported as the age of a missing proof, since refusal figures must be finite."""
 
 
 class AdmissionRevokedError(Exception):
-    """A request that was let in may not be sent any more."""
+    """An admitted request may no longer be sent."""
 
     def __init__(self, code: RefusalCode, why: str) -> None:
-        """Takes what its caller is told."""
         super().__init__(why)
         self.code = code
         self.why = why
 
 
 class Admission:
-    """One host's door."""
+    """Admits or refuses the requests of one host."""
 
     def __init__(self, configuration: ConfigurationState, proofs: ConfigurationProofs) -> None:
-        """Takes what the host believes, and how sure it is of it."""
         self._configuration = configuration
         self._proofs = proofs
 
     async def admit(
         self, table: RoutingTable, route: Route, request: RoutedRequest
     ) -> RoutedRequest:
-        """Returns the request with its account and without its key.
+        """Returns the request with its account and without its credentials.
 
         Raises:
-            RefusedError: it bears no key of any account, or nobody can say here whether it does.
+            RefusedError: the key belongs to no account, or this host can't verify it now.
         """
         if table.accounts is None:
-            # Nothing here makes the header ours, so it goes on like any other.
+            # Without accounts the credentials header belongs to the endpoint: forward it.
             return attrs.evolve(
                 request,
                 headers=request.headers + request.credentials,
@@ -64,20 +62,20 @@
         account = self._require_account(table, request)
         if not self._has_proof:
             await self._proofs.wait(request.attempt)
-            # A proof alone is not enough where the newest configuration can't be read.
+            # A fresh proof is not enough if the newest configuration is unreadable.
             if not self._has_proof:
                 raise RefusedError(self._unproven_refusal())
         newest = self._configuration.table
         if newest is not None and newest is not table:
-            # The proof has brought a newer one.
+            # The proof may have led to a newer configuration.
             account = self._require_account(newest, request)
         return attrs.evolve(request, credentials=(), account=account)
 
     def check(self, request: RoutedRequest) -> None:
-        """Checks once more, right before a request is sent.
+        """Checks again, right before a request is sent.
 
         Raises:
-            AdmissionRevokedError: its key was taken away, or the proof has become too old.
+            AdmissionRevokedError: the key was revoked, or the freshness proof has expired.
         """
         table = self._configuration.table
         if request.key_sha256 is None or table is None or table.accounts is None:
@@ -85,20 +83,20 @@
         account = table.accounts.find(request.key_sha256)
         if not isinstance(account, RoutedAccount) or account.name != request.account_name:
             raise AdmissionRevokedError(
-                RefusalCode.UNAUTHORIZED, "the key was taken away while the request waited"
+                RefusalCode.UNAUTHORIZED, "the key was revoked while the request waited"
             )
         if not self._has_proof:
             raise AdmissionRevokedError(RefusalCode.CONFIG_UNKNOWN, self._unproven_refusal().why)
 
     @property
     def _has_proof(self) -> bool:
-        """Whether the newest configuration is surely young enough, and could be read."""
+        """Whether the configuration is proven fresh, and the newest one was readable."""
         return self._proofs.may_admit and not self._configuration.unreadable.current
 
     def _require_account(self, table: RoutingTable, request: RoutedRequest) -> RoutedAccount:
         account = self._find(table, request.key_sha256)
         if account is None:
-            shown = "shows no single key" if request.key_sha256 is None else "bears an unknown key"
+            shown = "bears no single key" if request.key_sha256 is None else "bears an unknown key"
             raise RefusedError(
                 refuse_unaccepted(
                     RefusalCode.UNAUTHORIZED, f"the request {shown}", self._proof_age()
@@ -108,7 +106,7 @@
             raise RefusedError(
                 refuse_unaccepted(
                     RefusalCode.CONFIG_UNKNOWN,
-                    f"account '{account.name}' can't be read: {account.why}",
+                    f"the entry of account '{account.name}' is unreadable: {account.why}",
                     retry_after_s=RETRY_AFTER_S,
                 )
             )
@@ -124,7 +122,7 @@
     def _unproven_refusal(self) -> Refusal:
         return refuse_unaccepted(
             RefusalCode.CONFIG_UNKNOWN,
-            "this host can't be sure whether the key still counts",
+            "this host can't verify now that the key is still valid",
             self._proof_age(),
             retry_after_s=RETRY_AFTER_S,
         )
--- a/src/bayhinge/_internal/services/gateway/figures.py
+++ b/src/bayhinge/_internal/services/gateway/figures.py
@@ -1,4 +1,4 @@
-"""The figures of an entry host's metrics page."""
+"""The metrics page of an entry host."""
 
 import asyncio
 
@@ -8,12 +8,12 @@
 
 
 def entry_metrics(gateway: Gateway) -> bytes:
-    """Returns the page: requests by outcome, beliefs and their ages, connections, disks."""
+    """Returns the metrics page of a host."""
     return metrics_page(gateway.latencies, _gauges(gateway))
 
 
 def _account_gauges(gateway: Gateway, accounts: int) -> dict[str, float]:
-    """Returns sums over all accounts: thousands of names are no labels."""
+    """Returns totals over all accounts, as there are too many accounts for labels."""
     proofs, quotas = gateway.proofs, gateway.quotas
     return {
         "accounts_known": accounts,
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The entry host's service on a platform: starts the parts, tells the others, stops in order."""
+"""The gateway service of an entry host: builds its parts, starts them, and shuts them down."""
 
 import asyncio
 import random
@@ -52,24 +52,23 @@
 from bayhinge.coordination.clock import HybridClock, SystemClock
 
 CONNECT_S = 0.5
-"""Time to connect to another host."""
+"""Timeout for connecting to another host."""
 
 ADDRESS_KEEP_S = 1.0
-"""How long callers may keep an answer about addresses; some keep it three times as long."""
+"""How long callers may cache resolved addresses; some cache them three times as long."""
 
 STOP_MARGIN_S = 1.2
-"""Part of the grace time that is left for closing when requests are still running."""
+"""Part of the shutdown grace period reserved for closing, even if requests still run."""
 
 SWEEP_S = 1.0
 
 
 class Gateway(Service):
-    """One start of an entry host."""
+    """The gateway service of one entry host process."""
 
     def __init__(
         self, settings: SiteSettings, platform: Platform, sockets: EarlySockets | None = None
     ) -> None:
-        """Takes the settings, the platform, and sockets that listen already."""
         super().__init__()
         self.settings = settings
         self._platform = platform
@@ -88,7 +87,7 @@
         )
         self.followers_by_prefix = {
             prefix: KeyFollower(
-                platform.store, prefix, partial(self._watch_delay_s, index), listener, self.peers
+                platform.store, prefix, partial(self._watch_timeout_s, index), listener, self.peers
             )
             for index, (prefix, listener) in enumerate(
                 (
@@ -168,7 +167,7 @@
         self._is_advertised = False
 
     async def on_start(self) -> None:
-        """Listens, greets, and follows the platform's objects."""
+        """Opens the listeners and starts gossip, load exchange, and the background tasks."""
         await self._listener.start()
         await self.front.start()
         self.gossip.describe = self._describe
@@ -193,14 +192,14 @@
         eliot.log_message("host.started", host=self.settings.host, hall=self.settings.hall)
 
     async def on_stop(self) -> None:
-        """A planned stop: leaves the lists first, finishes what runs, then closes."""
+        """Shuts down gracefully: stops being advertised, drains running requests, then closes."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         self.is_leaving = True
         self.front.closes_connections = True
         self.gossip.say_now()
         eliot.log_message("host.leaving", host=self.settings.host, running=self.front.running)
-        # Callers keep an answer up to three times as long as it says.
+        # Some callers cache addresses for up to three times their TTL.
         await asyncio.sleep(3 * self.address_keep_s)
         self.front.close_idle()
         limit_s = began_s + self.settings.grace_s - STOP_MARGIN_S
@@ -217,16 +216,16 @@
         await self._platform.store.close()
         eliot.log_message("host.stopped", host=self.settings.host, running=self.front.running)
 
-    # ---- what others ask ----
+    # ---- address resolution ----
 
     @property
     def address_keep_s(self) -> float:
-        """How long callers may keep an answer about addresses."""
+        """How long callers may cache resolved addresses, in seconds."""
         return min(ADDRESS_KEEP_S, self.settings.address_keep_s)
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether callers may be sent to this host."""
         return (
             not self.is_leaving
             and self.configuration.table is not None
@@ -234,7 +233,7 @@
         )
 
     def addresses(self, hall: str, region: str) -> list[str]:
-        """Returns the public addresses of ready hosts, those near a caller first."""
+        """Returns the public addresses of ready hosts, those nearest to the caller first."""
         return addresses_for(self._ready_hosts(), hall, region, self._random)
 
     def _ready_hosts(self) -> list[ReadyHost]:
@@ -254,14 +253,14 @@
             for heartbeat in ready
         ]
 
-    # ---- hellos ----
+    # ---- heartbeats ----
 
     def _is_watcher(self) -> bool:
-        """Whether this host is among those of its hall that watch the store."""
+        """Whether this host is one of its hall's store watchers."""
         return self.gossip.me.host in self._watchers()
 
     def _watchers(self) -> list[str]:
-        """Returns the hosts of this hall that watch the store, as this host believes."""
+        """Returns the hosts of this hall that watch the store, computed from heartbeats."""
         me = self.gossip.me
         hosts = [
             HallHost(heartbeat.host, heartbeat.store_fails)
@@ -270,8 +269,8 @@
         ]
         return watchers_of(me.hall, [*hosts, HallHost(me.host, self._store_fails())])
 
-    def _watch_delay_s(self, prefix_index: int) -> float:
-        """Returns how long a watch of a prefix that begins now waits, in seconds."""
+    def _watch_timeout_s(self, prefix_index: int) -> float:
+        """Returns the timeout, in seconds, of a watch of a prefix that starts now."""
         me = self.gossip.me
         halls = sorted({me.hall, *self.settings.region_by_hall})
         watchers = self._watchers()
@@ -286,9 +285,9 @@
         return wait_until_turn(turn, self._wall_clock.wall_ms() / 1000)
 
     def _first_list_delay_s(self) -> float:
-        """Returns how long news of peers are waited for before the store is asked."""
+        """Returns how long to wait for updates from peers before listing the store."""
         settings = self.settings
-        # Seeds ask at once: all others know them, so the news begin there.
+        # Seeds list the store at once: every other host learns from them.
         return (
             random.uniform(*FIRST_LIST_S)
             if settings.is_first_start and settings.ip not in settings.seeds
@@ -302,7 +301,7 @@
 
     def _describe(self, me: wire.Hello) -> None:
         me.store_fails = self._store_fails()
-        # Without a proof it refuses all that bears a key, so callers do better elsewhere.
+        # Without a proof, requests with a key are refused, so callers should use other hosts.
         is_without_proof = self.proofs.is_needed and not self.proofs.may_admit
         me.is_cut_off = self.disks.reach.is_cut_off or is_without_proof
         me.proof_age_ms = self.proofs.hint_ms()
@@ -326,10 +325,9 @@
                 follower.hear(revision, heartbeat.peer_address)
 
     def _refresh_advertised(self) -> None:
-        """Works out whether callers of the own hall are told of this host.
+        """Recomputes whether this host is advertised to callers of its own hall.
 
-        Once a round and not for each hello: 45 idle hosts call 2.46 million functions in 6 s in
-        place of 2.84 million (one profile each).
+        Once per gossip round, since doing it for each heartbeat is expensive on large sites.
         """
         me = self.gossip.me
         near = [host for host in self._ready_hosts() if host.hall == me.hall]
@@ -342,8 +340,8 @@
         self.coordinators.refresh()
         self.quotas.refresh()
         if self.coordinators.coordinated_hall:
-            # A home knows better, but for halls whose homes are silent.
-            self.exchange.refresh_book()
+            # Reported loads are newer than heartbeats, which still count for silent halls.
+            self.exchange.refresh_endpoint_table()
 
     def _disks_changed(self, disk_set: wire.DiskSet) -> None:
         self.gossip.me.disk_set_version = disk_set.version
--- a/src/bayhinge/_internal/services/gateway/hall_coordinators.py
+++ b/src/bayhinge/_internal/services/gateway/hall_coordinators.py
@@ -1,7 +1,7 @@
-"""Which host of each hall is the home of the hall's endpoints, as one host believes.
+"""Selects the coordinator of each hall's endpoints.
 
-A home is found by hashing over the hall's ready hosts. Two hosts may disagree for a moment:
-then loads are known less well, and nothing else.
+A coordinator is chosen by rendezvous hashing over the hall's ready hosts. Hosts may disagree for
+a moment; this makes load counts less accurate, and has no other effect.
 """
 
 import asyncio
@@ -16,17 +16,16 @@
 from bayhinge.coordination.rendezvous import choose
 
 EMPTY_HALL_AFTER_S = 10.0
-"""A hall of the settings of which no host was heard for so long is told of. Restarts of a small
-hall's hosts take some seconds; on large sites hosts of other halls are heard more seldom, but each
-hall has more of them."""
+"""Silence after which a configured hall is logged as empty; longer than a restart of a small
+hall's hosts."""
 
 
 @attrs.frozen
 class HallCoordinator:
-    """The home of one hall's endpoints.
+    """The coordinator of one hall's endpoints.
 
     Attributes:
-        address: where its peers reach it, by TCP for calls and by UDP for loads.
+        address: peer address, TCP for calls and UDP for load reports.
     """
 
     hall: str
@@ -35,30 +34,29 @@
 
 
 class HallCoordinators:
-    """The homes of all halls."""
+    """The coordinators of all halls, as seen by one host."""
 
     def __init__(self, gossip: Gossip, halls: Iterable[str] = ()) -> None:
-        """Takes what is heard of hosts, and the halls that the settings name."""
         self._gossip = gossip
         self._halls = sorted(set(halls) - {gossip.me.hall})
         self._last_seen_s_by_hall: dict[str, float] = {}
         self._empty_halls: set[str] = set()
         self._coordinator_by_hall: dict[str, HallCoordinator] = {}
-        self._suspects = SuspectHosts(gossip.heard_s)
+        self._suspected = SuspectHosts(gossip.heard_s)
 
     def coordinator_of(self, hall: str) -> HallCoordinator | None:
-        """Returns a hall's home, or None where no host of it is known."""
+        """Returns a hall's coordinator, or None if no ready host of the hall is known."""
         return self._coordinator_by_hall.get(hall)
 
     @property
     def coordinated_hall(self) -> str:
-        """The hall whose home this host is, or empty."""
+        """The hall that this host coordinates, or an empty string."""
         me = self._gossip.me
         coordinator = self._coordinator_by_hall.get(me.hall)
         return me.hall if coordinator is not None and coordinator.host == me.host else ""
 
     def other_coordinators(self) -> list[HallCoordinator]:
-        """Returns the homes of halls that are not this host's own duty."""
+        """Returns the coordinators other than this host."""
         return [
             coordinator
             for coordinator in self._coordinator_by_hall.values()
@@ -66,7 +64,7 @@
         ]
 
     def refresh(self) -> None:
-        """Works out every home anew from the hosts that are heard."""
+        """Selects all coordinators again from the live hosts."""
         me = self._gossip.me
         live = self._gossip.fresh(wire.HostRole.ENTRY)
         self._log_empty_halls({heartbeat.hall for heartbeat in live})
@@ -77,7 +75,7 @@
         }
         hosts_by_hall: dict[str, list[str]] = {}
         for heartbeat in hello_by_host.values():
-            if not self._suspects.has(heartbeat.host):
+            if not self._suspected.has(heartbeat.host):
                 hosts_by_hall.setdefault(heartbeat.hall, []).append(heartbeat.host)
         previous = self._coordinator_by_hall.get(me.hall)
         self._coordinator_by_hall = {}
@@ -98,7 +96,7 @@
             )
 
     def _log_empty_halls(self, live: set[str]) -> None:
-        """Logs halls without hosts: their callers and endpoints are served from other halls."""
+        """Logs halls without live hosts; other halls serve their callers and endpoints."""
         now = _now()
         for hall in self._halls:
             if hall in live:
@@ -112,15 +110,15 @@
                     self._empty_halls.add(hall)
                     eliot.log_message("hall.without_hosts", hall=hall, since_s=EMPTY_HALL_AFTER_S)
 
-    def suspect(self, coordinator: HallCoordinator, why: str) -> None:
-        """A home did not answer."""
+    def mark_suspected(self, coordinator: HallCoordinator, why: str) -> None:
+        """Suspects a coordinator that did not answer, and selects another one."""
         eliot.log_message("home.silent", hall=coordinator.hall, home=coordinator.host, why=why)
-        self._suspects.add(coordinator.host)
+        self._suspected.add(coordinator.host)
         self.refresh()
 
     def follow_redirect(self, hall: str, host: str) -> HallCoordinator | None:
-        """Takes another host's word on who a hall's home is; None where it is not to be had."""
-        if self._suspects.has(host):
+        """Sets a hall's coordinator as another host reports; returns None if that host is not live."""
+        if self._suspected.has(host):
             return None
         for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY):
             if heartbeat.host == host:
--- a/src/bayhinge/_internal/services/gateway/load_exchange.py
+++ b/src/bayhinge/_internal/services/gateway/load_exchange.py
@@ -152,7 +152,7 @@
         for table, _ in self._tables_by_hall.values():
             table.running_by_endpoint.pop(endpoint, None)
 
-    def refresh_book(self) -> None:
+    def refresh_endpoint_table(self) -> None:
         """Puts a home's figures of other hosts' requests into the book."""
         now = asyncio.get_running_loop().time()
         self._load_table.forget_silent(now)
@@ -184,7 +184,7 @@
             )
 
     def _send_hall_table(self) -> None:
-        self.refresh_book()
+        self.refresh_endpoint_table()
         self._sequence += 1
         table = wire.HallLoads(
             self._me.hall,
--- a/src/bayhinge/_internal/services/gateway/outside.py
+++ b/src/bayhinge/_internal/services/gateway/outside.py
@@ -1,4 +1,4 @@
-"""What an entry host needs from the platform's side, as abstract parts."""
+"""Interfaces that a platform implements for the gateway."""
 
 from abc import ABC, abstractmethod
 
@@ -11,11 +11,11 @@
 
 
 class CallFormat(ABC):
-    """How calls look on the wire."""
+    """Encodes and decodes requests and answers."""
 
     @abstractmethod
     def read_request(self, method: str, target: str, headers: RawHeaders) -> RoutedRequest | None:
-        """Decodes a request's head; None where it bears no attempt id."""
+        """Decodes a request's head; returns None if it has no attempt id."""
 
     @abstractmethod
     def request_head(
@@ -29,31 +29,31 @@
     ) -> bytes:
         """Encodes the head of a request to an endpoint.
 
-        ``resume_after`` is the event behind which a stream goes on.
+        ``resume_after`` is the number of the last event that the caller already has.
         """
 
     @abstractmethod
     def read_answer(self, status: int, headers: RawHeaders) -> AnswerMarks:
-        """Decodes what the headers of an endpoint's answer say."""
+        """Decodes the headers of an endpoint's answer."""
 
     @abstractmethod
     def answer_headers(self, headers: RawHeaders) -> RawHeaders:
-        """Returns those headers of an endpoint's answer that go to the caller."""
+        """Returns the headers of an endpoint's answer to forward to the caller."""
 
     @abstractmethod
     def refusal_headers(self, attempt: str | None, retry_after_s: float | None) -> RawHeaders:
-        """Returns the headers of an answer of our own."""
+        """Returns the headers of a refusal that the gateway itself sends."""
 
 
 class ObjectReader(ABC):
-    """How the platform's objects are decoded."""
+    """Decodes the platform's stored objects."""
 
     @abstractmethod
     def read_configuration(self, value: bytes) -> RoutingTable:
-        """Decodes a configuration; what of it can't be read is closed, and told in its findings.
+        """Decodes a configuration; unreadable parts are closed and listed in its findings.
 
         Raises:
-            UnreadableObjectError: it can't be used at all; the findings say where and why.
+            UnreadableObjectError: the whole configuration is unusable; see the error's findings.
         """
 
     @abstractmethod
@@ -61,18 +61,18 @@
         """Decodes an endpoint's entry.
 
         Raises:
-            UnreadableObjectError: as above.
+            UnreadableObjectError: the entry is unusable; see the error's findings.
         """
 
 
 @attrs.frozen
 class Platform:
-    """The platform as the product sees it.
+    """The platform that a gateway runs on.
 
     Attributes:
-        configuration_prefix: where configurations stand in the store.
-        configuration_key: the one of them that counts.
-        endpoints_prefix: where endpoints enter themselves.
+        configuration_prefix: key prefix of configurations in the store.
+        configuration_key: key of the active configuration.
+        endpoints_prefix: key prefix under which endpoints register.
     """
 
     store: PollingStore
--- a/src/bayhinge/_internal/services/gateway/placement.py
+++ b/src/bayhinge/_internal/services/gateway/placement.py
@@ -1,8 +1,8 @@
-"""Which endpoint a request goes to: the home of its hall says, or this host alone.
+"""Places requests on endpoints, through a hall's coordinator or locally.
 
-A home knows what every host has under way at its hall's endpoints; a host by itself knows
-its own requests, and those of others some tenths of a second late. Where no home answers
-in a moment, the host decides by itself: a home makes choices better, and is never needed.
+A coordinator knows the running requests of all hosts at its hall's endpoints; a host alone knows
+those of others only with a delay of some tenths of a second. If no coordinator answers in time,
+the host places the request itself: coordinators improve placement but are never required.
 """
 
 import asyncio
@@ -23,31 +23,30 @@
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 ANSWER_S = 0.04
-"""Time for a home's answer: some ten times an ordinary one between halls."""
+"""Timeout for a coordinator's answer, about ten times an ordinary one between halls."""
 
 
 class Placer(ABC):
-    """Chooses endpoints."""
+    """Chooses the endpoint for a request."""
 
     @abstractmethod
     async def place(
         self, service: str, preference: Wish, tried: Iterable[str]
     ) -> EndpointBelief | None:
-        """Returns the endpoint to send to, or None where none is left.
+        """Returns the endpoint to send to, or None if none is left.
 
-        The caller counts the request as under way before anything else runs.
+        The caller must count the request as running before it next yields to the event loop.
         """
 
     @abstractmethod
     def record_end(self, state: EndpointBelief) -> None:
-        """A request is no longer under way at an endpoint."""
+        """Records that a request is no longer running at an endpoint."""
 
 
 class LocalPlacer(Placer):
-    """Decides by what this host knows alone."""
+    """Places requests with only this host's own view of endpoints."""
 
     def __init__(self, endpoint_table: EndpointBook) -> None:
-        """Takes the endpoints."""
         self._endpoint_table = endpoint_table
 
     async def place(
@@ -64,7 +63,7 @@
 
 @attrs.define
 class PlacementCounts:
-    """Requests by who decided."""
+    """Requests by who placed them."""
 
     by_coordinator: int = 0
     as_coordinator: int = 0
@@ -72,7 +71,7 @@
 
 
 class CoordinatorPlacer(Placer):
-    """Asks homes."""
+    """Asks the coordinator of a hall, and falls back to a local choice."""
 
     def __init__(
         self,
@@ -82,7 +81,6 @@
         peers: Peers,
         hall: str,
     ) -> None:
-        """Takes the endpoints, the homes, the figures, and the way to other hosts."""
         self._endpoint_table = endpoint_table
         self._coordinators = coordinators
         self._exchange = exchange
@@ -108,15 +106,15 @@
         """See :class:`Placer`."""
         self._exchange.mark_changed(state)
 
-    # ---- as a home ----
+    # ---- as a coordinator ----
 
     def answer(self, call: wire.PlaceCall) -> wire.PlaceReply:
-        """Answers another host, as the home of this hall's endpoints."""
+        """Places another host's request, as the coordinator of this hall."""
         if not self._coordinators.coordinated_hall:
             coordinator = self._coordinators.coordinator_of(self._hall)
             return wire.PlaceReply("", 0, None if coordinator is None else coordinator.host)
         self._exchange.receive_loads(call.loads)
-        self._exchange.refresh_book()
+        self._exchange.refresh_endpoint_table()
         preference = Wish(
             EndpointStart(call.wished, call.wished_born_ms),
             call.shared_part,
@@ -128,7 +126,7 @@
         # The asking host would send to an address, and speak to a start, that are no more.
         unheard = self._endpoint_table.start_revisions.unheard_by(call.loads.endpoints_known_to)
         state = self._endpoint_table.choose(
-            call.service_name, preference, {*call.excluded_now, *unheard}, now
+            call.service_name, preference, {*call.avoid, *unheard}, now
         )
         if state is None:
             return wire.PlaceReply("", 0)
@@ -141,7 +139,7 @@
         self, service: str, preference: Wish, excluded: set[str]
     ) -> EndpointBelief | None:
         if self._coordinators.coordinated_hall:
-            self._exchange.refresh_book()
+            self._exchange.refresh_endpoint_table()
             self.counts.as_coordinator += 1
         else:
             self.counts.local += 1
@@ -149,7 +147,7 @@
             service, preference, excluded, asyncio.get_running_loop().time()
         )
         if state is not None and state.entry.hall != self._coordinators.coordinated_hall:
-            # The endpoint's home has not granted this one, so it must hear of it.
+            # The endpoint's coordinator did not grant this request, so report it.
             self._exchange.mark_changed(state)
         return state
 
@@ -181,7 +179,7 @@
         return None
 
     def _connected(self, coordinator: HallCoordinator, service: str, preference: Wish) -> list[str]:
-        """Returns those of the connected endpoints that the home may choose."""
+        """Returns the connected endpoints that the coordinator may choose."""
         states = [self._endpoint_table.find(instance) for instance in preference.connected]
         return [
             state.entry.instance
@@ -194,7 +192,7 @@
     def _accept(
         self, reply: wire.PlaceReply, coordinator: HallCoordinator, service: str, excluded: set[str]
     ) -> EndpointBelief | None:
-        """Checks a home's choice against what this host knows itself."""
+        """Returns a coordinator's choice, or None if this host knows that it is unusable."""
         state = self._endpoint_table.find(reply.endpoint)
         if (
             state is None
@@ -217,13 +215,13 @@
         self, coordinator: HallCoordinator, call: wire.PlaceCall
     ) -> wire.PlaceReply | None:
         try:
-            # A host that stood still knows nothing of what its home did meanwhile.
+            # Counts only time in which this process runs: a stalled host must not time out.
             async with running_timeout(ANSWER_S):
                 answer = await self._peers.call(
                     coordinator.address, methods.PLACE, encode_message(call)
                 )
             reply: wire.PlaceReply = decode_message(wire.PlaceReply(), answer)
         except (TimeoutError, PeerUnreachableError, PeerFailureError, FrameError) as error:
-            self._coordinators.suspect(coordinator, str(error) or "no answer in time")
+            self._coordinators.mark_suspected(coordinator, str(error) or "no answer in time")
             return None
         return reply
--- a/src/bayhinge/_internal/services/gateway/placement_preferences.py
+++ b/src/bayhinge/_internal/services/gateway/placement_preferences.py
@@ -1,4 +1,4 @@
-"""What a request would like of the endpoint that it goes to."""
+"""Derives a request's placement preference."""
 
 from bayhinge._internal.decisions.endpoint_book import Wish
 from bayhinge._internal.models.endpoint_entries import EndpointStart
@@ -6,11 +6,11 @@
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 
 MAX_WEIGHTED_TOKENS = 10_000_000
-"""A caller may name any number; more than the longest history changes no choice."""
+"""Caps token counts, which callers choose; the longest history stays below it."""
 
 
 def preference_of(request: RoutedRequest, turn: OpenTurn | None) -> Wish:
-    """Returns the wish of a request, and of its turn where it has one."""
+    """Returns the placement preference of a request and its turn, if any."""
     shared = request.parts[0] if len(request.parts) > 1 else None
     start = EndpointStart() if turn is None else turn.last_engine
     kept_tokens = 0
--- a/src/bayhinge/_internal/services/gateway/quotas.py
+++ b/src/bayhinge/_internal/services/gateway/quotas.py
@@ -85,7 +85,7 @@
         self._gossip = gossip
         self._peers = peers
         self._margin = margin
-        self._suspects = SuspectHosts(gossip.heard_s)
+        self._suspected = SuspectHosts(gossip.heard_s)
         self._address_by_host: dict[str, str] = {}
         self._coordinator_by_account: dict[str, str] = {}
         self._bucket_by_account: dict[str, _AccountBucket] = {}
@@ -151,7 +151,7 @@
             reply = await self._call_coordinator(coordinator, call)
             redirected = ""
             if reply is None:
-                self._suspects.add(coordinator)
+                self._suspected.add(coordinator)
                 self._coordinator_by_account.pop(account, None)
                 call.silent.append(coordinator)
             elif reply.home is None:
@@ -228,7 +228,7 @@
         ready = {
             heartbeat.host: heartbeat.peer_address
             for heartbeat in (*live, me)
-            if heartbeat.phase == wire.HostPhase.READY and not self._suspects.has(heartbeat.host)
+            if heartbeat.phase == wire.HostPhase.READY and not self._suspected.has(heartbeat.host)
         }
         has_stalled = now - self._round_s > STALL_S
         has_changed = ready.keys() != self._address_by_host.keys()
@@ -257,7 +257,7 @@
             hosts = [
                 host
                 for host in self._address_by_host
-                if host not in silent and not self._suspects.has(host)
+                if host not in silent and not self._suspected.has(host)
             ]
             coordinator = choose(f"quota of {account}", hosts) or self._gossip.me.host
             if not silent:
--- a/src/bayhinge/_internal/services/gateway/store_listeners.py
+++ b/src/bayhinge/_internal/services/gateway/store_listeners.py
@@ -1,4 +1,4 @@
-"""What an entry host believes of the configuration and of endpoints, from the store's objects."""
+"""Keeps the configuration and the endpoint table up to date from the store's objects."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,26 +21,22 @@
 from bayhinge.coordination.store import Change
 
 MISSING_ENTRY_GRACE_S = 1.8
-"""An endpoint whose entry vanished is a last resort for so long, then it is gone: one that leaves
-must get nothing new two seconds after its entry went."""
+"""How long an endpoint stays a last resort after its entry disappears. Below 2 s: a leaving endpoint
+must get no new requests two seconds after its entry is removed."""
 
 MISSING_AFTER_OUTAGE_GRACE_S = 2.6
-"""The same where the store came back only just before. Entries lapse in outages, and those that
-live and reach the store are back within about two seconds of the end; a host counts as in touch
-three seconds after it. With the shorter time 6 to 20 endpoints were dropped for 0.2 to 0.5 s at
-each return (five played days of six, over all hosts of two small sites)."""
+"""The same just after a store outage: entries expire during it, and live endpoints register again
+within about two seconds of its end."""
 
 REMOVED_ENTRY_KEEP_S = 60.0
-"""For so long the last start of an endpoint that is gone is remembered, so that an entry of an
-earlier one that comes late does not bring it back. Calls to the store that got no answer may be
-done seconds later, and news of peers are less than a second old."""
+"""How long the last incarnation of a removed endpoint is remembered, so that a delayed entry of an
+earlier one does not restore it. Unanswered store writes may take effect seconds later."""
 
 
 class ConfigurationState(FollowListener):
-    """The newest configuration that could be read; never an older one."""
+    """Holds the newest readable configuration; never goes back to an older version."""
 
     def __init__(self, reader: ObjectReader, key: str) -> None:
-        """Takes the decoder of configurations, and the key of the one that counts."""
         self._reader = reader
         self._key = key
         self.unreadable = UnreadableObjects("configuration.unreadable")
@@ -50,12 +46,12 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before any."""
+        """The active version, or 0 before the first one."""
         return 0 if self.table is None else self.table.version
 
     @property
     def has_accounts(self) -> bool:
-        """Whether requests need keys of client accounts."""
+        """Whether requests need the key of a client account."""
         return self.table is not None and self.table.accounts is not None
 
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
@@ -100,7 +96,7 @@
 
 
 class EndpointTableUpdater(FollowListener):
-    """Keeps the endpoint book true to the platform's entries."""
+    """Applies the platform's endpoint entries to the endpoint table."""
 
     def __init__(
         self,
@@ -109,7 +105,6 @@
         links: EndpointLinks,
         restarts: EndpointRestarts,
     ) -> None:
-        """Takes the decoder of entries, the book to keep, the connections, and restarts' ends."""
         self._reader = reader
         self._endpoint_table = endpoint_table
         self._links = links
@@ -148,7 +143,7 @@
         previous = self._endpoint_table.last_entry(entry.instance)
         update = self._endpoint_table.put(entry)
         if update is EntryNews.OUTDATED:
-            # Says nothing of the start that is known: its entry may well have vanished.
+            # The known incarnation stays missing: this entry belongs to an earlier one.
             eliot.log_message("endpoint.outdated", endpoint=entry.instance, born_ms=entry.born_ms)
             return
         timer = self._removal_timer_by_instance.pop(entry.instance, None)
@@ -177,9 +172,9 @@
         )
 
     def _withdraw_unreadable(self, instance: str) -> None:
-        """Sends nothing new to an endpoint whose entry can't be read any more; its runs go on.
+        """Stops sending requests to an endpoint with an unreadable entry; active runs continue.
 
-        Not even as a last resort, as where an entry vanished: this one is there, and names nobody.
+        Unlike an endpoint with a missing entry, it is not even used as a last resort.
         """
         if self._endpoint_table.withdraw(instance):
             self._links.drop_idle(instance)
@@ -200,7 +195,7 @@
 
     def _remove_missing(self, instance: str) -> None:
         del self._removal_timer_by_instance[instance]
-        self._remove(instance, "its entry vanished and did not come back")
+        self._remove(instance, "its entry stayed missing for the grace period")
 
     def _remove(self, instance: str, why: str) -> None:
         previous = self._endpoint_table.last_entry(instance)
@@ -213,5 +208,5 @@
 
 
 def _instance(key: str) -> str:
-    # From the front: a name may hold slashes, and must not pass for another one.
+    # Split at the first slash only: an instance name may contain slashes.
     return key.partition("/")[2]
--- a/src/bayhinge/_internal/services/gateway/suspect_hosts.py
+++ b/src/bayhinge/_internal/services/gateway/suspect_hosts.py
@@ -1,26 +1,30 @@
-"""Hosts that did not answer a moment ago, and are passed over until they are heard again."""
+"""Hosts that failed to answer, and are skipped until their next heartbeat."""
 
 import asyncio
 from collections.abc import Callable
 
 SUSPECT_S = 1.0
-"""A host that did not answer is passed over for so long at least, and until it is heard again."""
+"""Minimum time for which a host is suspected after it failed to answer."""
 
 
 class SuspectHosts:
-    """Hosts that did not answer."""
+    """The hosts that this host suspects of having failed."""
 
     def __init__(self, last_seen_s: Callable[[str], float]) -> None:
-        """Takes what tells when a host was last heard, on the loop's clock."""
+        """Creates an empty set.
+
+        Args:
+            last_seen_s: returns when a host's last heartbeat came, on the loop's clock.
+        """
         self._last_seen_s = last_seen_s
         self._since_by_host: dict[str, float] = {}
 
     def add(self, host: str) -> None:
-        """A host did not answer."""
+        """Suspects a host that did not answer."""
         self._since_by_host[host] = asyncio.get_running_loop().time()
 
     def has(self, host: str) -> bool:
-        """Tells whether a host is passed over."""
+        """Returns whether a host is suspected."""
         since_s = self._since_by_host.get(host)
         if since_s is None:
             return False
--- a/tests/dense/ablation.py
+++ b/tests/dense/ablation.py
@@ -52,7 +52,7 @@
     "homes": (
         Edit(
             "services/gateway/placement.py",
-            "if home is not None and hall !=",
+            "if coordinator is not None and hall !=",
             "if False and hall !=",
         ),
     ),
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -140,7 +140,7 @@
     "limits hold over all hosts": (
         Edit(
             "services/gateway/quotas.py",
-            "            if home == self._gossip.me.host:\n                return",
+            "            if coordinator == self._gossip.me.host:\n                return",
             "            if True:\n                return",
         ),
     ),
--- a/tests/unit/test_endpoint_news.py
+++ b/tests/unit/test_endpoint_news.py
@@ -204,13 +204,13 @@
         exchange = exchange_of(host)
         host.hear(entry_value(BORN_MS))
         exchange.receive_loads(loads(1, 40))
-        exchange.refresh_book()
+        exchange.refresh_endpoint_table()
         assert (host.believed().running_at_peers, host.believed().complaints) == (3, 1)
         host.hear(entry_value(BORN_MS + 1))
         for beat, known_to, counts in ((2, 49, 0), (3, 50, 1), (4, None, 1)):
-            exchange.refresh_book()
+            exchange.refresh_endpoint_table()
             exchange.receive_loads(loads(beat, known_to))
-            exchange.refresh_book()
+            exchange.refresh_endpoint_table()
             belief = host.believed()
             assert (belief.running_at_peers, belief.complaints) == (3 * counts, counts)
 
@@ -224,19 +224,19 @@
         host.book.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS))
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 1, {"a": 6}, 40))
         exchange.record_remote_grant(host.believed())
-        exchange.refresh_book()
+        exchange.refresh_endpoint_table()
         assert host.believed().running_at_peers == 7
         host.book.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS + 1))
         host.restarts.handle_restart(
             host.believed(), EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
         )
-        exchange.refresh_book()
+        exchange.refresh_endpoint_table()
         assert host.believed().running_at_peers == 0
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 2, {"a": 6}, 49))
-        exchange.refresh_book()
+        exchange.refresh_endpoint_table()
         assert host.believed().running_at_peers == 0
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 3, {"a": 2}, 50))
-        exchange.refresh_book()
+        exchange.refresh_endpoint_table()
         assert host.believed().running_at_peers == 2
 
     run_virtual(scenario())
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -150,13 +150,13 @@
         homes.refresh()
         home = homes.coordinator_of("north")
         assert home is not None
-        homes.suspect(home, "no answer")
+        homes.mark_suspected(home, "no answer")
         await asyncio.sleep(HOME_SUSPECT_S * 0.9)
         heard(gossip, "edge-2", beat=2)
-        always(True, lambda: homes._suspects.has(home.host))
+        always(True, lambda: homes._suspected.has(home.host))
         await asyncio.sleep(HOME_SUSPECT_S * 0.2)
         heard(gossip, "edge-2", beat=3)
-        always(False, lambda: homes._suspects.has(home.host))
+        always(False, lambda: homes._suspected.has(home.host))
 
     run_virtual(scenario())
 
@@ -169,7 +169,7 @@
         loads = HostLoads("edge-2", 1, 1, 0, {ENDPOINT: 3}, [])
 
         def counted() -> bool:
-            exchange.refresh_book()
+            exchange.refresh_endpoint_table()
             return bool(exchange._load_table.running_by_endpoint().get(ENDPOINT))
 
         exchange.receive_loads(loads)
