--- a/src/bayhinge/_internal/services/gateway/active_runs.py
+++ b/src/bayhinge/_internal/services/gateway/active_runs.py
@@ -1,4 +1,4 @@
-"""Runs under way at endpoints, each at a start, and their end where that start is over."""
+"""Active runs by endpoint incarnation; runs of an ended incarnation are aborted."""
 
 import attrs
 
@@ -6,18 +6,18 @@
 from bayhinge._internal.decisions.endpoint_starts import NewStart, is_over
 from bayhinge._internal.network.endpoint_link import EndpointConnection
 
-ENDED_REASON = "its endpoint has started again: the run is over"
+ENDED_REASON = "the endpoint has restarted"
 
 
 @attrs.define(eq=False)
 class ActiveRun:
-    """One request at one start of an endpoint.
+    """One request at one incarnation of an endpoint.
 
     Attributes:
-        belief: that of the start, as far as is known: a request that was sent after a restart, and
-            before the news of it, is found to be at the later one.
-        connection: the way there, or None while it is opened.
-        is_over: the start has ended, or its address is another's.
+        state: that of the incarnation; replaced if a request sent after a restart was first counted
+            at the earlier one.
+        connection: None while it is being opened.
+        is_ended: the incarnation has ended, or another endpoint has its address.
     """
 
     state: EndpointBelief
@@ -31,21 +31,20 @@
 
 
 class ActiveRuns:
-    """The runs of one host, by endpoint."""
+    """The active runs of one host."""
 
     def __init__(self) -> None:
-        """Starts with none."""
         self._runs_by_endpoint: dict[str, set[ActiveRun]] = {}
 
     def begin(self, state: EndpointBelief) -> ActiveRun:
-        """Counts a request as under way at an endpoint."""
+        """Adds a run at an endpoint."""
         run = ActiveRun(state)
         state.running_here += 1
         self._runs_by_endpoint.setdefault(state.entry.instance, set()).add(run)
         return run
 
     def end(self, run: ActiveRun) -> None:
-        """The request is no longer under way there."""
+        """Removes a run."""
         run.state.running_here -= 1
         runs = self._runs_by_endpoint[run.endpoint]
         runs.remove(run)
@@ -53,9 +52,9 @@
             del self._runs_by_endpoint[run.endpoint]
 
     def handle_restart(self, newest: EndpointBelief, incarnation: NewStart) -> tuple[int, int]:
-        """Ends the runs of former starts, and counts the others at the newest one.
+        """Ends the runs of earlier incarnations, and counts the others at the newest one.
 
-        Returns how many are over, and how many go on.
+        Returns how many ended, and how many continue.
         """
         continued = 0
         runs = self._runs_by_endpoint.get(newest.entry.instance, set())
@@ -70,7 +69,7 @@
         return len(runs) - continued, continued
 
     def handle_replacement(self, endpoint: str, incarnation: NewStart) -> int:
-        """Ends the runs of an endpoint whose address another one has now; returns how many."""
+        """Ends the runs of an endpoint whose address another has taken; returns how many."""
         ended = 0
         for run in self._runs_by_endpoint.get(endpoint, set()):
             connection = run.connection
--- a/src/bayhinge/_internal/services/gateway/buffered_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/buffered_delivery.py
@@ -1,4 +1,4 @@
-"""Delivers answers that are read whole before anything of them goes out."""
+"""Delivers answers that are buffered whole before they are sent."""
 
 from bayhinge._internal import status_codes
 from bayhinge._internal.decisions.answer_bounds import AnswerBounds
@@ -10,10 +10,9 @@
 
 
 class BufferedDelivery(Delivery):
-    """For requests of plain services."""
+    """Delivers answers of plain services."""
 
     def __init__(self, exchange: Exchange, calls: CallFormat) -> None:
-        """Takes the caller's exchange and the format of calls."""
         super().__init__()
         self._exchange = exchange
         self._calls = calls
@@ -24,7 +23,7 @@
         """See :class:`Delivery`."""
         body = await answer.read_body()
         if is_success(answer.status) and (not marks.is_signed or marks.is_encoded):
-            raise BrokenAnswerError("the answer is not the endpoint's own")
+            raise BrokenAnswerError("the answer is unsigned or encoded")
         if may_repeat and answer.status >= status_codes.HTTP_SERVER_ERROR:
             raise BrokenAnswerError(f"status {answer.status}")
         self.outcome = "served" if is_success(answer.status) else f"status_{answer.status}"
--- a/src/bayhinge/_internal/services/gateway/configuration_proofs.py
+++ b/src/bayhinge/_internal/services/gateway/configuration_proofs.py
@@ -1,9 +1,9 @@
-"""Keeps a host's proof that its configuration is the newest, and waits for one for requests.
+"""Renews a host's freshness proof of its configuration, and lets requests wait for one.
 
-Proofs are asked for, never sent: only who has asked knows from when on an answer counts, however
-long it was on its way or waited in a socket of a process that stood still. Hellos tell whom to ask.
-The loop's clock is steady, runs on while a process is stopped, and is not set; it stands still only
-while a whole machine sleeps (see docs/questions.md).
+Proofs are pulled, never pushed: their age counts from when the host asked, so delays in the network
+or in a stalled process can't make a proof look younger. Heartbeats tell which peers have a recent
+one. The loop's clock is monotonic and stops only while the whole machine sleeps
+(see docs/questions.md).
 """
 
 import asyncio
@@ -34,34 +34,34 @@
 from bayhinge.coordination.store import PollingStore
 
 IDLE_S = 0.3
-"""How often a host that needs no proof looks whether it does now."""
+"""Interval at which a host without need of a proof checks whether it needs one."""
 
 PAUSE_S = 0.2
-"""Between two looks of a host whose proof is due and that has nobody to ask."""
+"""Mean pause after a failed renewal."""
 
 MIN_PAUSE_S = 0.01
-"""A pause that rounding makes shorter would be none, and the loop would turn without end."""
+"""Lower bound of a pause, so that rounding can't make the loop spin."""
 
 PEER_ANSWER_S = 0.15
-"""Time for a peer's answer: some thirty times an ordinary one between halls."""
+"""Timeout for a peer's answer, about thirty times an ordinary one between halls."""
 
 PROOF_WAIT_S = 0.25
-"""Longest wait of a request for a proof. A host that stood still for longer than the bound has one
-again after one call to a peer; where the last try failed a moment ago, requests do not wait."""
+"""Longest wait of a request for a proof, enough for a call to a peer. Requests don't wait just after
+a failed call to the store."""
 
 STORE_FAILURE_S = 1.0
-"""For so long after a failed try, a host says that it does not reach the store."""
+"""How long a host reports the store as unreachable after a failed call."""
 
 MAX_HINT_AGE_S = 30.0
-"""Ages above this are told to nobody: such a proof helps no host."""
+"""Age above which a proof is not announced in heartbeats, as it is of no use to peers."""
 
 HINT_TOLERANCE_S = 0.2
-"""Hints that are so close to the youngest count as equal, so that one host is not asked by all."""
+"""Announced ages this close to the lowest count as equal, which spreads the calls over peers."""
 
 
 @attrs.define
 class ProofCounts:
-    """What proofs have cost, and what they kept out."""
+    """Counts of renewals, and of requests that waited for a proof."""
 
     from_store: int = 0
     from_peers: int = 0
@@ -71,7 +71,7 @@
 
 
 class ConfigurationProofs:
-    """One host's proof of its configuration."""
+    """The freshness proof of one host's configuration."""
 
     def __init__(
         self,
@@ -82,9 +82,11 @@
         peers: Peers,
         bounds: ProofBounds | None,
     ) -> None:
-        """Takes the store, the configuration's key, who follows it, and the way to other hosts.
+        """Creates the state without a proof.
 
-        ``bounds`` is None where the deployment sets no bound on keys that were taken away.
+        Args:
+            key: key of the active configuration.
+            bounds: None if the deployment does not bound the use of revoked keys.
         """
         self._store = store
         self._key = key
@@ -101,31 +103,31 @@
 
     @property
     def age_s(self) -> float:
-        """The age of the proof that holds; infinite without one."""
+        """The age of the current proof; infinite without one."""
         return self._proofs.age_s(self._follower.known_to, asyncio.get_running_loop().time())
 
     @property
     def may_admit(self) -> bool:
-        """Whether keys may be let in now."""
+        """Whether requests with a key may be admitted now."""
         return self._bounds is None or self.age_s <= self._bounds.admit_s
 
     @property
-    def fails(self) -> bool:
-        """Whether this host failed to reach the store a moment ago."""
+    def has_failed(self) -> bool:
+        """Whether a call to the store failed within the last ``STORE_FAILURE_S``."""
         return asyncio.get_running_loop().time() - self._failed_s < STORE_FAILURE_S
 
     @property
-    def is_needed(self) -> bool:
-        """Whether there is anything that a proof is needed for."""
+    def is_required(self) -> bool:
+        """Whether the configuration has accounts, and so needs proofs."""
         return self._bounds is not None and self.has_accounts()
 
     def hint_ms(self) -> int | None:
-        """Returns the age that hellos tell, in milliseconds; None where there is no use in it."""
+        """Returns the age to announce in heartbeats, in milliseconds; None if of no use to peers."""
         age_s = self.age_s
-        return round(age_s * 1000) if self.is_needed and age_s < MAX_HINT_AGE_S else None
+        return round(age_s * 1000) if self.is_required and age_s < MAX_HINT_AGE_S else None
 
     def answer(self) -> wire.ProofReply:
-        """Answers a peer that asks for a proof."""
+        """Answers a peer's request for a proof."""
         proof = self._proofs.newest(self._follower.known_to)
         if proof is None:
             return wire.ProofReply()
@@ -133,13 +135,13 @@
         return wire.ProofReply(proof.revision, age_s * 1000)
 
     async def wait(self, attempt: str) -> bool:
-        """Waits for a proof that lets keys in; returns whether there is one."""
+        """Waits for a proof that admits requests; returns whether there is one."""
         if self.may_admit:
             return True
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         age_s = self.age_s
-        if not self.fails:
+        if not self.has_failed:
             self.counts.waited += 1
             self._renewal_requested.set()
             try:
@@ -157,12 +159,12 @@
             )
         return self.may_admit
 
-    # ---- renewing ----
+    # ---- renewal ----
 
     async def run(self) -> None:
-        """Renews the proof for as long as there are accounts."""
+        """Renews the proof while the configuration has accounts."""
         while True:
-            if not self.is_needed or self._bounds is None:
+            if not self.is_required or self._bounds is None:
                 await self._pause(IDLE_S)
                 continue
             due_s = self._bounds.renew_s - self.age_s
@@ -180,17 +182,17 @@
         self._renewal_requested.clear()
 
     async def _renew(self, bounds: ProofBounds) -> bool:
-        """Asks whoever should know; returns whether the proof is younger now."""
+        """Asks a peer or the store; returns whether the proof is fresher now."""
         before_s = self.age_s
         address = self._best_peer(before_s, bounds)
         if address is not None:
             await self._ask_peer(address)
-        elif self._is_to_ask_store(before_s, bounds):
+        elif self._should_ask_store(before_s, bounds):
             await self._ask_store()
         return self.age_s < min(before_s, bounds.renew_s)
 
     def _best_peer(self, age_s: float, bounds: ProofBounds) -> str | None:
-        """Returns the address of a host whose proof seems to be young enough to ask for."""
+        """Returns the address of a peer with a recent enough proof, or None."""
         now = asyncio.get_running_loop().time()
         age_by_address = {
             heartbeat.peer_address: heartbeat.proof_age_ms / 1000
@@ -210,7 +212,7 @@
             ]
         )
 
-    def _is_to_ask_store(self, age_s: float, bounds: ProofBounds) -> bool:
+    def _should_ask_store(self, age_s: float, bounds: ProofBounds) -> bool:
         me = self._gossip.me
         others = [
             heartbeat
@@ -218,14 +220,14 @@
             if heartbeat.phase == wire.HostPhase.READY
         ]
         fails_by_host = {heartbeat.host: heartbeat.store_fails for heartbeat in others} | {
-            me.host: self.fails
+            me.host: self.has_failed
         }
-        place = place_in_order(
+        position = place_in_order(
             me.host,
-            [host for host, fails in fails_by_host.items() if not fails],
-            [host for host, fails in fails_by_host.items() if fails],
+            [host for host, has_failed in fails_by_host.items() if not has_failed],
+            [host for host, has_failed in fails_by_host.items() if has_failed],
         )
-        return may_ask_store(age_s, place, len(fails_by_host), bounds.renew_s, random.random())
+        return may_ask_store(age_s, position, len(fails_by_host), bounds.renew_s, random.random())
 
     async def _ask_peer(self, address: str) -> None:
         asked_s = asyncio.get_running_loop().time()
@@ -267,7 +269,7 @@
         self.wake_waiters()
 
     def wake_waiters(self) -> None:
-        """The host may know a revision now that a proof was waiting for."""
+        """Wakes waiting requests if the proof, or the revision that it needs, has arrived."""
         if self.may_admit:
             self._renewed.set()
             self._renewed = asyncio.Event()
--- a/src/bayhinge/_internal/services/gateway/delivery.py
+++ b/src/bayhinge/_internal/services/gateway/delivery.py
@@ -1,4 +1,4 @@
-"""How one answer gets to the caller."""
+"""Delivers an endpoint's answer to the caller."""
 
 from abc import ABC, abstractmethod
 
@@ -11,10 +11,9 @@
 
 
 class Delivery(ABC):
-    """How one answer gets to the caller."""
+    """Delivers one answer to the caller, possibly from several runs."""
 
     def __init__(self) -> None:
-        """Starts with nothing delivered."""
         self.outcome = ""
         self.run: ActiveRun | None = None
         self.tokens_handed_out = 0
@@ -22,35 +21,35 @@
 
     @property
     def endpoint(self) -> str:
-        """The endpoint that gave the answer, or empty."""
+        """The id of the answering endpoint, or an empty string."""
         return "" if self.run is None else self.run.endpoint
 
     @property
     def incarnation(self) -> EndpointStart:
-        """The start of the endpoint that gave the answer, as far as is known."""
+        """The incarnation of the answering endpoint, as far as is known."""
         return EndpointStart() if self.run is None else self.run.state.entry.start
 
     @property
     def resume_after(self) -> int | None:
-        """The event behind which the next run goes on, or None where it begins anew."""
+        """The event after which the next run resumes, or None to start from the beginning."""
         return None
 
     @property
     def may_continue(self) -> bool:
-        """Whether another endpoint may be asked for what this one has not given."""
+        """Whether another endpoint may continue an answer that broke off."""
         return True
 
     @abstractmethod
     async def deliver(
         self, answer: Answer, marks: AnswerMarks, may_repeat: bool, bounds: AnswerBounds
     ) -> None:
-        """Passes an answer on.
+        """Delivers an answer.
 
         Raises:
-            BrokenAnswerError: it broke off; a part of it may have been passed on.
+            BrokenAnswerError: it broke off; a part of it may have been delivered.
         """
 
 
 def is_success(status: int) -> bool:
-    """Tells whether a status says that the request was served."""
+    """Returns whether a status code is 2xx."""
     return status_codes.HTTP_OK <= status < status_codes.HTTP_MULTIPLE_CHOICES
--- a/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
+++ b/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
@@ -1,8 +1,8 @@
-"""What happens when an endpoint has started again: what belonged to its former start ends.
+"""Ends the runs and connections of an endpoint's earlier incarnations.
 
-The news comes from the store, so it may be seconds old: requests that were sent since are at the
-new start already, and go on. What tells them apart is where a connection leads, when it was opened
-and when it last brought something.
+The store reports a restart up to seconds late, so requests sent in between already run at the new
+incarnation and continue. They are told apart by their connection: its address, when it was opened
+and when it last received data.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class EndpointRestarts:
-    """Ends what belongs to starts that are over."""
+    """Ends the runs and connections of ended incarnations."""
 
     def __init__(
         self,
@@ -27,7 +27,6 @@
         runs: ActiveRuns,
         wall_ms: Callable[[], int],
     ) -> None:
-        """Takes the endpoints, the connections, the runs, and the time of day."""
         self._endpoint_table = endpoint_table
         self._links = links
         self._runs = runs
@@ -36,7 +35,7 @@
         self.forget_loads: Callable[[str], None] = lambda endpoint: None
 
     def handle_restart(self, newest: EndpointBelief, former: EndpointEntry) -> None:
-        """A later start of an endpoint is known now."""
+        """Handles a later incarnation of a known endpoint."""
         entry = newest.entry
         self._endpoint_table.start_revisions.note(entry.instance, self.known_revision())
         self.forget_loads(entry.instance)
@@ -57,7 +56,7 @@
         )
 
     def handle_return(self, newest: EndpointBelief) -> None:
-        """An endpoint is known that was not: requests may still wait at one of its starts."""
+        """Handles the return of a removed endpoint, whose earlier runs may still be active."""
         if newest.entry.born_ms is None:
             return
         ended, continued = self._runs.handle_restart(newest, self._new_incarnation(newest.entry))
@@ -71,7 +70,7 @@
             )
 
     def handle_replacement(self, newest: EndpointBelief) -> None:
-        """Ends what waits at endpoints at whose address this one has started since."""
+        """Ends the runs of endpoints whose address this one has taken over."""
         entry = newest.entry
         for state in self._endpoint_table.displaced_at(entry.address):
             instance = state.entry.instance
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -295,14 +295,14 @@
         )
 
     def _store_fails(self) -> bool:
-        return self.proofs.fails or any(
+        return self.proofs.has_failed or any(
             follower.is_failing for follower in self.followers_by_prefix.values()
         )
 
     def _describe(self, me: wire.Hello) -> None:
         me.store_fails = self._store_fails()
         # Without a proof, requests with a key are refused, so callers should use other hosts.
-        is_without_proof = self.proofs.is_needed and not self.proofs.may_admit
+        is_without_proof = self.proofs.is_required and not self.proofs.may_admit
         me.is_cut_off = self.disks.reach.is_cut_off or is_without_proof
         me.proof_age_ms = self.proofs.hint_ms()
         me.requests_per_s = round(self._rate.per_s)
--- a/src/bayhinge/_internal/services/gateway/load_exchange.py
+++ b/src/bayhinge/_internal/services/gateway/load_exchange.py
@@ -1,6 +1,6 @@
-"""Tells homes what this host has under way, and homes tell each other about their halls.
+"""Exchanges load over UDP: hosts report to coordinators, coordinators to each other.
 
-Datagrams carry whole figures, so one that is lost is made good by the next.
+Each datagram carries complete counts, so the next one makes up for a lost one.
 """
 
 import asyncio
@@ -20,25 +20,24 @@
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 REPORT_DELAY_S = 0.01
-"""Ends of requests that come so close together make one report."""
+"""Delay of a report after a change, so that one report covers several changes."""
 
 REPORT_PERIOD_S = 0.5
-"""Reports of a host that has requests under way, also where nothing changes."""
+"""Interval between reports of a host with running requests, even without changes."""
 
 HALL_PERIOD_S = 0.15
-"""Between two tables that a home sends to the other homes."""
+"""Interval between the tables that a coordinator sends to the others."""
 
 HALL_TABLE_KEEP_S = 1.0
-"""A hall's table that is older counts no more."""
+"""Age above which another hall's table is ignored."""
 
 
 class LoadExchange(Service):
-    """One host's part in knowing loads."""
+    """Sends and receives the loads of endpoints for one host."""
 
     def __init__(
         self, me: wire.Hello, endpoint_table: EndpointBook, coordinators: HallCoordinators
     ) -> None:
-        """Takes this host's hello, the endpoints, and who the homes are."""
         super().__init__()
         self._me = me
         self._endpoint_table = endpoint_table
@@ -54,7 +53,7 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def on_start(self) -> None:
-        """Opens the socket: the peer link's address, over UDP."""
+        """Opens a UDP socket on the peer address and starts reporting."""
         host, port = split_address(self._me.peer_address)
         self._transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: Datagrams(self._receive), local_addr=(host, port)
@@ -67,10 +66,10 @@
         if self._transport is not None:
             self._transport.close()
 
-    # ---- this host's own figures ----
+    # ---- this host's own load ----
 
     def own_loads(self, hall: str) -> wire.HostLoads:
-        """Returns what this host has under way at a hall's endpoints."""
+        """Returns this host's running requests and ejected endpoints of a hall."""
         self._sequence += 1
         now = asyncio.get_running_loop().time()
         return wire.HostLoads(
@@ -92,7 +91,7 @@
         )
 
     def mark_changed(self, state: EndpointBelief) -> None:
-        """This host has more or less under way at an endpoint than its hall's home knows."""
+        """Schedules a report, as the coordinator does not know this host's load at an endpoint."""
         if not self._changed_halls:
             asyncio.get_running_loop().call_later(REPORT_DELAY_S, self._report_changed)
         self._changed_halls.add(state.entry.hall)
@@ -106,7 +105,7 @@
         while not self.should_stop:
             await asyncio.sleep(REPORT_PERIOD_S)
             busy = {state.entry.hall for state in self._endpoint_table.all() if state.running_here}
-            # Once more where nothing is left, for the last report may have been lost.
+            # Report once more after the last request ends: the final report may be lost.
             for hall in busy | self._busy_halls:
                 self._report(hall)
             self._busy_halls = busy
@@ -116,10 +115,10 @@
         if coordinator is not None and coordinator.host != self._me.host:
             self._send(wire.LoadNews(host=self.own_loads(hall)), coordinator.address)
 
-    # ---- a home's figures ----
+    # ---- as a coordinator ----
 
     def receive_loads(self, loads: wire.HostLoads) -> None:
-        """Takes in what a host has under way, but at starts that are over."""
+        """Applies a host's load report, except for endpoints that have restarted since."""
         stale = self._endpoint_table.start_revisions.unheard_by(loads.endpoints_known_to)
         self._load_table.hear(
             HostReport(
@@ -134,26 +133,26 @@
         )
 
     def grant(self, host: str, state: EndpointBelief) -> int:
-        """Counts a request that a host will send; 0 for an endpoint of another hall."""
+        """Counts a request that a host will send; returns 0 for an endpoint of another hall."""
         if state.entry.hall == self._me.hall:
             return self._load_table.grant(host, state.entry.instance)
         self.record_remote_grant(state)
         return 0
 
     def record_remote_grant(self, state: EndpointBelief) -> None:
-        """Counts a request for another hall until that hall's next table holds it."""
+        """Counts a request for another hall until that hall's next table includes it."""
         instance = state.entry.instance
         self._remote_grants[instance] = self._remote_grants.get(instance, 0) + 1
 
     def forget_endpoint(self, endpoint: str) -> None:
-        """Drops what was said and granted of an endpoint: it has started again."""
+        """Drops all counts of an endpoint that has restarted."""
         self._load_table.forget_endpoint(endpoint)
         self._remote_grants.pop(endpoint, None)
         for table, _ in self._tables_by_hall.values():
             table.running_by_endpoint.pop(endpoint, None)
 
     def refresh_endpoint_table(self) -> None:
-        """Puts a home's figures of other hosts' requests into the book."""
+        """Copies the counts of other hosts' requests to the endpoint table."""
         now = asyncio.get_running_loop().time()
         self._load_table.forget_silent(now)
         running = dict(self._load_table.running_by_endpoint())
@@ -171,7 +170,7 @@
                 state.running_at_peers = running.get(instance, 0)
                 state.complaints = complaints.get(instance, 0)
             elif state.entry.hall in fresh_halls:
-                # The other home's sum holds this host's own requests as well.
+                # The other coordinator's total includes this host's own requests.
                 total = running.get(instance, self._remote_grants.get(instance, 0))
                 state.running_at_peers = max(0, total - state.running_here)
 
@@ -211,7 +210,7 @@
         try:
             message = decode_message(wire.LoadNews(), data)
         except FrameError as error:
-            self.log.warning("a datagram tells no loads: %s", error)
+            self.log.warning("ignoring malformed load datagram: %s", error)
             return
         if message.host is not None:
             self.receive_loads(message.host)
@@ -233,7 +232,7 @@
 def excluding_endpoints(
     running_by_endpoint: dict[str, int], excluded: Collection[str]
 ) -> dict[str, int]:
-    """Returns what is under way at all endpoints but some."""
+    """Returns the running requests of all endpoints except the excluded ones."""
     if not excluded:
         return running_by_endpoint
     return {
@@ -244,7 +243,7 @@
 
 
 def sum_loads(heartbeats: Iterable[wire.Hello], revisions: StartRevisions) -> dict[str, int]:
-    """Returns what hosts say they have under way, but at starts that are over."""
+    """Sums the running requests in heartbeats, except at endpoints that have restarted since."""
     total: dict[str, int] = {}
     for heartbeat in heartbeats:
         stale = revisions.unheard_by(heartbeat.endpoints_known_to)
--- a/src/bayhinge/_internal/services/gateway/open_turn.py
+++ b/src/bayhinge/_internal/services/gateway/open_turn.py
@@ -1,4 +1,4 @@
-"""A turn under way, as all who open, run and close it know it."""
+"""A turn that is open, shared by the parts that reserve, run and record it."""
 
 import attrs
 
@@ -8,14 +8,14 @@
 
 @attrs.define
 class OpenTurn:
-    """A turn under way.
+    """An open turn of a program.
 
     Attributes:
-        history: the texts of the chain, from the oldest on.
-        read_at: the start of an engine that ran the turn before, and so has read the history.
-        reserved: tokens set aside, or 0 where the program has no budget.
-        is_kept: what is said will be asked for again; otherwise only its tokens are counted.
-        account: the client account whose turn it is; empty where no key was asked for.
+        history: concatenated texts of the earlier turns, oldest first.
+        last_engine: incarnation of an engine that ran the previous turn, and may have it cached.
+        reserved: tokens reserved, or 0 if the program has no budget.
+        is_retained: the turn is recorded for later ones; otherwise only its tokens are counted.
+        account: the client account that owns the turn; empty if no key is required.
     """
 
     attempt: str
--- a/src/bayhinge/_internal/services/gateway/peer_requests.py
+++ b/src/bayhinge/_internal/services/gateway/peer_requests.py
@@ -1,4 +1,4 @@
-"""What an entry host answers other hosts."""
+"""Handles requests from other hosts."""
 
 from collections.abc import Awaitable, Callable, Mapping
 
@@ -16,7 +16,7 @@
 
 
 class PeerRequestHandler(AnsweringHandler):
-    """Answers by the parts that know."""
+    """Dispatches requests from other hosts to the gateway's parts."""
 
     def __init__(
         self,
@@ -27,7 +27,6 @@
         disks: DiskDirectory,
         peers: Peers,
     ) -> None:
-        """Takes the parts that are asked."""
         self._followers_by_prefix = followers_by_prefix
         self._placer = placer
         self._proofs = proofs
@@ -54,7 +53,7 @@
         prefix = decode_message(wire.ObjectsQuery(), payload).prefix
         follower = self._followers_by_prefix.get(prefix)
         if follower is None:
-            raise FrameError(f"objects under '{prefix}' are not followed here")
+            raise FrameError(f"this host does not follow the prefix '{prefix}'")
         return encode_message(follower.known())
 
     async def _place(self, payload: bytes) -> bytes:
@@ -70,11 +69,11 @@
         return encode_message(self._disks.disk_set)
 
     async def _relay(self, payload: bytes) -> bytes:
-        """Passes a call on to a disk that the caller can't reach."""
+        """Relays a call to a disk that the calling host can't reach."""
         call = decode_message(wire.RelayCall(), payload)
         members = self._disks.disk_set.members
         if call.address not in {member.address for member in members}:
-            raise FrameError(f"'{call.address}' is no disk of the set")
+            raise FrameError(f"'{call.address}' is not a member of the disk set")
         try:
             return await self._peers.call(call.address, call.method, call.payload)
         except (PeerUnreachableError, PeerFailureError) as error:
--- a/src/bayhinge/_internal/services/gateway/placement.py
+++ b/src/bayhinge/_internal/services/gateway/placement.py
@@ -123,18 +123,16 @@
             frozenset(call.connected or ()),
         )
         now = asyncio.get_running_loop().time()
-        # The asking host would send to an address, and speak to a start, that are no more.
-        unheard = self._endpoint_table.start_revisions.unheard_by(call.loads.endpoints_known_to)
+        # The caller would use the old address of endpoints whose restart it does not know yet.
+        outdated = self._endpoint_table.start_revisions.unheard_by(call.loads.endpoints_known_to)
         state = self._endpoint_table.choose(
-            call.service_name, preference, {*call.avoid, *unheard}, now
+            call.service_name, preference, {*call.avoid, *outdated}, now
         )
         if state is None:
             return wire.PlaceReply("", 0)
         grant = self._exchange.grant(call.loads.host, state)
         return wire.PlaceReply(state.entry.instance, grant)
 
-    # ---- inside ----
-
     def _place_locally(
         self, service: str, preference: Wish, excluded: set[str]
     ) -> EndpointBelief | None:
@@ -215,7 +213,7 @@
         self, coordinator: HallCoordinator, call: wire.PlaceCall
     ) -> wire.PlaceReply | None:
         try:
-            # Counts only time in which this process runs: a stalled host must not time out.
+            # Not asyncio.timeout(): a host that stalled would take the coordinator for silent.
             async with running_timeout(ANSWER_S):
                 answer = await self._peers.call(
                     coordinator.address, methods.PLACE, encode_message(call)
--- a/src/bayhinge/_internal/services/gateway/quotas.py
+++ b/src/bayhinge/_internal/services/gateway/quotas.py
@@ -1,8 +1,8 @@
-"""Asks the home of an account's quota for the right to send a request; is that home for others.
+"""Enforces account quotas over all hosts: asks quota coordinators, and is one for others.
 
-Each account has one home, found by rendezvous hashing over the site's ready hosts, which keeps a
-bucket of rights for it. Nothing of it depends on the store, and nothing of it is kept: a home that
-has just become one grants little until what others may have granted has passed.
+Each account has one quota coordinator, chosen by rendezvous hashing over the site's ready hosts,
+which keeps the account's token bucket in memory. A new coordinator grants little until the tokens
+that earlier ones may have granted have expired.
 """
 
 import asyncio
@@ -31,27 +31,27 @@
 from bayhinge.coordination.rendezvous import choose
 
 ANSWER_S = 0.06
-"""Time for a home's answer: some fifteen times an ordinary one between halls."""
+"""Timeout for a coordinator's answer, about fifteen times an ordinary one between halls."""
 
 MAX_CALLS = 3
-"""Homes that are asked for one request: a silent one, its successor, and one redirection."""
+"""Maximum calls for one request: a silent coordinator, its successor, and one redirect."""
 
 NO_COORDINATOR_RETRY_S = 0.3
-"""When a request should come again for whose account no home answered: by then it has another."""
+"""Retry delay when no coordinator answered: by then the account has another one."""
 
 STALL_S = 1.0
-"""A host whose rounds were so late stood still: others took its accounts over meanwhile."""
+"""Gap between gossip rounds after which a host has stalled, and others took its accounts over."""
 
 SITE_MEMBER_S = 10.0
-"""Hosts that were heard within this time count as part of the site."""
+"""Hosts seen within this time count as members of the site."""
 
 IDLE_BUCKET_KEEP_S = 60.0
-"""A bucket that nobody asked for so long is dropped: it is full, as a new one would be."""
+"""Idle time after which a bucket is dropped; it is full by then, as a new one would be."""
 
 
 @attrs.define
 class QuotaCounts:
-    """What became of requests of accounts with limits."""
+    """Outcomes of requests of accounts with quotas."""
 
     granted: int = 0
     refused: int = 0
@@ -63,12 +63,12 @@
 
 @attrs.define
 class _AccountBucket:
-    """One account's bucket at its home.
+    """One account's bucket at its coordinator.
 
     Attributes:
-        version: of the configuration that its limit is from.
-        used_s: when it was last asked for.
-        is_own: this host has been the account's home since then, by all that it knows.
+        version: of the configuration that the quota comes from.
+        last_used_s: when the bucket was last used.
+        is_own: this host has been the coordinator since then, as far as it knows.
     """
 
     bucket: QuotaBucket
@@ -78,10 +78,9 @@
 
 
 class Quotas:
-    """One host's part in keeping accounts within their limits."""
+    """Acquires quota tokens for one host, and grants them to others."""
 
     def __init__(self, gossip: Gossip, peers: Peers, margin: QuotaMargin) -> None:
-        """Takes what is heard of hosts, the way to them, and what the deployment tolerates."""
         self._gossip = gossip
         self._peers = peers
         self._margin = margin
@@ -99,10 +98,10 @@
     # ---- this host's own requests ----
 
     async def acquire(self, account: RoutedAccount, begins_program: bool) -> None:
-        """Takes the right to send one request.
+        """Acquires a token for one request.
 
         Raises:
-            RefusedError: the account is at its limit, or no home of it answered.
+            RefusedError: the quota is exhausted, or no coordinator answered.
         """
         if account.quota is None:
             return
@@ -115,7 +114,7 @@
         raise RefusedError(
             refuse_unaccepted(
                 RefusalCode.QUOTA_EXCEEDED,
-                f"account '{account.name}' is at its limit over all hosts",
+                f"account '{account.name}' has reached its quota over all hosts",
                 Figure("rate_per_s", account.quota.rate_per_s),
                 Figure("burst", account.quota.burst),
                 retry_after_s=wait_s,
@@ -123,7 +122,7 @@
         )
 
     def return_unused(self, account: RoutedAccount) -> None:
-        """A request that took a right has reached no endpoint."""
+        """Returns the token of a request that reached no endpoint."""
         if account.quota is not None:
             unused = self._returned_by_account.get(account.name, 0)
             self._returned_by_account[account.name] = unused + 1
@@ -132,7 +131,7 @@
     async def _ask_coordinator(
         self, account: str, quota: Quota, begins_program: bool
     ) -> float | None:
-        """Returns None where the right was granted, or after how many seconds to come again."""
+        """Returns None if a token was granted, otherwise the retry delay in seconds."""
         call = wire.QuotaCall(
             self._gossip.me.host,
             account,
@@ -162,7 +161,7 @@
         raise RefusedError(
             refuse_unaccepted(
                 RefusalCode.OWNER_UNREACHABLE,
-                f"no host answered for the quota of account '{account}'",
+                f"no coordinator answered for the quota of account '{account}'",
                 retry_after_s=NO_COORDINATOR_RETRY_S,
             )
         )
@@ -185,10 +184,10 @@
             return None
         return reply
 
-    # ---- as a home ----
+    # ---- as a coordinator ----
 
     def answer(self, call: wire.QuotaCall) -> wire.QuotaReply:
-        """Answers another host."""
+        """Answers another host's request for a token."""
         coordinator = self._coordinator_of(call.account, call.silent)
         if coordinator != self._gossip.me.host:
             return wire.QuotaReply(False, None, coordinator)
@@ -218,10 +217,10 @@
         entry.bucket.give_back(call.unused)
         return entry.bucket.take(call.begins_program)
 
-    # ---- who is there ----
+    # ---- coordinator selection ----
 
     def refresh(self) -> None:
-        """Works out anew which hosts may be homes; called with each round of hellos."""
+        """Updates the hosts that may be coordinators; called in each gossip round."""
         now = asyncio.get_running_loop().time()
         me = self._gossip.me
         live = self._gossip.fresh(wire.HostRole.ENTRY)
@@ -245,13 +244,13 @@
                 del self._bucket_by_account[account]
 
     def _clear_ownership(self, has_stalled: bool) -> None:
-        """Notes for which accounts another host may have granted, or may do so from now on."""
+        """Marks buckets whose tokens another host may have granted, or may grant from now on."""
         for account, entry in self._bucket_by_account.items():
             if has_stalled or self._coordinator_of(account) != self._gossip.me.host:
                 entry.is_own = False
 
     def _coordinator_of(self, account: str, silent: Collection[str] = ()) -> str:
-        """Returns an account's home; ``silent`` hosts did not answer somebody else."""
+        """Returns an account's coordinator, skipping ``silent`` hosts that did not answer."""
         coordinator = self._coordinator_by_account.get(account)
         if coordinator is None or coordinator in silent:
             hosts = [
--- a/src/bayhinge/_internal/services/gateway/request_sender.py
+++ b/src/bayhinge/_internal/services/gateway/request_sender.py
@@ -1,4 +1,4 @@
-"""Sends a request to endpoints until one has answered or it must be given up."""
+"""Sends a request to endpoints until one answers or no retry is allowed."""
 
 import asyncio
 from collections.abc import Callable
@@ -37,24 +37,24 @@
 from bayhinge._internal.utils.running_time import running_timeout
 
 MAX_REJECTED_SENDS = 4
-"""Endpoints that are asked although none has taken the request; each costs a round trip."""
+"""Maximum sends of a request that endpoints reject; each costs a round trip."""
 
 RETRY_AFTER_S = 0.3
-"""When a request that no endpoint took should come again."""
+"""Retry delay for a request that no endpoint accepted."""
 
 
 class RequestRejectedError(Exception):
-    """The endpoint promises that the request did not run."""
+    """The endpoint rejected the request and guarantees that it did not run."""
 
 
 @attrs.define
 class _SendState:
-    """One request under way.
+    """The sends of one request.
 
     Attributes:
-        tried: what was asked already. A later start of the same endpoint was not.
-        ran: sends that may have run.
-        untaken: sends of which it is sure that they did not run.
+        tried: runs so far; a later incarnation of the same endpoint counts as untried.
+        ran: number of sends that may have run.
+        rejected: number of sends that certainly did not run.
     """
 
     service: str
@@ -72,13 +72,13 @@
 
 @attrs.define
 class SendCounts:
-    """What became of requests beyond their first send.
+    """Counts of failures and retries after a request's first send.
 
     Attributes:
-        doubted: endpoints that were not heard for too long while a request waited.
-        again: requests that went to another endpoint after one that may have run them.
-        resumed: those of them that went on behind an event.
-        cut: runs that broke off within an event.
+        suspected: endpoints that were silent for too long while a request waited.
+        retried: requests sent again after an endpoint that may have run them.
+        resumed: retried requests that resumed a stream after an event.
+        cut_in_event: runs that broke off within an event.
     """
 
     suspected: int = 0
@@ -88,7 +88,7 @@
 
 
 class Sender:
-    """Chooses endpoints and speaks to them."""
+    """Sends requests to the endpoints that a placer chooses."""
 
     def __init__(
         self,
@@ -99,9 +99,10 @@
         runs: ActiveRuns | None = None,
         check_admission: Callable[[RoutedRequest], None] = lambda request: None,
     ) -> None:
-        """Takes the endpoints, the connections, the format of calls, who chooses, and the runs.
+        """Creates a sender.
 
-        ``check`` raises AdmissionRevokedError where a request may not be sent any more.
+        Args:
+            check_admission: raises AdmissionRevokedError if a request may no longer be sent.
         """
         self._check_admission = check_admission
         self._endpoint_table = endpoint_table
@@ -125,7 +126,7 @@
         """Sends a request and delivers the answer.
 
         Raises:
-            RefusedError: no endpoint gave an answer that can be delivered.
+            RefusedError: no endpoint gave a deliverable answer.
         """
         body = request.body if turn is None else turn.history + request.body
         send_state = _SendState(
@@ -160,7 +161,7 @@
                 if isinstance(error, SilentEndpointError) and self._endpoint_table.is_current(
                     run.state
                 ):
-                    # What is kept open to it may be as dead as the connection that was used.
+                    # Its idle connections may be dead too.
                     self._links.drop_idle(run.endpoint)
                 self._record_failure(run, send_state, error.why, error.cut_bytes)
                 self._raise_unless_repeatable(send_state, error)
@@ -179,7 +180,7 @@
             state = await self._placer.place(send_state.service, preference, tried)
         if state is None:
             code = RefusalCode.OUTCOME_UNKNOWN if send_state.ran else RefusalCode.NO_ENDPOINT
-            why = f"none of {len(send_state.tried)} endpoint(s) of the service took the request"
+            why = f"none of {len(send_state.tried)} endpoint(s) of the service accepted the request"
             raise RefusedError(send_state.attempt.refuse(code, why, retry_after_s=RETRY_AFTER_S))
         send_state.attempt.note_send()
         run = self._runs.begin(state)
@@ -187,7 +188,7 @@
         return run
 
     def _tried_endpoints(self, send_state: _SendState) -> list[str]:
-        """Returns the endpoints whose present starts were asked already."""
+        """Returns the endpoints whose current incarnation was tried already."""
         return [
             run.endpoint
             for run in send_state.tried
@@ -212,13 +213,13 @@
             self._runs.end(run)
             self._placer.record_end(run.state)
             if connection is not None and not is_complete:
-                # Also tells the endpoint to stop: the caller has left or the time is over.
+                # Also makes the endpoint stop if the caller left or the deadline passed.
                 connection.abort("given up")
 
     async def _exchange(
         self, connection: EndpointConnection, run: ActiveRun, send_state: _SendState
     ) -> tuple[Answer, AnswerMarks]:
-        """Sends, and reads the answer to its end; delivers it unless the request did not run."""
+        """Sends the request, and delivers the answer unless the endpoint rejected it."""
         request, route = send_state.request, send_state.route
         loop = asyncio.get_running_loop()
         may_repeat = route.may_repeat and send_state.ran + 1 < route.max_endpoints
@@ -236,7 +237,7 @@
             send_state.delivery.resume_after,
         )
         self._check_admission(request)
-        # A program asks for a turn again that failed, so a turn may end early as well.
+        # Programs retry failed turns, so streams also use the shorter silence limit.
         connection.send(head, send_state.body, may_repeat or route.kind is RouteKind.STREAMING)
         answer, marks = await self._answer_in_time(connection, run, send_state, bounds)
         if marks.not_run or marks.wrong_instance:
@@ -261,16 +262,16 @@
         send_state: _SendState,
         bounds: AnswerBounds,
     ) -> tuple[Answer, AnswerMarks]:
-        """Returns the head of the answer; doubts an endpoint that says nothing to anybody here.
+        """Returns the head of the answer; suspects an endpoint that is silent on all connections.
 
         Raises:
-            SilentEndpointError: it said nothing for too long, and another one may be asked.
+            SilentEndpointError: it was silent for too long, and another endpoint may be tried.
         """
         sent_s = asyncio.get_running_loop().time()
-        waits = 0
+        wait_count = 0
         while True:
             try:
-                # What came while this host stood still is read before anybody is doubted.
+                # After a stall, data that has arrived is read before the endpoint is suspected.
                 async with running_timeout(bounds.unheard_s):
                     answer, marks = await self._matching_answer(
                         connection, send_state.request.attempt
@@ -278,22 +279,22 @@
                 self._record_answer_time(send_state.service, sent_s)
                 return answer, marks
             except TimeoutError:
-                waits += 1
+                wait_count += 1
             has_responded = self._links.was_heard_since(run.endpoint, sent_s)
-            should_leave = waits >= MOST_WAITS or not has_responded
-            if should_leave and bounds.may_leave and self._has_untried_endpoint(send_state):
-                raise SilentEndpointError(f"no answer for {waits * bounds.unheard_s:.3f} s")
-            if waits == 1 and not has_responded:
+            should_give_up = wait_count >= MOST_WAITS or not has_responded
+            if should_give_up and bounds.may_leave and self._has_untried_endpoint(send_state):
+                raise SilentEndpointError(f"no answer for {wait_count * bounds.unheard_s:.3f} s")
+            if wait_count == 1 and not has_responded:
                 self.counts.suspected += 1
                 self._record_failure(run, send_state, f"not heard for {bounds.unheard_s:.3f} s")
 
     def _record_answer_time(self, service: str, sent_s: float) -> None:
-        took_s = asyncio.get_running_loop().time() - sent_s
-        before_s = self._usual_answer_s_by_service.get(service)
-        self._usual_answer_s_by_service[service] = usual_answer_s(before_s, took_s)
+        elapsed_s = asyncio.get_running_loop().time() - sent_s
+        previous_s = self._usual_answer_s_by_service.get(service)
+        self._usual_answer_s_by_service[service] = usual_answer_s(previous_s, elapsed_s)
 
     def _has_untried_endpoint(self, send_state: _SendState) -> bool:
-        """Whether an endpoint is left that was not asked yet."""
+        """Whether an untried endpoint is left."""
         now = asyncio.get_running_loop().time()
         tried = self._tried_endpoints(send_state)
         return (
@@ -304,11 +305,11 @@
     async def _matching_answer(
         self, connection: EndpointConnection, attempt: str
     ) -> tuple[Answer, AnswerMarks]:
-        """Returns the answer that bears the request's id; passes over those of earlier ones."""
+        """Returns the answer with the request's id; skips answers to earlier requests."""
         while True:
             answer = await connection.next_answer()
             marks = self._calls.read_answer(answer.status, answer.headers)
-            # A refusal may bear no id; one that bears another request's says nothing of this one.
+            # A rejection may lack an id, but one with another request's id is not for this one.
             is_bare_refusal = marks.attempt is None and (marks.not_run or marks.wrong_instance)
             if marks.attempt == attempt or is_bare_refusal:
                 return answer, marks
@@ -317,7 +318,7 @@
             )
             await answer.read_body()
             if answer.closes_connection:
-                raise BrokenAnswerError("the connection ended behind another request's answer")
+                raise BrokenAnswerError("the connection closed after another request's answer")
 
     def _raise_unless_repeatable(self, send_state: _SendState, error: BrokenAnswerError) -> None:
         may_repeat = send_state.route.may_repeat and send_state.delivery.may_continue
--- a/src/bayhinge/_internal/services/gateway/stream_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/stream_delivery.py
@@ -1,8 +1,7 @@
-"""Delivers streams: events go out as they come, the end only once the turn lasts.
+"""Delivers event streams as they arrive; the stream's end is sent once the turn is durable.
 
-Where a route's streams may be resumed, one answer may be made of the runs of several endpoints:
-the head of the first one, and whole events, each once. Elsewhere an answer has one run, and its
-bytes go out as they come.
+On a resumable route, one answer may combine the runs of several endpoints: it has the head of the
+first run, and each whole event once. On other routes an answer is one run, forwarded byte by byte.
 """
 
 from collections.abc import AsyncIterator
@@ -27,7 +26,7 @@
 
 
 class StreamDelivery(Delivery):
-    """For requests of engines."""
+    """Delivers streams of engines."""
 
     def __init__(
         self,
@@ -39,7 +38,6 @@
         tokens_per_event: int,
         route: Route,
     ) -> None:
-        """Takes the caller's exchange, the turn to record, and what its events count for."""
         super().__init__()
         self._exchange = exchange
         self._calls = calls
@@ -69,7 +67,7 @@
             await self._deliver_failure(answer, may_repeat)
             return
         if not marks.is_signed or marks.is_encoded:
-            raise BrokenAnswerError("the answer is not the endpoint's own")
+            raise BrokenAnswerError("the answer is unsigned or encoded")
         if self._splice is None:
             await self._deliver_bytes(answer)
         else:
@@ -97,8 +95,8 @@
                 await self._exchange.write(piece)
         finally:
             if not reader.is_between_events:
-                # Its caller has a part of it, so the program's budget pays for the event: 42 tokens
-                # went out under a budget of 30 where streams broke off again and again (stand-ins).
+                # Charge an event that the caller has in part; otherwise streams that keep breaking
+                # off would exceed the program's budget.
                 self.tokens_handed_out += self._tokens_per_event
         if not reader.is_between_events:
             raise BrokenAnswerError("the stream ended within an event")
@@ -106,10 +104,10 @@
     async def _deliver_events(
         self, answer: Answer, splice: StreamSplice, bounds: AnswerBounds
     ) -> None:
-        """Passes whole events on; the head goes out with the first one.
+        """Delivers whole events; the head is sent with the first one.
 
-        Of a run that breaks off before its first whole event nothing has gone out then, and the
-        next run's own head is the answer's.
+        A run that breaks off before its first whole event has sent nothing, so the next run's head
+        is used.
         """
         run = splice.begin_run()
         try:
--- a/src/bayhinge/_internal/services/gateway/unreadable_objects.py
+++ b/src/bayhinge/_internal/services/gateway/unreadable_objects.py
@@ -1,4 +1,4 @@
-"""Objects of other writers that can't be read: counted all, told of within bounds."""
+"""Counts unreadable objects in the store, and logs them at a limited rate."""
 
 import asyncio
 
@@ -8,21 +8,20 @@
 from bayhinge._internal.utils.log_output import LineBudget
 
 MAX_LOG_LINES_PER_S = 20
-"""Lines of one second; further objects are counted. A host writes some 100 lines a second."""
+"""Maximum log lines per second; further objects are only counted."""
 
 MAX_TRACKED_KEYS = 1000
-"""Keys whose findings are remembered; a writer may leave any number of them."""
+"""Maximum keys whose findings are remembered, since writers may leave any number of them."""
 
 MAX_LOGGED_KEY_LENGTH = 120
 MAX_LOGGED_FINDINGS = 20
-"""Signs of a key, and findings of one object, that a line shows."""
+"""Maximum characters of a key, and findings of one object, in a log line."""
 
 
 class UnreadableObjects:
-    """What of one kind can't be read now, and how often that was met."""
+    """The unreadable objects of one kind."""
 
     def __init__(self, event: str) -> None:
-        """Takes the type of its log lines."""
         self._event = event
         self._budget = LineBudget(MAX_LOG_LINES_PER_S)
         self._findings_by_key: dict[str, tuple[str, ...]] = {}
@@ -30,11 +29,11 @@
 
     @property
     def current(self) -> int:
-        """Returns how many can't be read now, at most :data:`MAX_TRACKED_KEYS`."""
+        """The number of unreadable objects, at most :data:`MAX_TRACKED_KEYS`."""
         return len(self._findings_by_key)
 
     def record(self, error: UnreadableObjectError) -> None:
-        """Counts one; tells of it where its findings are new, and the second still has room."""
+        """Counts an object; logs it if its findings are new and the log rate permits."""
         self.total += 1
         if self._findings_by_key.get(error.key) == error.findings:
             return
@@ -50,10 +49,10 @@
             )
 
     def resolve(self, key: str) -> None:
-        """An object is well, or gone."""
+        """Records that an object is readable again, or removed."""
         self._findings_by_key.pop(key, None)
 
     def retain_only(self, keys: set[str]) -> None:
-        """Forgets objects that are not in a complete list."""
+        """Forgets all objects but those of a complete list of keys."""
         for key in self._findings_by_key.keys() - keys:
             del self._findings_by_key[key]
