--- a/src/bayhinge/_internal/services/gateway/disk_directory.py
+++ b/src/bayhinge/_internal/services/gateway/disk_directory.py
@@ -117,7 +117,7 @@
             self._is_fetching = True
             self._fetching = asyncio.ensure_future(self._fetch_announced(heartbeat.peer_address))
 
-    def places(self, program: str) -> list[DiskMember]:
+    def replicas(self, program: str) -> list[DiskMember]:
         """Returns the disks that store a program, nearest first."""
         members = self.disk_set.members
         return self.nearest_first(places_of(program, members, self._settings.tolerated_disks))
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -35,7 +35,7 @@
 from bayhinge._internal.services.gateway.peer_requests import PeerRequestHandler
 from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
 from bayhinge._internal.services.gateway.quotas import Quotas
-from bayhinge._internal.services.gateway.request_sender import Sender
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 from bayhinge._internal.services.gateway.request_service import RequestService
 from bayhinge._internal.services.gateway.store_listeners import (
     ConfigurationState,
@@ -136,7 +136,7 @@
         self.requests = RequestService(
             self.configuration,
             platform.calls,
-            Sender(
+            RequestSender(
                 self.endpoint_table,
                 self.links,
                 platform.calls,
@@ -170,9 +170,9 @@
         """Opens the listeners and starts gossip, load exchange, and the background tasks."""
         await self._listener.start()
         await self.front.start()
-        self.gossip.describe = self._describe
+        self.gossip.describe = self._fill_heartbeat
         self.gossip.on_hello = self._handle_heartbeat
-        self.gossip.on_round = self._sum_loads
+        self.gossip.on_round = self._handle_gossip_round
         self.disks.on_change = self._disks_changed
         await self.gossip.start()
         await self.exchange.start()
@@ -299,7 +299,7 @@
             follower.is_failing for follower in self.followers_by_prefix.values()
         )
 
-    def _describe(self, me: wire.Hello) -> None:
+    def _fill_heartbeat(self, me: wire.Hello) -> None:
         me.store_fails = self._store_fails()
         # Without a proof, requests with a key are refused, so callers should use other hosts.
         is_without_proof = self.proofs.is_required and not self.proofs.may_admit
@@ -333,7 +333,7 @@
         near = [host for host in self._ready_hosts() if host.hall == me.hall]
         self._is_advertised = me.public_address in sending(near, me.hall)
 
-    def _sum_loads(self) -> None:
+    def _handle_gossip_round(self) -> None:
         self._refresh_advertised()
         heartbeats = self.gossip.fresh(wire.HostRole.ENTRY)
         self.endpoint_table.hear_loads(sum_loads(heartbeats, self.endpoint_table.start_revisions))
--- a/src/bayhinge/_internal/services/gateway/load_exchange.py
+++ b/src/bayhinge/_internal/services/gateway/load_exchange.py
@@ -118,7 +118,7 @@
     # ---- as a coordinator ----
 
     def receive_loads(self, loads: wire.HostLoads) -> None:
-        """Applies a host's load report, except for endpoints that have restarted since."""
+        """Applies a host's load report, except for endpoints whose restart it has not seen."""
         stale = self._endpoint_table.start_revisions.unheard_by(loads.endpoints_known_to)
         self._load_table.hear(
             HostReport(
@@ -243,7 +243,7 @@
 
 
 def sum_loads(heartbeats: Iterable[wire.Hello], revisions: StartRevisions) -> dict[str, int]:
-    """Sums the running requests in heartbeats, except at endpoints that have restarted since."""
+    """Sums the running requests in heartbeats, except where a host has not seen a restart."""
     total: dict[str, int] = {}
     for heartbeat in heartbeats:
         stale = revisions.unheard_by(heartbeat.endpoints_known_to)
--- a/src/bayhinge/_internal/services/gateway/request_sender.py
+++ b/src/bayhinge/_internal/services/gateway/request_sender.py
@@ -87,7 +87,7 @@
     cut_in_event: int = 0
 
 
-class Sender:
+class RequestSender:
     """Sends requests to the endpoints that a placer chooses."""
 
     def __init__(
@@ -339,10 +339,10 @@
         self._log("send.failed", run, send_state, why, cut_bytes)
 
     def _log(
-        self, what: str, run: ActiveRun, send_state: _SendState, why: str, cut_bytes: int = 0
+        self, event: str, run: ActiveRun, send_state: _SendState, why: str, cut_bytes: int = 0
     ) -> None:
         eliot.log_message(
-            what,
+            event,
             attempt=send_state.request.attempt,
             endpoint=run.endpoint,
             why=why,
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -27,7 +27,7 @@
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.outside import CallFormat
 from bayhinge._internal.services.gateway.quotas import Quotas
-from bayhinge._internal.services.gateway.request_sender import RETRY_AFTER_S, Sender
+from bayhinge._internal.services.gateway.request_sender import RETRY_AFTER_S, RequestSender
 from bayhinge._internal.services.gateway.store_listeners import ConfigurationState
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
 from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
@@ -62,7 +62,7 @@
         self,
         configuration: ConfigurationState,
         calls: CallFormat,
-        sender: Sender,
+        sender: RequestSender,
         turn_recorder: TurnRecorder,
         admission: Admission,
         quotas: Quotas,
--- a/src/bayhinge/_internal/services/gateway/turn_histories.py
+++ b/src/bayhinge/_internal/services/gateway/turn_histories.py
@@ -44,7 +44,7 @@
         message = encode_message(wire.ReserveTurn(None, turn.context.previous, True))
         # The program's own disks first; then all, as it may continue another program's turn.
         for disks in (
-            self._directory.places(turn.context.program)[1:],
+            self._directory.replicas(turn.context.program)[1:],
             self._directory.nearest_first(),
         ):
             async for _, reply in self._disk_client.ask(
--- a/src/bayhinge/_internal/services/gateway/turn_recorder.py
+++ b/src/bayhinge/_internal/services/gateway/turn_recorder.py
@@ -91,7 +91,7 @@
             disks = (
                 self._directory.writable()
                 if tries
-                else self._directory.places(turn.context.program)
+                else self._directory.replicas(turn.context.program)
             )
             disks = [disk for disk in disks if disk.host not in generation_by_host]
             async for disk, reply in self.ask(disks, methods.APPEND, message, wire.AppendReply):
--- a/src/bayhinge/_internal/services/gateway/turn_reservations.py
+++ b/src/bayhinge/_internal/services/gateway/turn_reservations.py
@@ -79,7 +79,7 @@
         bound: RunningBound,
     ) -> tuple[int, list[wire.ReserveReply]]:
         """Reserves under one version of the set; returns the needed number of replies, and them."""
-        members = self._directory.places(context.program)
+        members = self._directory.replicas(context.program)
         needed = 1
         if reservation is not None:
             needed = reservations_needed(len(members), self._tolerated)
@@ -168,7 +168,7 @@
             return
         entry = wire.TurnEntry(wire.EntryKind.SETTLED, turn.attempt, turn.context.program, tokens)
         message = encode_message(wire.AppendEntries([entry]))
-        for member in self._directory.places(turn.context.program):
+        for member in self._directory.replicas(turn.context.program):
             self._disk_client.spawn(
                 self._disk_client.call(member, methods.APPEND, message, wire.AppendReply())
             )
--- a/tests/functional/test_cut_streams.py
+++ b/tests/functional/test_cut_streams.py
@@ -12,7 +12,7 @@
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.platform.call_format import PlatformCallFormat
-from bayhinge._internal.services.gateway.request_sender import Sender
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
 from tests.lib.cut_answers import ROUTE, Caller, delivery_to
 
@@ -78,7 +78,7 @@
     request = RoutedRequest("GET", "/x", "host", (), "mine", resume_after=has)
     delivery = delivery_to(caller, request)
     limit_s = asyncio.get_running_loop().time() + 2
-    sender = Sender(book, links, PlatformCallFormat())
+    sender = RequestSender(book, links, PlatformCallFormat())
     try:
         await sender.send("llm", ROUTE, request, None, CallAttempt(), limit_s, delivery)
     except RefusedError:
--- a/tests/functional/test_left_behind_sends.py
+++ b/tests/functional/test_left_behind_sends.py
@@ -11,7 +11,7 @@
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.platform.call_format import PlatformCallFormat
-from bayhinge._internal.services.gateway.request_sender import Sender
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 from tests.functional.test_sending import REQUEST, Keep, reply, send
 from tests.functional.test_sending import ROUTE as ONCE
 from tests.lib.cut_answers import ROUTE, Caller, delivery_to
@@ -68,7 +68,7 @@
         book, links = EndpointBook("north"), EndpointLinks()
         for name in ("e-1", "e-2"):
             book.put(EndpointEntry(name, "app", f"127.0.0.1:{port}", "north", 4, False))
-        sender = Sender(book, links, PlatformCallFormat())
+        sender = RequestSender(book, links, PlatformCallFormat())
         limit_s = asyncio.get_running_loop().time() + 2
         for name in ("first", "second"):
             headers = ((b"Host", b"h"), (b"Bayhinge-Attempt-Id", name.encode()))
@@ -102,7 +102,7 @@
         request = RoutedRequest("GET", "/x", "host", (), "mine")
         delivery = delivery_to(Caller(), request, attrs.evolve(ROUTE, max_endpoints=3))
         limit_s = asyncio.get_running_loop().time() + 2
-        sender = Sender(book, links, PlatformCallFormat())
+        sender = RequestSender(book, links, PlatformCallFormat())
         route = attrs.evolve(ROUTE, max_endpoints=3)
         with pytest.raises(RefusedError) as refused:
             await sender.send("llm", route, request, None, CallAttempt(), limit_s, delivery)
--- a/tests/functional/test_sending.py
+++ b/tests/functional/test_sending.py
@@ -17,7 +17,7 @@
 from bayhinge._internal.platform.call_format import PlatformCallFormat
 from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.delivery import Delivery
-from bayhinge._internal.services.gateway.request_sender import Sender
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 
 pytestmark = pytest.mark.functional
 Wire = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -54,7 +54,7 @@
         port = server.sockets[0].getsockname()[1]
         book, links = EndpointBook("north"), EndpointLinks()
         book.put(EndpointEntry("e-1", "app", f"127.0.0.1:{port}", "north", 4, False))
-        sender = Sender(book, links, PlatformCallFormat())
+        sender = RequestSender(book, links, PlatformCallFormat())
         delivery, attempt, refused = Keep(), CallAttempt(), None
         limit_s = asyncio.get_running_loop().time() + 2
         for _ in range(times):
@@ -150,7 +150,7 @@
         addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
         book, links, runs = EndpointBook("north"), SlowLinks(), ActiveRuns()
         book.put(EndpointEntry("e-1", "app", addresses[0], "north", 4, False, 1_000))
-        sender = Sender(book, links, PlatformCallFormat(), runs=runs)
+        sender = RequestSender(book, links, PlatformCallFormat(), runs=runs)
         delivery, attempt = Keep(), CallAttempt()
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
@@ -197,7 +197,7 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         book, links, runs = EndpointBook("north"), EndpointLinks(), ActiveRuns()
         book.put(EndpointEntry("e-1", "app", address, "north", 4, False, 1_000))
-        sender = Sender(book, links, PlatformCallFormat(), runs=runs)
+        sender = RequestSender(book, links, PlatformCallFormat(), runs=runs)
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
             sender.send("app", route, REQUEST, None, CallAttempt(), limit_s, Keep())
