--- a/src/bayhinge/_internal/services/gateway/delivery.py
+++ b/src/bayhinge/_internal/services/gateway/delivery.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.outcome = ""
         self.run: ActiveRun | None = None
-        self.tokens_handed_out = 0
+        self.tokens_delivered = 0
         self.is_recorded = False
 
     @property
--- a/src/bayhinge/_internal/services/gateway/hall_coordinators.py
+++ b/src/bayhinge/_internal/services/gateway/hall_coordinators.py
@@ -68,13 +68,13 @@
         me = self._gossip.me
         live = self._gossip.fresh(wire.HostRole.ENTRY)
         self._log_empty_halls({heartbeat.hall for heartbeat in live})
-        hello_by_host = {
+        heartbeat_by_host = {
             heartbeat.host: heartbeat
             for heartbeat in (*live, me)
             if heartbeat.phase == wire.HostPhase.READY
         }
         hosts_by_hall: dict[str, list[str]] = {}
-        for heartbeat in hello_by_host.values():
+        for heartbeat in heartbeat_by_host.values():
             if not self._suspected.has(heartbeat.host):
                 hosts_by_hall.setdefault(heartbeat.hall, []).append(heartbeat.host)
         previous = self._coordinator_by_hall.get(me.hall)
@@ -83,7 +83,7 @@
             host = choose(f"home of {hall}", hosts)
             if host is not None:
                 self._coordinator_by_hall[hall] = HallCoordinator(
-                    hall, host, hello_by_host[host].peer_address
+                    hall, host, heartbeat_by_host[host].peer_address
                 )
         coordinator = self._coordinator_by_hall.get(me.hall)
         if coordinator != previous:
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -206,7 +206,7 @@
             await self._sender.send(service, route, request, turn, attempt, deadline_s, delivery)
         finally:
             if turn is not None and not delivery.is_recorded:
-                self._turn_recorder.settle(turn, delivery.tokens_handed_out)
+                self._turn_recorder.settle(turn, delivery.tokens_delivered)
         self._record_end(request, delivery.outcome, delivery.endpoint, exchange)
 
     async def _open_turn(
--- a/src/bayhinge/_internal/services/gateway/stream_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/stream_delivery.py
@@ -78,8 +78,8 @@
 
     async def _deliver_failure(self, answer: Answer, may_repeat: bool) -> None:
         body = await answer.read_body()
-        is_server_error = may_repeat and answer.status >= status_codes.HTTP_SERVER_ERROR
-        if is_server_error or self._exchange.has_begun:
+        is_retryable = may_repeat and answer.status >= status_codes.HTTP_SERVER_ERROR
+        if is_retryable or self._exchange.has_begun:
             raise BrokenAnswerError(f"status {answer.status}")
         self.outcome = f"status_{answer.status}"
         await self._exchange.respond(
@@ -97,7 +97,7 @@
             if not reader.is_between_events:
                 # Charge an event that the caller has in part; otherwise streams that keep breaking
                 # off would exceed the program's budget.
-                self.tokens_handed_out += self._tokens_per_event
+                self.tokens_delivered += self._tokens_per_event
         if not reader.is_between_events:
             raise BrokenAnswerError("the stream ended within an event")
 
@@ -136,7 +136,7 @@
 
     def _count(self, events: tuple[StreamEvent, ...] | list[StreamEvent]) -> None:
         self._events += events
-        self.tokens_handed_out += len(events) * self._tokens_per_event
+        self.tokens_delivered += len(events) * self._tokens_per_event
 
     async def _record(self) -> None:
         if self._turn is None or not self._turn.is_retained:
@@ -145,7 +145,7 @@
         await self._turn_recorder.close(
             self._turn,
             self._new_input + output,
-            self.tokens_handed_out,
+            self.tokens_delivered,
             self.incarnation,
             self._route.keep_turns_s,
         )
--- a/tests/functional/test_cut_streams.py
+++ b/tests/functional/test_cut_streams.py
@@ -113,7 +113,7 @@
                 # Without a length a polite close is the answer's end, also in its middle.
                 text_of_first = whole[:cut].partition(b"\r\n\r\n")[2]
                 expected, tokens = {text_of_first}, 3 * text_of_first.count(b"id: ")
-            is_right = text in expected and delivery.tokens_handed_out == tokens
+            is_right = text in expected and delivery.tokens_delivered == tokens
             if not (caller.is_whole and is_right):
                 odd[cut] = (caller.is_whole, caller.body)
 
--- a/tests/unit/test_runs_of_every_kind.py
+++ b/tests/unit/test_runs_of_every_kind.py
@@ -133,5 +133,5 @@
     assert rest == b""
     ((text, tokens, start),) = keeper.closed
     assert text == said
-    assert tokens == 3 * (EVENTS - (has or 0)) == delivery.tokens_handed_out
+    assert tokens == 3 * (EVENTS - (has or 0)) == delivery.tokens_delivered
     assert start == delivery.incarnation
--- a/tests/unit/test_stream_delivery.py
+++ b/tests/unit/test_stream_delivery.py
@@ -38,7 +38,7 @@
         answer = CutAnswer([event(1, 1), event(2, 1)[:-4]], breaks_off=breaks_off)
         with pytest.raises(BrokenAnswerError):
             await delivery.deliver(cast(Answer, answer), SIGNED, False, BOUNDS)
-        assert delivery.tokens_handed_out == 2 * TOKENS
+        assert delivery.tokens_delivered == 2 * TOKENS
 
     asyncio.run(scenario())
 
@@ -79,4 +79,4 @@
     assert (len(found), rest) == (len(numbers), b"")
     for number, block in zip(numbers, found, strict=True):
         assert block + b"\n\n" in {event(number, run) for run in range(1, len(cuts) + 2)}
-    assert delivery.tokens_handed_out == len(numbers) * TOKENS
+    assert delivery.tokens_delivered == len(numbers) * TOKENS
