--- a/src/bayhinge/_internal/services/gateway/hall_coordinators.py
+++ b/src/bayhinge/_internal/services/gateway/hall_coordinators.py
@@ -77,7 +77,7 @@
         for heartbeat in heartbeat_by_host.values():
             if not self._suspected.has(heartbeat.host):
                 hosts_by_hall.setdefault(heartbeat.hall, []).append(heartbeat.host)
-        previous = self._coordinator_by_hall.get(me.hall)
+        before = self._coordinator_by_hall.get(me.hall)
         self._coordinator_by_hall = {}
         for hall, hosts in hosts_by_hall.items():
             host = choose(f"home of {hall}", hosts)
@@ -86,12 +86,12 @@
                     hall, host, heartbeat_by_host[host].peer_address
                 )
         coordinator = self._coordinator_by_hall.get(me.hall)
-        if coordinator != previous:
+        if coordinator != before:
             eliot.log_message(
                 "home.changed",
                 hall=me.hall,
                 home=coordinator.host if coordinator else "",
-                before=previous.host if previous else "",
+                before=before.host if before else "",
                 heard=len(hosts_by_hall.get(me.hall, [])),
             )
 
