--- a/src/bayhinge/_internal/services/gateway/disk_link.py
+++ b/src/bayhinge/_internal/services/gateway/disk_link.py
@@ -1,8 +1,7 @@
-"""The way to disks: straight, or through another entry host where a cut lies between.
+"""Calls disks directly, or through another entry host during a partition.
 
-A turn must not wait for a time-out to learn of a cut: where the straight way has not
-answered after a moment, the call goes through a peer as well. What disks are asked may be
-done twice, so the two ways do not disturb each other.
+Turns must not wait for a timeout to detect a partition: if a direct call has not answered after a
+short delay, the call is also relayed through a peer. Disk calls are idempotent, so both may run.
 """
 
 import asyncio
@@ -21,92 +20,93 @@
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 ANSWER_S = 1.2
-"""Time for one disk's answer; after it the disk is held silent."""
+"""Time for one disk's answer, after which the disk is suspected."""
 
 HEDGE_S = 0.1
-"""Time for the straight way alone: some twenty times an ordinary answer."""
+"""Delay before a call is also relayed, about twenty times an ordinary answer."""
 
 LOG_EVERY = 100
-"""Relayed calls between two log lines: a cut lasts seconds, and each turn makes several."""
+"""Relayed calls per log line, since each turn makes several during a partition."""
 
 
 _CALL_ERRORS = (PeerUnreachableError, PeerFailureError, FrameError)
 
 
 class DiskUnreachableError(Exception):
-    """A disk did not answer, or refused."""
+    """A disk did not answer, or refused the call."""
 
 
 class DiskLink:
-    """Calls disks for one entry host."""
+    """Calls disks for one entry host, directly and through relays."""
 
     def __init__(self, directory: DiskDirectory, gossip: Gossip, peers: Peers) -> None:
-        """Takes who the disks are, who hears whom, and the way to other hosts."""
         self._directory = directory
         self._gossip = gossip
         self._peers = peers
         self.relayed = 0
 
     async def call(self, member: wire.DiskMember, method: str, message: bytes) -> bytes:
-        """Returns a disk's answer, by whichever way it comes first.
+        """Returns a disk's first answer, direct or relayed.
 
         Raises:
-            DiskUnreachableError: there was none, or it was a refusal.
+            DiskUnreachableError: the disk did not answer, or refused the call.
         """
-        ways = _Ways(asyncio.get_running_loop().time())
-        ways.straight.append(self._call_straight(member, method, message))
-        if self._directory.is_suspect(member) or self._directory.reach.is_cut_off:
-            ways.around += self._call_around(member, method, message)
+        paths = _CallPaths(asyncio.get_running_loop().time())
+        paths.direct.append(self._call_direct(member, method, message))
+        if self._directory.is_suspected(member) or self._directory.reach.is_cut_off:
+            paths.via_relay += self._call_relayed(member, method, message)
         try:
-            answer = await ways.first_answer(HEDGE_S)
+            answer = await paths.first_answer(HEDGE_S)
             if answer is None:
-                self._widen(ways, member, method, message)
-                answer = await ways.first_answer(ANSWER_S)
+                self._add_paths(paths, member, method, message)
+                answer = await paths.first_answer(ANSWER_S)
         finally:
-            ways.cancel()
+            paths.cancel()
         if answer is None:
-            self._directory.note_failure(member, ways.why())
-            raise DiskUnreachableError(ways.why())
-        if any(_has_answered(way) for way in ways.straight):
-            self._directory.note_success(member)
+            self._directory.record_failure(member, paths.failure_reason())
+            raise DiskUnreachableError(paths.failure_reason())
+        if any(_has_result(task) for task in paths.direct):
+            self._directory.record_success(member)
         else:
-            self._directory.note_failure(member, "only a peer reaches it")
+            self._directory.record_failure(member, "reachable only through a relay")
         return answer
 
-    def _widen(self, ways: "_Ways", member: wire.DiskMember, method: str, message: bytes) -> None:
-        """Adds ways where the first one has not answered in a moment, or has failed."""
-        has_broken = any(_broke_off(way) for way in ways.straight)
-        if has_broken or self._peers.doubt(member.address, ways.began_s):
-            # The connection may be dead and the disk well: a new one tells within milliseconds.
-            ways.straight.append(self._call_straight(member, method, message))
-        if not ways.around:
-            ways.around += self._call_around(member, method, message)
-
-    def _call_straight(
+    def _add_paths(
+        self, paths: "_CallPaths", member: wire.DiskMember, method: str, message: bytes
+    ) -> None:
+        """Adds calls when the first one has failed or not answered within ``HEDGE_S``."""
+        was_interrupted = any(_was_interrupted(task) for task in paths.direct)
+        if was_interrupted or self._peers.doubt(member.address, paths.started_s):
+            # The connection may be dead although the disk is well: try a new one.
+            paths.direct.append(self._call_direct(member, method, message))
+        if not paths.via_relay:
+            paths.via_relay += self._call_relayed(member, method, message)
+
+    def _call_direct(
         self, member: wire.DiskMember, method: str, message: bytes
     ) -> asyncio.Task[bytes]:
         return asyncio.ensure_future(self._peers.call(member.address, method, message))
 
-    def _call_around(
+    def _call_relayed(
         self, member: wire.DiskMember, method: str, message: bytes
     ) -> list[asyncio.Task[bytes]]:
-        relay = self._relay()
+        relay = self._choose_relay()
         if relay is None:
             return []
-        return [asyncio.ensure_future(self._call_through(relay, member, method, message))]
+        return [asyncio.ensure_future(self._call_via(relay, member, method, message))]
 
-    def _relay(self) -> wire.Hello | None:
-        """Returns a host to go through: one that reaches disks, of the own hall if there is one."""
+    def _choose_relay(self) -> wire.Hello | None:
+        """Returns a host to relay through, preferably one that reaches disks, of this hall."""
         ready = [
-            hello
-            for hello in self._gossip.fresh(wire.HostRole.ENTRY)
-            if hello.phase == wire.HostPhase.READY
+            heartbeat
+            for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY)
+            if heartbeat.phase == wire.HostPhase.READY
         ]
-        peers = [hello for hello in ready if not hello.is_cut_off] or ready
-        near = [hello for hello in peers if hello.hall == self._gossip.me.hall]
+        peers = [heartbeat for heartbeat in ready if not heartbeat.is_cut_off] or ready
+        near = [heartbeat for heartbeat in peers if heartbeat.hall == self._gossip.me.hall]
         return random.choice(near or peers) if peers else None
 
-    async def _call_through(
+    async def _call_via(
         self, relay: wire.Hello, member: wire.DiskMember, method: str, message: bytes
     ) -> bytes:
         self.relayed += 1
@@ -119,53 +119,53 @@
 
 
 @attrs.define
-class _Ways:
-    """One call, under way several times: straight, and through another host."""
+class _CallPaths:
+    """The parallel attempts of one call, direct and relayed."""
 
-    began_s: float
-    straight: list[asyncio.Task[bytes]] = attrs.field(factory=list)
-    around: list[asyncio.Task[bytes]] = attrs.field(factory=list)
+    started_s: float
+    direct: list[asyncio.Task[bytes]] = attrs.field(factory=list)
+    via_relay: list[asyncio.Task[bytes]] = attrs.field(factory=list)
 
     async def first_answer(self, limit_s: float) -> bytes | None:
-        """Returns the first answer; None where the time ends before it, or every way has failed."""
+        """Returns the first answer; None on a timeout, or if every attempt has failed."""
         bound = RunningBound(limit_s)
-        waiting = {*self.straight, *self.around}
+        waiting = {*self.direct, *self.via_relay}
         while waiting and bound.left_s > 0:
             finished, waiting = await bound.first_of(waiting)
-            for way in finished:
-                if _has_answered(way):
-                    return way.result()
+            for task in finished:
+                if _has_result(task):
+                    return task.result()
         return None
 
     def cancel(self) -> None:
-        """Ends what is still under way."""
-        for way in (*self.straight, *self.around):
-            if not way.cancel() and not way.cancelled():
-                # Looked at, so that asyncio does not report as lost what another way made up for.
-                way.exception()
-
-    def why(self) -> str:
-        """Says why there was no answer."""
-        errors = [str(_error(way)) for way in (*self.straight, *self.around) if _error(way)]
+        """Cancels the attempts that are still running."""
+        for task in (*self.direct, *self.via_relay):
+            if not task.cancel() and not task.cancelled():
+                # Retrieve the exception, or asyncio would log it as never retrieved.
+                task.exception()
+
+    def failure_reason(self) -> str:
+        """Returns why there was no answer."""
+        errors = [str(_error(task)) for task in (*self.direct, *self.via_relay) if _error(task)]
         return errors[-1] if errors else "no answer in time"
 
 
-def _has_answered(way: asyncio.Task[bytes]) -> bool:
-    return way.done() and not way.cancelled() and _error(way) is None
+def _has_result(task: asyncio.Task[bytes]) -> bool:
+    return task.done() and not task.cancelled() and _error(task) is None
 
 
-def _broke_off(way: asyncio.Task[bytes]) -> bool:
-    error = _error(way)
+def _was_interrupted(task: asyncio.Task[bytes]) -> bool:
+    error = _error(task)
     return isinstance(error, PeerUnreachableError) and error.sent
 
 
-def _error(way: asyncio.Task[bytes]) -> BaseException | None:
-    """Returns why a way failed.
+def _error(task: asyncio.Task[bytes]) -> BaseException | None:
+    """Returns the error of a failed attempt, or None.
 
     Raises:
-        Exception: an error that no call should end with.
+        Exception: an unexpected error.
     """
-    error = way.exception() if way.done() and not way.cancelled() else None
+    error = task.exception() if task.done() and not task.cancelled() else None
     if error is not None and not isinstance(error, _CALL_ERRORS):
         raise error
     return error
--- a/src/bayhinge/_internal/services/gateway/figures.py
+++ b/src/bayhinge/_internal/services/gateway/figures.py
@@ -1,4 +1,4 @@
-"""The figures of an entry host's metrics page."""
+"""The metrics page of an entry host."""
 
 import asyncio
 
@@ -8,12 +8,12 @@
 
 
 def entry_metrics(gateway: Gateway) -> bytes:
-    """Returns the page: requests by outcome, beliefs and their ages, connections, disks."""
+    """Returns the metrics page of a host."""
     return metrics_page(gateway.latencies, _gauges(gateway))
 
 
 def _account_gauges(gateway: Gateway, accounts: int) -> dict[str, float]:
-    """Returns sums over all accounts: thousands of names are no labels."""
+    """Returns totals over all accounts, as there are too many accounts for labels."""
     proofs, quotas = gateway.proofs, gateway.quotas
     return {
         "accounts_known": accounts,
@@ -25,9 +25,9 @@
         "requests_without_proof_total": proofs.counts.refused,
         "quota_granted_total": quotas.counts.granted,
         "quota_refused_total": quotas.counts.refused,
-        "quota_refused_first_requests_total": quotas.counts.refused_begins,
-        "quota_without_home_total": quotas.counts.without_home,
-        "quota_given_back_total": quotas.counts.given_back,
+        "quota_refused_first_requests_total": quotas.counts.refused_first_requests,
+        "quota_without_home_total": quotas.counts.without_coordinator,
+        "quota_given_back_total": quotas.counts.returned,
         "quota_answered_for_others_total": quotas.counts.answered,
     }
 
@@ -35,30 +35,30 @@
 def _gauges(gateway: Gateway) -> dict[str, float]:
     table = gateway.configuration.table
     gauges: dict[str, float] = {
-        "requests_taken_total": gateway.requests.counts.taken,
+        "requests_taken_total": gateway.requests.counts.received,
         "requests_running": gateway.front.running,
         "configuration_version": 0 if table is None else table.version,
         "disk_set_version": gateway.disks.disk_set.version,
         "disks_in_set": len(gateway.disks.disk_set.members),
-        "disk_calls_relayed_total": gateway.link.relayed,
+        "disk_calls_relayed_total": gateway.disk_link.relayed,
         "hosts_heard": len(gateway.gossip.fresh(HostRole.ENTRY)),
         "disks_heard": len(gateway.gossip.fresh(HostRole.DISK)),
         "configuration_findings": 0 if table is None else len(table.findings),
-        "configurations_unreadable_total": gateway.configuration.unreadable.met,
-        "endpoints_known": len(gateway.book.all()),
-        "endpoint_entries_unreadable": gateway.endpoints.unreadable.now,
-        "endpoint_entries_unreadable_total": gateway.endpoints.unreadable.met,
+        "configurations_unreadable_total": gateway.configuration.unreadable.total,
+        "endpoints_known": len(gateway.endpoint_table.all()),
+        "endpoint_entries_unreadable": gateway.endpoints.unreadable.current,
+        "endpoint_entries_unreadable_total": gateway.endpoints.unreadable.total,
         "endpoint_connections_opened_total": gateway.links.counts.opened,
         "endpoint_connections_reused_total": gateway.links.counts.reused,
         "endpoint_connections_with_surplus_total": gateway.links.counts.dropped_with_surplus,
         "peer_connections_left_silent_total": gateway.peers.left_silent,
-        "endpoints_doubted_total": gateway.requests.sent.doubted,
-        "requests_sent_again_total": gateway.requests.sent.again,
-        "streams_cut_in_an_event_total": gateway.requests.sent.cut,
-        "streams_resumed_total": gateway.requests.sent.resumed,
-        "placed_by_home_total": gateway.placer.counts.by_home,
-        "placed_as_home_total": gateway.placer.counts.as_home,
-        "placed_alone_total": gateway.placer.counts.alone,
+        "endpoints_doubted_total": gateway.requests.send_counts.suspected,
+        "requests_sent_again_total": gateway.requests.send_counts.retried,
+        "streams_cut_in_an_event_total": gateway.requests.send_counts.cut_in_event,
+        "streams_resumed_total": gateway.requests.send_counts.resumed,
+        "placed_by_home_total": gateway.placer.counts.by_coordinator,
+        "placed_as_home_total": gateway.placer.counts.as_coordinator,
+        "placed_alone_total": gateway.placer.counts.local,
         "is_ready": gateway.is_ready,
         "is_leaving": gateway.is_leaving,
     }
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The entry host's service on a platform: starts the parts, tells the others, stops in order."""
+"""The gateway service of an entry host: builds its parts, starts them, and shuts them down."""
 
 import asyncio
 import random
@@ -23,22 +23,25 @@
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.network.routed_front import RoutedFront
 from bayhinge._internal.network.tcp_peers import TcpPeerNetwork
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.admission import Admission
-from bayhinge._internal.services.gateway.beliefs import ConfigurationBelief, EndpointBelief
 from bayhinge._internal.services.gateway.configuration_proofs import ConfigurationProofs
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.disk_link import DiskLink
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.hall_homes import HallHomes
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange, sum_loads
 from bayhinge._internal.services.gateway.outside import Platform
-from bayhinge._internal.services.gateway.peer_answers import PeerAnswers
-from bayhinge._internal.services.gateway.placement import HomePlacer
+from bayhinge._internal.services.gateway.peer_requests import PeerRequestHandler
+from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
 from bayhinge._internal.services.gateway.quotas import Quotas
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 from bayhinge._internal.services.gateway.request_service import RequestService
-from bayhinge._internal.services.gateway.runs_under_way import RunsUnderWay
-from bayhinge._internal.services.gateway.sending import Sender
-from bayhinge._internal.services.gateway.turn_keeper import TurnKeeper
+from bayhinge._internal.services.gateway.store_listeners import (
+    ConfigurationState,
+    EndpointTableUpdater,
+)
+from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 from bayhinge._internal.services.gossip import Gossip
 from bayhinge._internal.services.host_registry import HostRegistry
 from bayhinge._internal.services.keep_running import keep_running
@@ -49,24 +52,23 @@
 from bayhinge.coordination.clock import HybridClock, SystemClock
 
 CONNECT_S = 0.5
-"""Time to connect to another host."""
+"""Timeout for connecting to another host."""
 
 ADDRESS_KEEP_S = 1.0
-"""How long callers may keep an answer about addresses; some keep it three times as long."""
+"""How long callers may cache resolved addresses; some cache them three times as long."""
 
 STOP_MARGIN_S = 1.2
-"""Part of the grace time that is left for closing when requests are still running."""
+"""Part of the shutdown grace period reserved for closing, even if requests still run."""
 
 SWEEP_S = 1.0
 
 
 class Gateway(Service):
-    """One start of an entry host."""
+    """The gateway service of one entry host process."""
 
     def __init__(
         self, settings: SiteSettings, platform: Platform, sockets: EarlySockets | None = None
     ) -> None:
-        """Takes the settings, the platform, and sockets that listen already."""
         super().__init__()
         self.settings = settings
         self._platform = platform
@@ -76,16 +78,18 @@
         self.peers = network.connect(clock)
         self.gossip = Gossip(settings, wire.HostRole.ENTRY)
         self.links = EndpointLinks()
-        self.book = EndpointBook(settings.hall)
-        self.configuration = ConfigurationBelief(platform.objects, platform.configuration_key)
-        runs = RunsUnderWay()
-        restarts = EndpointRestarts(self.book, self.links, runs, self._wall_clock.wall_ms)
-        self.endpoints = EndpointBelief(platform.objects, self.book, self.links, restarts)
+        self.endpoint_table = EndpointBook(settings.hall)
+        self.configuration = ConfigurationState(platform.objects, platform.configuration_key)
+        runs = ActiveRuns()
+        restarts = EndpointRestarts(self.endpoint_table, self.links, runs, self._wall_clock.wall_ms)
+        self.endpoints = EndpointTableUpdater(
+            platform.objects, self.endpoint_table, self.links, restarts
+        )
         self.followers_by_prefix = {
             prefix: KeyFollower(
-                platform.store, prefix, partial(self._watch_wait, place), listener, self.peers
+                platform.store, prefix, partial(self._watch_timeout_s, index), listener, self.peers
             )
-            for place, (prefix, listener) in enumerate(
+            for index, (prefix, listener) in enumerate(
                 (
                     (platform.configuration_prefix, self.configuration),
                     (platform.endpoints_prefix, self.endpoints),
@@ -94,7 +98,7 @@
         }
         for follower in self.followers_by_prefix.values():
             follower.should_poll = self._is_watcher
-            follower.first_list_s = self._first_list_s()
+            follower.first_list_s = self._first_list_delay_s()
             follower.on_change = self.gossip.say_now
         self.proofs = ConfigurationProofs(
             platform.store,
@@ -105,7 +109,7 @@
             None if settings.taken_away_s is None else proof_bounds(settings.taken_away_s),
         )
         self.proofs.has_accounts = lambda: self.configuration.has_accounts
-        self.configuration.on_change = self.proofs.note_known
+        self.configuration.on_change = self.proofs.wake_waiters
         margin = QuotaMargin(settings.quota_window_s, settings.quota_overage, settings.quota_slack)
         self.quotas = Quotas(self.gossip, self.peers, margin)
         self.quotas.version = lambda: self.configuration.version
@@ -116,30 +120,39 @@
             self.peers,
             lambda: self.gossip.fresh(wire.HostRole.DISK),
         )
-        self.disks.first_ask_s += self._first_list_s()
-        self.link = DiskLink(self.disks, self.gossip, self.peers)
-        self.keeper = TurnKeeper(self.disks, self.link, settings.tolerated_disks)
-        self.homes = HallHomes(self.gossip, settings.region_by_hall)
-        self.exchange = LoadExchange(self.gossip.me, self.book, self.homes)
+        self.disks.initial_store_delay_s += self._first_list_delay_s()
+        self.disk_link = DiskLink(self.disks, self.gossip, self.peers)
+        self.turn_recorder = TurnRecorder(self.disks, self.disk_link, settings.tolerated_disks)
+        self.coordinators = HallCoordinators(self.gossip, settings.region_by_hall)
+        self.exchange = LoadExchange(self.gossip.me, self.endpoint_table, self.coordinators)
         objects = self.followers_by_prefix[platform.endpoints_prefix]
         restarts.known_revision = lambda: objects.revision
         restarts.forget_loads = self.exchange.forget_endpoint
         self.exchange.endpoints_known_to = lambda: objects.known_to
-        self.placer = HomePlacer(self.book, self.homes, self.exchange, self.peers, settings.hall)
+        self.placer = CoordinatorPlacer(
+            self.endpoint_table, self.coordinators, self.exchange, self.peers, settings.hall
+        )
         self.latencies = Latencies()
         self.requests = RequestService(
             self.configuration,
             platform.calls,
-            Sender(self.book, self.links, platform.calls, self.placer, runs, self.admission.check),
-            self.keeper,
+            RequestSender(
+                self.endpoint_table,
+                self.links,
+                platform.calls,
+                self.placer,
+                runs,
+                self.admission.check,
+            ),
+            self.turn_recorder,
             self.admission,
             self.quotas,
             self.latencies,
-            self.endpoints.news,
-            self.disks.news,
+            self.endpoints.initial_sync,
+            self.disks.initial_sync,
         )
         self.front = RoutedFront(settings.front_address, self.requests, sockets)
-        answers = PeerAnswers(
+        answers = PeerRequestHandler(
             self.followers_by_prefix,
             self.placer,
             self.proofs,
@@ -151,15 +164,15 @@
         self._rate = RequestRate()
         self._random = random.Random()
         self.is_leaving = False
-        self._is_told = False
+        self._is_advertised = False
 
     async def on_start(self) -> None:
-        """Listens, greets, and follows the platform's objects."""
+        """Opens the listeners and starts gossip, load exchange, and the background tasks."""
         await self._listener.start()
         await self.front.start()
-        self.gossip.describe = self._describe
-        self.gossip.on_hello = self._hear
-        self.gossip.on_round = self._sum_loads
+        self.gossip.describe = self._fill_heartbeat
+        self.gossip.on_hello = self._handle_heartbeat
+        self.gossip.on_round = self._handle_gossip_round
         self.disks.on_change = self._disks_changed
         await self.gossip.start()
         await self.exchange.start()
@@ -179,19 +192,19 @@
         eliot.log_message("host.started", host=self.settings.host, hall=self.settings.hall)
 
     async def on_stop(self) -> None:
-        """A planned stop: leaves the lists first, finishes what runs, then closes."""
+        """Shuts down gracefully: stops being advertised, drains running requests, then closes."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         self.is_leaving = True
         self.front.closes_connections = True
         self.gossip.say_now()
         eliot.log_message("host.leaving", host=self.settings.host, running=self.front.running)
-        # Callers keep an answer up to three times as long as it says.
+        # Some callers cache addresses for up to three times their TTL.
         await asyncio.sleep(3 * self.address_keep_s)
         self.front.close_idle()
         limit_s = began_s + self.settings.grace_s - STOP_MARGIN_S
         await self.front.wait_until_idle(limit_s - loop.time())
-        await self.keeper.drain(max(0.0, min(0.3, limit_s - loop.time())))
+        await self.turn_recorder.drain(max(0.0, min(0.3, limit_s - loop.time())))
         await self.exchange.stop()
         await self.gossip.stop()
         await self.front.stop()
@@ -203,16 +216,16 @@
         await self._platform.store.close()
         eliot.log_message("host.stopped", host=self.settings.host, running=self.front.running)
 
-    # ---- what others ask ----
+    # ---- address resolution ----
 
     @property
     def address_keep_s(self) -> float:
-        """How long callers may keep an answer about addresses."""
+        """How long callers may cache resolved addresses, in seconds."""
         return min(ADDRESS_KEEP_S, self.settings.address_keep_s)
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Whether callers may be sent to this host."""
         return (
             not self.is_leaving
             and self.configuration.table is not None
@@ -220,7 +233,7 @@
         )
 
     def addresses(self, hall: str, region: str) -> list[str]:
-        """Returns the public addresses of ready hosts, those near a caller first."""
+        """Returns the public addresses of ready hosts, those nearest to the caller first."""
         return addresses_for(self._ready_hosts(), hall, region, self._random)
 
     def _ready_hosts(self) -> list[ReadyHost]:
@@ -230,34 +243,34 @@
         regions = self.settings.region_by_hall
         return [
             ReadyHost(
-                hello.public_address,
-                hello.hall,
-                regions.get(hello.hall, ""),
-                hello.requests_per_s,
-                hello.is_cut_off,
-                hello.is_told,
+                heartbeat.public_address,
+                heartbeat.hall,
+                regions.get(heartbeat.hall, ""),
+                heartbeat.requests_per_s,
+                heartbeat.is_cut_off,
+                heartbeat.is_told,
             )
-            for hello in ready
+            for heartbeat in ready
         ]
 
-    # ---- hellos ----
+    # ---- heartbeats ----
 
     def _is_watcher(self) -> bool:
-        """Whether this host is among those of its hall that watch the store."""
+        """Whether this host is one of its hall's store watchers."""
         return self.gossip.me.host in self._watchers()
 
     def _watchers(self) -> list[str]:
-        """Returns the hosts of this hall that watch the store, as this host believes."""
+        """Returns the hosts of this hall that watch the store, computed from heartbeats."""
         me = self.gossip.me
         hosts = [
-            HallHost(hello.host, hello.store_fails)
-            for hello in self.gossip.fresh(wire.HostRole.ENTRY)
-            if hello.hall == me.hall and hello.phase == wire.HostPhase.READY
+            HallHost(heartbeat.host, heartbeat.store_fails)
+            for heartbeat in self.gossip.fresh(wire.HostRole.ENTRY)
+            if heartbeat.hall == me.hall and heartbeat.phase == wire.HostPhase.READY
         ]
         return watchers_of(me.hall, [*hosts, HallHost(me.host, self._store_fails())])
 
-    def _watch_wait(self, prefix_place: int) -> float:
-        """Returns how long a watch of a prefix that begins now waits, in seconds."""
+    def _watch_timeout_s(self, prefix_index: int) -> float:
+        """Returns the timeout, in seconds, of a watch of a prefix that starts now."""
         me = self.gossip.me
         halls = sorted({me.hall, *self.settings.region_by_hall})
         watchers = self._watchers()
@@ -265,16 +278,16 @@
             halls.index(me.hall),
             len(halls),
             watchers.index(me.host) if me.host in watchers else 0,
-            prefix_place,
+            prefix_index,
             len(self.followers_by_prefix),
             len(watchers),
         )
         return wait_until_turn(turn, self._wall_clock.wall_ms() / 1000)
 
-    def _first_list_s(self) -> float:
-        """Returns how long news of peers are waited for before the store is asked."""
+    def _first_list_delay_s(self) -> float:
+        """Returns how long to wait for updates from peers before listing the store."""
         settings = self.settings
-        # Seeds ask at once: all others know them, so the news begin there.
+        # Seeds list the store at once: every other host learns from them.
         return (
             random.uniform(*FIRST_LIST_S)
             if settings.is_first_start and settings.ip not in settings.seeds
@@ -282,54 +295,53 @@
         )
 
     def _store_fails(self) -> bool:
-        return self.proofs.fails or any(
+        return self.proofs.has_failed or any(
             follower.is_failing for follower in self.followers_by_prefix.values()
         )
 
-    def _describe(self, me: wire.Hello) -> None:
+    def _fill_heartbeat(self, me: wire.Hello) -> None:
         me.store_fails = self._store_fails()
-        # Without a proof it refuses all that bears a key, so callers do better elsewhere.
-        lacks_proof = self.proofs.is_needed and not self.proofs.may_admit
-        me.is_cut_off = self.disks.reach.is_cut_off or lacks_proof
+        # Without a proof, requests with a key are refused, so callers should use other hosts.
+        is_without_proof = self.proofs.is_required and not self.proofs.may_admit
+        me.is_cut_off = self.disks.reach.is_cut_off or is_without_proof
         me.proof_age_ms = self.proofs.hint_ms()
         me.requests_per_s = round(self._rate.per_s)
         me.phase = wire.HostPhase.READY if self.is_ready else wire.HostPhase.STARTING
         if self.is_leaving:
             me.phase = wire.HostPhase.LEAVING
-        me.is_told = self._is_told and self.is_ready
-        me.running_by_endpoint = self.book.running_here()
+        me.is_told = self._is_advertised and self.is_ready
+        me.running_by_endpoint = self.endpoint_table.running_here()
         me.endpoints_known_to = self.exchange.endpoints_known_to()
         me.disk_set_version = self.disks.disk_set.version
         me.revision_by_prefix = {
             prefix: follower.revision for prefix, follower in self.followers_by_prefix.items()
         }
 
-    def _hear(self, hello: wire.Hello) -> None:
-        self.disks.hear(hello)
-        for prefix, revision in hello.revision_by_prefix.items():
+    def _handle_heartbeat(self, heartbeat: wire.Hello) -> None:
+        self.disks.handle_heartbeat(heartbeat)
+        for prefix, revision in heartbeat.revision_by_prefix.items():
             follower = self.followers_by_prefix.get(prefix)
             if follower is not None:
-                follower.hear(revision, hello.peer_address)
+                follower.hear(revision, heartbeat.peer_address)
 
-    def _refresh_told(self) -> None:
-        """Works out whether callers of the own hall are told of this host.
+    def _refresh_advertised(self) -> None:
+        """Recomputes whether this host is advertised to callers of its own hall.
 
-        Once a round and not for each hello: 45 idle hosts call 2.46 million functions in 6 s in
-        place of 2.84 million (one profile each).
+        Once per gossip round, since doing it for each heartbeat is expensive on large sites.
         """
         me = self.gossip.me
         near = [host for host in self._ready_hosts() if host.hall == me.hall]
-        self._is_told = me.public_address in sending(near, me.hall)
+        self._is_advertised = me.public_address in sending(near, me.hall)
 
-    def _sum_loads(self) -> None:
-        self._refresh_told()
-        hellos = self.gossip.fresh(wire.HostRole.ENTRY)
-        self.book.hear_loads(sum_loads(hellos, self.book.start_revisions))
-        self.homes.refresh()
+    def _handle_gossip_round(self) -> None:
+        self._refresh_advertised()
+        heartbeats = self.gossip.fresh(wire.HostRole.ENTRY)
+        self.endpoint_table.hear_loads(sum_loads(heartbeats, self.endpoint_table.start_revisions))
+        self.coordinators.refresh()
         self.quotas.refresh()
-        if self.homes.mine:
-            # A home knows better, but for halls whose homes are silent.
-            self.exchange.refresh_book()
+        if self.coordinators.coordinated_hall:
+            # Reported loads are newer than heartbeats, which still count for silent halls.
+            self.exchange.refresh_endpoint_table()
 
     def _disks_changed(self, disk_set: wire.DiskSet) -> None:
         self.gossip.me.disk_set_version = disk_set.version
@@ -338,4 +350,4 @@
         while not self.should_stop:
             await asyncio.sleep(SWEEP_S)
             self.links.sweep()
-            self._rate.note(self.requests.counts.taken, SWEEP_S)
+            self._rate.note(self.requests.counts.received, SWEEP_S)
--- /dev/null
+++ b/src/bayhinge/_internal/services/gateway/request_sender.py
@@ -0,0 +1,353 @@
+"""Sends a request to endpoints until one answers or no retry is allowed."""
+
+import asyncio
+from collections.abc import Callable
+
+import attrs
+import eliot
+
+from bayhinge._internal.decisions.answer_bounds import (
+    MOST_WAITS,
+    AnswerBounds,
+    bounds_of,
+    usual_answer_s,
+)
+from bayhinge._internal.decisions.endpoint_book import EndpointBook, Wish
+from bayhinge._internal.models.refusals import CallAttempt, Refusal, RefusalCode, RefusedError
+from bayhinge._internal.models.routed_requests import AnswerMarks, RoutedRequest
+from bayhinge._internal.models.routing import Route, RouteKind
+from bayhinge._internal.network.endpoint_answer import (
+    Answer,
+    BrokenAnswerError,
+    SilentEndpointError,
+    UnreachableError,
+)
+from bayhinge._internal.network.endpoint_link import EndpointConnection, EndpointLinks
+from bayhinge._internal.services.gateway.active_runs import (
+    ENDED_REASON,
+    ActiveRun,
+    ActiveRuns,
+)
+from bayhinge._internal.services.gateway.admission import AdmissionRevokedError
+from bayhinge._internal.services.gateway.delivery import Delivery
+from bayhinge._internal.services.gateway.open_turn import OpenTurn
+from bayhinge._internal.services.gateway.outside import CallFormat
+from bayhinge._internal.services.gateway.placement import LocalPlacer, Placer
+from bayhinge._internal.services.gateway.placement_preferences import preference_of
+from bayhinge._internal.utils.running_time import running_timeout
+
+MAX_REJECTED_SENDS = 4
+"""Maximum sends of a request that endpoints reject; each costs a round trip."""
+
+RETRY_AFTER_S = 0.3
+"""Retry delay for a request that no endpoint accepted."""
+
+
+class RequestRejectedError(Exception):
+    """The endpoint rejected the request and guarantees that it did not run."""
+
+
+@attrs.define
+class _SendState:
+    """The sends of one request.
+
+    Attributes:
+        tried: runs so far; a later incarnation of the same endpoint counts as untried.
+        ran: number of sends that may have run.
+        rejected: number of sends that certainly did not run.
+    """
+
+    service: str
+    route: Route
+    request: RoutedRequest
+    body: bytes
+    preference: Wish
+    attempt: CallAttempt
+    deadline_s: float
+    delivery: Delivery
+    tried: list[ActiveRun] = attrs.field(factory=list)
+    ran: int = 0
+    rejected: int = 0
+
+
+@attrs.define
+class SendCounts:
+    """Counts of failures and retries after a request's first send.
+
+    Attributes:
+        suspected: endpoints that were silent for too long while a request waited.
+        retried: requests sent again after an endpoint that may have run them.
+        resumed: retried requests that resumed a stream after an event.
+        cut_in_event: runs that broke off within an event.
+    """
+
+    suspected: int = 0
+    retried: int = 0
+    resumed: int = 0
+    cut_in_event: int = 0
+
+
+class RequestSender:
+    """Sends requests to the endpoints that a placer chooses."""
+
+    def __init__(
+        self,
+        endpoint_table: EndpointBook,
+        links: EndpointLinks,
+        calls: CallFormat,
+        placer: Placer | None = None,
+        runs: ActiveRuns | None = None,
+        check_admission: Callable[[RoutedRequest], None] = lambda request: None,
+    ) -> None:
+        """Takes ``check_admission``, which raises AdmissionRevokedError to stop a send."""
+        self._check_admission = check_admission
+        self._endpoint_table = endpoint_table
+        self._placer = placer or LocalPlacer(endpoint_table)
+        self._links = links
+        self._calls = calls
+        self.counts = SendCounts()
+        self._runs = runs or ActiveRuns()
+        self._usual_answer_s_by_service: dict[str, float] = {}
+
+    async def send(
+        self,
+        service: str,
+        route: Route,
+        request: RoutedRequest,
+        turn: OpenTurn | None,
+        attempt: CallAttempt,
+        deadline_s: float,
+        delivery: Delivery,
+    ) -> None:
+        """Sends a request and delivers the answer.
+
+        Raises:
+            RefusedError: no endpoint gave a deliverable answer.
+        """
+        body = request.body if turn is None else turn.history + request.body
+        send_state = _SendState(
+            service,
+            route,
+            request,
+            body,
+            preference_of(request, turn),
+            attempt,
+            deadline_s,
+            delivery,
+        )
+        while True:
+            run = await self._next_run(send_state)
+            try:
+                await self._send_to(run, send_state)
+                return
+            except AdmissionRevokedError as error:
+                attempt.note_unsent()
+                raise RefusedError(self._admission_refusal(send_state, error)) from error
+            except UnreachableError as error:
+                attempt.note_unsent()
+                send_state.rejected += 1
+                self._record_failure(run, send_state, str(error))
+            except RequestRejectedError as error:
+                attempt.note_unsent()
+                send_state.rejected += 1
+                self._log("send.not_taken", run, send_state, str(error))
+            except BrokenAnswerError as error:
+                send_state.ran += 1
+                self.counts.cut_in_event += error.cut_bytes > 0
+                if isinstance(error, SilentEndpointError) and self._endpoint_table.is_current(
+                    run.state
+                ):
+                    # Its idle connections may be dead too.
+                    self._links.drop_idle(run.endpoint)
+                self._record_failure(run, send_state, error.why, error.cut_bytes)
+                self._raise_unless_repeatable(send_state, error)
+
+    def _admission_refusal(self, send_state: _SendState, error: AdmissionRevokedError) -> Refusal:
+        if send_state.ran:
+            return send_state.attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
+        retry_after_s = None if error.code is RefusalCode.UNAUTHORIZED else RETRY_AFTER_S
+        return send_state.attempt.refuse(error.code, error.why, retry_after_s=retry_after_s)
+
+    async def _next_run(self, send_state: _SendState) -> ActiveRun:
+        state = None
+        if send_state.rejected < MAX_REJECTED_SENDS:
+            tried = self._tried_endpoints(send_state)
+            preference = attrs.evolve(send_state.preference, connected=self._links.connected())
+            state = await self._placer.place(send_state.service, preference, tried)
+        if state is None:
+            code = RefusalCode.OUTCOME_UNKNOWN if send_state.ran else RefusalCode.NO_ENDPOINT
+            why = f"none of {len(send_state.tried)} endpoint(s) of the service accepted the request"
+            raise RefusedError(send_state.attempt.refuse(code, why, retry_after_s=RETRY_AFTER_S))
+        send_state.attempt.note_send()
+        run = self._runs.begin(state)
+        send_state.tried.append(run)
+        return run
+
+    def _tried_endpoints(self, send_state: _SendState) -> list[str]:
+        """Returns the endpoints whose current incarnation was tried already."""
+        return [
+            run.endpoint
+            for run in send_state.tried
+            if self._endpoint_table.find_start(run.state.entry.start) is not None
+        ]
+
+    async def _send_to(self, run: ActiveRun, send_state: _SendState) -> None:
+        connection: EndpointConnection | None = None
+        is_complete = False
+        try:
+            connection = await self._links.acquire(run.endpoint, run.state.entry.address)
+            if run.is_ended:
+                raise UnreachableError(ENDED_REASON)
+            run.connection = connection
+            answer, marks = await self._exchange(connection, run, send_state)
+            is_complete = True
+            self._keep_or_close(connection, answer, marks)
+            if marks.not_run or marks.wrong_instance:
+                raise RequestRejectedError(f"status {answer.status}")
+            run.state.note_success()
+        finally:
+            self._runs.end(run)
+            self._placer.record_end(run.state)
+            if connection is not None and not is_complete:
+                # Also makes the endpoint stop if the caller left or the deadline passed.
+                connection.abort("given up")
+
+    async def _exchange(
+        self, connection: EndpointConnection, run: ActiveRun, send_state: _SendState
+    ) -> tuple[Answer, AnswerMarks]:
+        """Sends the request, and delivers the answer unless the endpoint rejected it."""
+        request, route = send_state.request, send_state.route
+        loop = asyncio.get_running_loop()
+        may_repeat = route.may_repeat and send_state.ran + 1 < route.max_endpoints
+        bounds = bounds_of(
+            route,
+            may_repeat and send_state.delivery.may_continue,
+            self._usual_answer_s_by_service.get(send_state.service, 0.0),
+        )
+        head = self._calls.request_head(
+            request,
+            len(send_state.body),
+            run.endpoint,
+            send_state.deadline_s - loop.time(),
+            route.urgency_of(request.account),
+            send_state.delivery.resume_after,
+        )
+        self._check_admission(request)
+        # Programs retry failed turns, so streams also use the shorter silence limit.
+        connection.send(head, send_state.body, may_repeat or route.kind is RouteKind.STREAMING)
+        answer, marks = await self._answer_in_time(connection, run, send_state, bounds)
+        if marks.not_run or marks.wrong_instance:
+            await answer.read_body()
+            return answer, marks
+        send_state.delivery.run = run
+        await send_state.delivery.deliver(answer, marks, may_repeat, bounds)
+        return answer, marks
+
+    def _keep_or_close(
+        self, connection: EndpointConnection, answer: Answer, marks: AnswerMarks
+    ) -> None:
+        if answer.closes_connection or marks.idle_s == 0:
+            connection.abort("the endpoint closes it")
+        else:
+            self._links.release(connection, marks.idle_s)
+
+    async def _answer_in_time(
+        self,
+        connection: EndpointConnection,
+        run: ActiveRun,
+        send_state: _SendState,
+        bounds: AnswerBounds,
+    ) -> tuple[Answer, AnswerMarks]:
+        """Returns the head of the answer; suspects an endpoint that is silent on all connections.
+
+        Raises:
+            SilentEndpointError: it was silent for too long, and another endpoint may be tried.
+        """
+        sent_s = asyncio.get_running_loop().time()
+        wait_count = 0
+        while True:
+            try:
+                # After a stall, data that has arrived is read before the endpoint is suspected.
+                async with running_timeout(bounds.unheard_s):
+                    answer, marks = await self._matching_answer(
+                        connection, send_state.request.attempt
+                    )
+                self._record_answer_time(send_state.service, sent_s)
+                return answer, marks
+            except TimeoutError:
+                wait_count += 1
+            has_responded = self._links.was_heard_since(run.endpoint, sent_s)
+            should_give_up = wait_count >= MOST_WAITS or not has_responded
+            if should_give_up and bounds.may_leave and self._has_untried_endpoint(send_state):
+                raise SilentEndpointError(f"no answer for {wait_count * bounds.unheard_s:.3f} s")
+            if wait_count == 1 and not has_responded:
+                self.counts.suspected += 1
+                self._record_failure(run, send_state, f"not heard for {bounds.unheard_s:.3f} s")
+
+    def _record_answer_time(self, service: str, sent_s: float) -> None:
+        elapsed_s = asyncio.get_running_loop().time() - sent_s
+        previous_s = self._usual_answer_s_by_service.get(service)
+        self._usual_answer_s_by_service[service] = usual_answer_s(previous_s, elapsed_s)
+
+    def _has_untried_endpoint(self, send_state: _SendState) -> bool:
+        """Whether an untried endpoint is left."""
+        now = asyncio.get_running_loop().time()
+        tried = self._tried_endpoints(send_state)
+        return (
+            self._endpoint_table.choose(send_state.service, send_state.preference, tried, now)
+            is not None
+        )
+
+    async def _matching_answer(
+        self, connection: EndpointConnection, attempt: str
+    ) -> tuple[Answer, AnswerMarks]:
+        """Returns the answer with the request's id; skips answers to earlier requests."""
+        while True:
+            answer = await connection.next_answer()
+            marks = self._calls.read_answer(answer.status, answer.headers)
+            # A rejection may lack an id, but one with another request's id is not for this one.
+            is_bare_refusal = marks.attempt is None and (marks.not_run or marks.wrong_instance)
+            if marks.attempt == attempt or is_bare_refusal:
+                return answer, marks
+            eliot.log_message(
+                "answer.passed_over", attempt=attempt, found=marks.attempt, status=answer.status
+            )
+            await answer.read_body()
+            if answer.closes_connection:
+                raise BrokenAnswerError("the connection closed after another request's answer")
+
+    def _raise_unless_repeatable(self, send_state: _SendState, error: BrokenAnswerError) -> None:
+        may_repeat = send_state.route.may_repeat and send_state.delivery.may_continue
+        if may_repeat and send_state.ran < send_state.route.max_endpoints:
+            self.counts.retried += 1
+            self.counts.resumed += send_state.delivery.resume_after is not None
+            eliot.log_message(
+                "send.again",
+                attempt=send_state.request.attempt,
+                resume_after=send_state.delivery.resume_after,
+                sends_ran=send_state.ran,
+            )
+            return
+        raise RefusedError(
+            send_state.attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
+        ) from error
+
+    def _record_failure(
+        self, run: ActiveRun, send_state: _SendState, why: str, cut_bytes: int = 0
+    ) -> None:
+        run.state.note_failure(asyncio.get_running_loop().time())
+        self._log("send.failed", run, send_state, why, cut_bytes)
+
+    def _log(
+        self, event: str, run: ActiveRun, send_state: _SendState, why: str, cut_bytes: int = 0
+    ) -> None:
+        eliot.log_message(
+            event,
+            attempt=send_state.request.attempt,
+            endpoint=run.endpoint,
+            why=why,
+            load=round(run.state.load, 2),
+            sends_ran=send_state.ran,
+            sends_untaken=send_state.rejected,
+            cut_bytes=cut_bytes,
+        )
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -1,4 +1,4 @@
-"""Serves one request from its head to its last byte: route, turn, endpoint, answer."""
+"""Handles requests of callers: routing, admission, turns, sending and refusals."""
 
 import asyncio
 import random
@@ -21,16 +21,16 @@
 from bayhinge._internal.models.routing import ClosedRoute, Route, RouteKind, RoutingTable
 from bayhinge._internal.network.routed_front import BodyTooLongError, Exchange, ExchangeHandler
 from bayhinge._internal.services.gateway.admission import Admission
-from bayhinge._internal.services.gateway.beliefs import ConfigurationBelief
+from bayhinge._internal.services.gateway.buffered_delivery import BufferedDelivery
 from bayhinge._internal.services.gateway.delivery import Delivery
-from bayhinge._internal.services.gateway.first_news import FirstNews, wait_until
+from bayhinge._internal.services.gateway.initial_sync import InitialSync, initial_sync_deadline
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.outside import CallFormat
 from bayhinge._internal.services.gateway.quotas import Quotas
-from bayhinge._internal.services.gateway.sending import RETRY_AFTER_S, Sender
+from bayhinge._internal.services.gateway.request_sender import RETRY_AFTER_S, RequestSender
+from bayhinge._internal.services.gateway.store_listeners import ConfigurationState
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
-from bayhinge._internal.services.gateway.turn_keeper import TurnKeeper
-from bayhinge._internal.services.gateway.whole_delivery import WholeDelivery
+from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 from bayhinge._internal.services.latencies import Latencies
 
 STATUS_BY_RUN_STATE = {
@@ -38,46 +38,45 @@
     RunState.MAY_HAVE_RUN: status_codes.HTTP_GATEWAY_TIMEOUT,
     RunState.RAN: status_codes.HTTP_GATEWAY_TIMEOUT,
 }
-"""What a time-out is answered with: only what has not run may be called so."""
+"""Status of a request that timed out; 503 is only for requests that certainly did not run."""
 
 NO_CONFIGURATION_RETRY_S = 0.5
 
 
 @attrs.define
 class RequestCounts:
-    """Requests by how they ended."""
+    """Counts of received requests, and of ended ones by outcome."""
 
-    taken: int = 0
+    received: int = 0
     ended_by_outcome: dict[str, int] = attrs.field(factory=dict)
 
     def end(self, outcome: str) -> None:
-        """Counts an end."""
+        """Counts an ended request."""
         self.ended_by_outcome[outcome] = self.ended_by_outcome.get(outcome, 0) + 1
 
 
 class RequestService(ExchangeHandler):
-    """Serves requests of callers."""
+    """Handles the requests of callers."""
 
     def __init__(
         self,
-        configuration: ConfigurationBelief,
+        configuration: ConfigurationState,
         calls: CallFormat,
-        sender: Sender,
-        keeper: TurnKeeper,
+        sender: RequestSender,
+        turn_recorder: TurnRecorder,
         admission: Admission,
         quotas: Quotas,
         latencies: Latencies,
-        endpoint_news: FirstNews,
-        disk_news: FirstNews,
+        endpoint_sync: InitialSync,
+        disk_sync: InitialSync,
     ) -> None:
-        """Takes what a request needs on its way, and what a host hears before it can serve."""
-        self._endpoint_news = endpoint_news
-        self._disk_news = disk_news
+        self._endpoint_sync = endpoint_sync
+        self._disk_sync = disk_sync
         self._configuration = configuration
         self._calls = calls
         self._sender = sender
-        self.sent = sender.counts
-        self._keeper = keeper
+        self.send_counts = sender.counts
+        self._turn_recorder = turn_recorder
         self._admission = admission
         self._quotas = quotas
         self._latencies = latencies
@@ -86,7 +85,7 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """See :class:`ExchangeHandler`."""
-        self.counts.taken += 1
+        self.counts.received += 1
         request: RoutedRequest | None = None
         try:
             request = self._calls.read_request(exchange.method, exchange.target, exchange.headers)
@@ -94,23 +93,23 @@
                 raise RefusedError(
                     refuse_unaccepted(RefusalCode.BAD_REQUEST, "the request has no attempt id")
                 )
-            table = await self._known_table(request, exchange)
+            table = await self._require_table(request, exchange)
             await self._serve(exchange, table, request)
         except RefusedError as error:
             if exchange.has_begun:
-                # What was sent must not look whole; the caller may ask again.
+                # Abort the connection, so that the caller does not take the answer for complete.
                 exchange.break_off()
-                self._note(request, "broken_off", "", exchange, error.refusal.why)
+                self._record_end(request, "broken_off", "", exchange, error.refusal.why)
                 return
             await self._refuse(exchange, request, error.refusal)
         except asyncio.CancelledError:
-            self._note(request, "caller_left", "", exchange)
+            self._record_end(request, "caller_left", "", exchange)
             raise
 
-    async def _known_table(self, request: RoutedRequest, exchange: Exchange) -> RoutingTable:
-        """Returns the configuration; a host that has just started hears of it first."""
-        until_s = wait_until(exchange.began_s, request.patience_s)
-        await self._configuration.news.wait(request.attempt, until_s)
+    async def _require_table(self, request: RoutedRequest, exchange: Exchange) -> RoutingTable:
+        """Returns the configuration, after waiting for the initial sync of a new host."""
+        sync_deadline_s = initial_sync_deadline(exchange.began_s, request.patience_s)
+        await self._configuration.initial_sync.wait(request.attempt, sync_deadline_s)
         table = self._configuration.table
         if table is None:
             raise RefusedError(
@@ -135,7 +134,7 @@
             raise RefusedError(
                 refuse_unaccepted(
                     RefusalCode.CONFIG_UNKNOWN,
-                    f"route '{route.name}' can't be read: {route.why}",
+                    f"route '{route.name}' is unreadable: {route.why}",
                     retry_after_s=NO_CONFIGURATION_RETRY_S,
                 )
             )
@@ -145,10 +144,10 @@
         try:
             async with asyncio.timeout_at(deadline_s):
                 request = await self._admission.admit(table, route, request)
-                _check_head(route, request)
+                _validate_head(route, request)
                 async with self._within_quota(route, request, attempt):
-                    request = await self._with_body(exchange, table, request)
-                    await self._pass_on(exchange, table, route, request, attempt, deadline_s)
+                    request = await self._read_body(exchange, table, request)
+                    await self._forward(exchange, table, route, request, attempt, deadline_s)
         except TimeoutError:
             raise RefusedError(
                 attempt.refuse(
@@ -162,19 +161,19 @@
     async def _within_quota(
         self, route: Route, request: RoutedRequest, attempt: CallAttempt
     ) -> AsyncIterator[None]:
-        """Takes the account's right to send a request, and gives it back where nothing was run."""
+        """Acquires a quota token of the account, and returns it if the request did not run."""
         account = request.account
         if account is None:
             yield
             return
-        await self._quotas.take(account, _begins_program(route, request))
+        await self._quotas.acquire(account, _begins_program(route, request))
         try:
             yield
         finally:
             if attempt.run_state is RunState.NOT_RUN:
-                self._quotas.give_back(account)
+                self._quotas.return_unused(account)
 
-    async def _with_body(
+    async def _read_body(
         self, exchange: Exchange, table: RoutingTable, request: RoutedRequest
     ) -> RoutedRequest:
         try:
@@ -189,7 +188,7 @@
             ) from None
         return attrs.evolve(request, body=body)
 
-    async def _pass_on(
+    async def _forward(
         self,
         exchange: Exchange,
         table: RoutingTable,
@@ -198,28 +197,28 @@
         attempt: CallAttempt,
         deadline_s: float,
     ) -> None:
-        until_s = wait_until(exchange.began_s, request.patience_s)
-        await self._endpoint_news.wait(request.attempt, until_s)
-        turn = await self._open_turn(route, request, until_s)
+        sync_deadline_s = initial_sync_deadline(exchange.began_s, request.patience_s)
+        await self._endpoint_sync.wait(request.attempt, sync_deadline_s)
+        turn = await self._open_turn(route, request, sync_deadline_s)
         service = route.choose_service(self._random)
         delivery = self._delivery(exchange, table, route, service, request, turn)
         try:
             await self._sender.send(service, route, request, turn, attempt, deadline_s, delivery)
         finally:
             if turn is not None and not delivery.is_recorded:
-                self._keeper.settle(turn, delivery.tokens_handed_out)
-        self._note(request, delivery.outcome, delivery.endpoint, exchange)
+                self._turn_recorder.settle(turn, delivery.tokens_delivered)
+        self._record_end(request, delivery.outcome, delivery.endpoint, exchange)
 
     async def _open_turn(
-        self, route: Route, request: RoutedRequest, until_s: float
+        self, route: Route, request: RoutedRequest, sync_deadline_s: float
     ) -> OpenTurn | None:
-        """Opens a turn of a program: one to be kept, or one whose tokens have a budget."""
+        """Opens a program's turn if the route retains turns, or the program has a budget."""
         context = request.turn
         if route.kind is not RouteKind.STREAMING or context is None:
             return None
         if route.keeps_turns or context.token_budget is not None:
-            await self._disk_news.wait(request.attempt, until_s)
-            return await self._keeper.open(
+            await self._disk_sync.wait(request.attempt, sync_deadline_s)
+            return await self._turn_recorder.open(
                 request.attempt, context, route.keeps_turns, request.account_name
             )
         return None
@@ -234,11 +233,11 @@
         turn: OpenTurn | None,
     ) -> Delivery:
         if route.kind is not RouteKind.STREAMING:
-            return WholeDelivery(exchange, self._calls)
+            return BufferedDelivery(exchange, self._calls)
         spec = table.services_by_name.get(service)
         tokens_per_event = spec.engine.tokens_per_event if spec and spec.engine else 1
         return StreamDelivery(
-            exchange, self._calls, self._keeper, turn, request, tokens_per_event, route
+            exchange, self._calls, self._turn_recorder, turn, request, tokens_per_event, route
         )
 
     async def _refuse(
@@ -265,7 +264,7 @@
         headers = self._calls.refusal_headers(attempt, retry_after_s)
         await exchange.respond(status, headers, refusal.to_json())
 
-    def _note(
+    def _record_end(
         self,
         request: RoutedRequest | None,
         outcome: str,
@@ -273,9 +272,9 @@
         exchange: Exchange,
         why: str | None = None,
     ) -> None:
-        took_s = asyncio.get_running_loop().time() - exchange.began_s
+        elapsed_s = asyncio.get_running_loop().time() - exchange.began_s
         self.counts.end(outcome)
-        self._latencies.add(f"request_{outcome}", took_s)
+        self._latencies.add(f"request_{outcome}", elapsed_s)
         table = self._configuration.table
         eliot.log_message(
             "request.served" if outcome == "served" else "request.ended",
@@ -284,22 +283,22 @@
             outcome=outcome,
             endpoint=endpoint,
             why=why,
-            took_ms=round(took_s * 1000, 1),
+            took_ms=round(elapsed_s * 1000, 1),
             configuration=0 if table is None else table.version,
         )
 
 
 def _begins_program(route: Route, request: RoutedRequest) -> bool:
-    """Tells whether a request is its program's first turn."""
+    """Returns whether a request is its program's first turn."""
     context = request.turn
     return route.keeps_turns and context is not None and context.previous is None
 
 
-def _check_head(route: Route, request: RoutedRequest) -> None:
-    """Refuses what can't be served as it was asked.
+def _validate_head(route: Route, request: RoutedRequest) -> None:
+    """Refuses a request with invalid headers.
 
     Raises:
-        RefusedError: the findings that matter on this route, together.
+        RefusedError: with all findings that matter on this route.
     """
     if route.kind is not RouteKind.STREAMING:
         return
@@ -309,7 +308,7 @@
         if finding.field is not RequestField.RESUME or route.is_resumable
     ]
     if route.keeps_turns and route.is_resumable and request.resume_after is not None:
-        # The turn would be kept without the events that the caller has from the attempt before.
-        findings.append("a turn that is kept can't be resumed by its caller; ask for it anew")
+        # The recorded turn would lack the events that the caller has from an earlier attempt.
+        findings.append("a retained turn can't be resumed by its caller; send it again in full")
     if findings:
         raise RefusedError(refuse_unaccepted(RefusalCode.BAD_REQUEST, "; ".join(findings)))
--- a/tests/functional/test_cut_streams.py
+++ b/tests/functional/test_cut_streams.py
@@ -12,7 +12,7 @@
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.network.endpoint_link import EndpointLinks
 from bayhinge._internal.platform.call_format import PlatformCallFormat
-from bayhinge._internal.services.gateway.sending import Sender
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
 from tests.lib.cut_answers import ROUTE, Caller, delivery_to
 
@@ -78,7 +78,7 @@
     request = RoutedRequest("GET", "/x", "host", (), "mine", resume_after=has)
     delivery = delivery_to(caller, request)
     limit_s = asyncio.get_running_loop().time() + 2
-    sender = Sender(book, links, PlatformCallFormat())
+    sender = RequestSender(book, links, PlatformCallFormat())
     try:
         await sender.send("llm", ROUTE, request, None, CallAttempt(), limit_s, delivery)
     except RefusedError:
@@ -113,7 +113,7 @@
                 # Without a length a polite close is the answer's end, also in its middle.
                 text_of_first = whole[:cut].partition(b"\r\n\r\n")[2]
                 expected, tokens = {text_of_first}, 3 * text_of_first.count(b"id: ")
-            is_right = text in expected and delivery.tokens_handed_out == tokens
+            is_right = text in expected and delivery.tokens_delivered == tokens
             if not (caller.is_whole and is_right):
                 odd[cut] = (caller.is_whole, caller.body)
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -94,9 +94,9 @@
     "doubt": (Edit("decisions/answer_bounds.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),),
     "lapsed entries": (
         Edit(
-            "services/gateway/beliefs.py",
-            "LAPSED_GRACE_S if is_after_outage else VANISHED_GRACE_S",
-            "VANISHED_GRACE_S",
+            "services/gateway/store_listeners.py",
+            "MISSING_AFTER_OUTAGE_GRACE_S if is_after_outage else MISSING_ENTRY_GRACE_S",
+            "MISSING_ENTRY_GRACE_S",
         ),
     ),
     "drain": (
@@ -117,12 +117,16 @@
     "proofs count from the question": (
         Edit(
             "services/gateway/configuration_proofs.py",
-            "self._take(Proof(stored.version, asked_s))",
-            "self._take(Proof(stored.version, asyncio.get_running_loop().time()))",
+            "self._accept(Proof(stored.version, asked_s))",
+            "self._accept(Proof(stored.version, asyncio.get_running_loop().time()))",
         ),
     ),
     "keys are looked at again before a send": (
-        Edit("services/gateway/sending.py", "        self._check(request)", "        pass"),
+        Edit(
+            "services/gateway/request_sender.py",
+            "        self._check_admission(request)",
+            "        pass",
+        ),
     ),
     "turns belong to an account": (
         Edit(
@@ -134,7 +138,7 @@
     "limits hold over all hosts": (
         Edit(
             "services/gateway/quotas.py",
-            "            if home == self._gossip.me.host:\n                return",
+            "            if coordinator == self._gossip.me.host:\n                return",
             "            if True:\n                return",
         ),
     ),
