--- a/src/bayhinge/_internal/bench/capacity.py
+++ b/src/bayhinge/_internal/bench/capacity.py
@@ -19,12 +19,12 @@
 from bayhinge._internal.bench.recovery import run as run_recovery
 from bayhinge._internal.decisions.cell import CellScheduler, CellSettings
 from bayhinge._internal.decisions.offers import Offer
-from bayhinge._internal.models.endpoints import Endpoint, EndpointState
+from bayhinge._internal.models.endpoints import Endpoint, ListedEndpointState
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.services.remote_grants import offer_from_wire, offer_to_wire
 from bayhinge._internal.wire import ttypes as wire
 from bayhinge.coordination.codec import FORMAT, decode, encode
-from bayhinge.coordination.membership import MAX_BEATS_PER_SECOND
+from bayhinge.coordination.membership import MAX_HEARTBEATS_PER_SECOND
 from bayhinge.coordination.wire.ttypes import HostStatus
 
 NODES = 350
@@ -134,7 +134,7 @@
 
 def _home_bytes() -> float:
     cell = CellScheduler(CellSettings(max_running=100_000, cache_tokens=10**9))
-    cell.set_endpoints([Endpoint("e", "pool", "hall", "a", EndpointState.LIVE)], 0.0)
+    cell.set_endpoints([Endpoint("e", "pool", "hall", "a", ListedEndpointState.LIVE)], 0.0)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for number in range(LOOPS):
@@ -173,7 +173,7 @@
     programs = PROGRAMS / NODES
     per_call_us = 3 * slopes["decision"].median + slopes["grant message, both ways"].median
     records_us = recovery.cpu_us_per_record * calls
-    beat_s = max(BEAT_S, NODES / MAX_BEATS_PER_SECOND)
+    beat_s = max(BEAT_S, NODES / MAX_HEARTBEATS_PER_SECOND)
     listed = slopes["heartbeat object"].median * LISTED_OVERHEAD * NODES / beat_s
     beats_us = slopes["heartbeat read"].median * NODES / beat_s
     yield Need(
@@ -225,7 +225,7 @@
         "journal combiner",
         "journal writes",
         min(TOTAL_JOURNAL_WRITES_S, NODES * min(JOURNAL_WRITES_S, calls)),
-        WRITES_LIMIT_S - MAX_BEATS_PER_SECOND,
+        WRITES_LIMIT_S - MAX_HEARTBEATS_PER_SECOND,
         "writes/s in all",
         "group commit; each host takes its share of all writes",
         "combine the batches of a hall's hosts, for the delay's sake",
@@ -243,7 +243,7 @@
         "membership",
         "heartbeat writes",
         NODES / beat_s,
-        MAX_BEATS_PER_SECOND,
+        MAX_HEARTBEATS_PER_SECOND,
         "writes/s in all",
         "one object a host; the beat slows down in a large fleet",
         "none",
--- a/src/bayhinge/_internal/bench/config_feed.py
+++ b/src/bayhinge/_internal/bench/config_feed.py
@@ -161,7 +161,7 @@
         changes = peer.feed.changes_after(host.feed.revision)
         host.peer_bytes += FRAME_BYTES + sum(len(change) for change in changes)
         try:
-            host.feed.take_from_peer(host.feed.revision + 1, changes)
+            host.feed.apply_from_peer(host.feed.revision + 1, changes)
         except StoreError:
             continue
         await asyncio.sleep(NEWS_EVERY_S)
--- a/src/bayhinge/_internal/bench/decisions/cost.py
+++ b/src/bayhinge/_internal/bench/decisions/cost.py
@@ -8,7 +8,7 @@
 from bayhinge._internal.decisions.cell import CellScheduler, CellSettings
 from bayhinge._internal.decisions.cells import cell_count, cell_of
 from bayhinge._internal.decisions.offers import Done, Offer, Outcome
-from bayhinge._internal.models.endpoints import Endpoint, EndpointState
+from bayhinge._internal.models.endpoints import Endpoint, ListedEndpointState
 
 PROGRAMS_PER_ENGINE = 60
 """38,000 programs on 630 engines."""
@@ -53,7 +53,7 @@
 
     def __init__(self, engines: int) -> None:
         listed = [
-            Endpoint(f"engine-{number}", "pool", "hall", f"e{number}", EndpointState.LIVE)
+            Endpoint(f"engine-{number}", "pool", "hall", f"e{number}", ListedEndpointState.LIVE)
             for number in range(engines)
         ]
         self._count = cell_count(engines)
--- a/src/bayhinge/_internal/bench/decisions/placing.py
+++ b/src/bayhinge/_internal/bench/decisions/placing.py
@@ -12,8 +12,12 @@
 
 import attrs
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBelief, EndpointBook, Wish
-from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointStart
+from bayhinge._internal.decisions.endpoint_table import (
+    EndpointState,
+    EndpointTable,
+    PlacementPreference,
+)
+from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 from bayhinge_standins.engine_model import EngineModel, ModelRequest, ModelSpeed
 
 SERVICE = "llm"
@@ -163,8 +167,11 @@
     def _next_turn(self, program: PlayedProgram, now: float) -> None:
         load = self._load
         wished_hall = self._hall_by_engine.get(program.endpoint, program.hall)
-        wish = Wish(
-            EndpointStart(program.endpoint), program.shared, program.history, load.shared_tokens
+        wish = PlacementPreference(
+            EndpointIncarnation(program.endpoint),
+            program.shared,
+            program.history,
+            load.shared_tokens,
         )
         belief = self._book_by_hall[wished_hall].choose(SERVICE, wish, (), now)
         assert belief is not None
@@ -199,20 +206,20 @@
 
     # ---- engines and what homes know of them ----
 
-    def _new_book(self, hall: str) -> EndpointBook:
-        book = EndpointBook(hall)
+    def _new_book(self, hall: str) -> EndpointTable:
+        book = EndpointTable(hall)
         for name, its_hall in self._hall_by_engine.items():
             book.put(EndpointEntry(name, SERVICE, name, its_hall, self._shape.slots, False))
         return book
 
-    def _count(self, belief: EndpointBelief, chosen_by: str) -> None:
+    def _count(self, belief: EndpointState, chosen_by: str) -> None:
         name = belief.entry.instance
         belief.running_at_peers += 1
         own = self._book_by_hall[self._hall_by_engine[name]].find(name)
         if self._hall_by_engine[name] != chosen_by and own is not None:
             own.running_at_peers += 1
 
-    def _count_ended(self, book: EndpointBook, name: str) -> None:
+    def _count_ended(self, book: EndpointTable, name: str) -> None:
         belief = book.find(name)
         if belief is not None:
             belief.running_at_peers -= 1
--- a/src/bayhinge/_internal/bench/decisions/simulation.py
+++ b/src/bayhinge/_internal/bench/decisions/simulation.py
@@ -11,7 +11,7 @@
 from bayhinge._internal.bench.decisions.workload import ProgramPlan
 from bayhinge._internal.decisions.cell import CellScheduler, CellSettings
 from bayhinge._internal.decisions.offers import Action, Done, Grant, Offer, Outcome, Reject, Release
-from bayhinge._internal.models.endpoints import Endpoint, EndpointState
+from bayhinge._internal.models.endpoints import Endpoint, ListedEndpointState
 from bayhinge_standins.engine_model import EngineModel, ModelRequest, ModelSpeed
 
 TICK_S = 0.2
@@ -150,7 +150,11 @@
     def _publish(self, now: float) -> None:
         listed = [
             Endpoint(
-                name, "pool", f"hall-{number % self._settings.halls}", name, EndpointState.LIVE
+                name,
+                "pool",
+                f"hall-{number % self._settings.halls}",
+                name,
+                ListedEndpointState.LIVE,
             )
             for number, name in enumerate(self._engines)
             if name not in self._dead
--- a/src/bayhinge/_internal/bench/recovery.py
+++ b/src/bayhinge/_internal/bench/recovery.py
@@ -15,7 +15,7 @@
 from bayhinge._internal.models.calls import AnswerEnd, CallKind, Usage
 from bayhinge._internal.models.ids import ProgramId
 from bayhinge._internal.models.programs import CallEntry, ProgramState
-from bayhinge._internal.services.histories import HistoryCache
+from bayhinge._internal.services.history_cache import HistoryCache
 from bayhinge._internal.services.record_codec import (
     WIRE_KIND,
     apply_finished,
--- a/src/bayhinge/_internal/bench/world/endpoints.py
+++ b/src/bayhinge/_internal/bench/world/endpoints.py
@@ -10,10 +10,10 @@
 from bayhinge._internal.bench.world.network import Gate
 from bayhinge._internal.exceptions import EndpointError
 from bayhinge._internal.models.calls import ServiceCall, Usage
-from bayhinge._internal.models.endpoints import Endpoint, EndpointLoad, EndpointState
+from bayhinge._internal.models.endpoints import Endpoint, EndpointLoad, ListedEndpointState
 from bayhinge._internal.network.endpoint_client import (
     EndpointClient,
-    EnginePiece,
+    EngineChunk,
     EngineRequest,
     ServiceAnswer,
 )
@@ -64,12 +64,12 @@
     def add(self, name: str, pool: str, hall: str) -> None:
         """Adds an endpoint to the list."""
         self.faults_by_endpoint[name] = EndpointFaults()
-        self.listed.append(Endpoint(name, pool, hall, f"at-{name}", EndpointState.LIVE))
+        self.listed.append(Endpoint(name, pool, hall, f"at-{name}", ListedEndpointState.LIVE))
 
     def leave(self, name: str) -> None:
         """Lists an endpoint as leaving."""
         self.listed = [
-            attrs.evolve(item, state=EndpointState.LEAVING) if item.name == name else item
+            attrs.evolve(item, state=ListedEndpointState.LEAVING) if item.name == name else item
             for item in self.listed
         ]
 
@@ -94,7 +94,7 @@
 
     async def complete(
         self, endpoint: str, address: str, request: EngineRequest
-    ) -> AsyncIterator[EnginePiece]:
+    ) -> AsyncIterator[EngineChunk]:
         """See :class:`EndpointClient`."""
         await self._gate.pass_through()
         faults = self._world.faults_by_endpoint[endpoint]
@@ -133,8 +133,8 @@
             await self._gate.pass_through()
             sent += 1
             records.engine_tokens_by_program[body["program"]] += 1
-            yield EnginePiece(word)
-        yield EnginePiece("", None, "stop", Usage(prompt_tokens, sent, 0))
+            yield EngineChunk(word)
+        yield EngineChunk("", None, "stop", Usage(prompt_tokens, sent, 0))
 
     async def cancel(self, address: str, request_id: str) -> None:
         """See :class:`EndpointClient`."""
--- a/src/bayhinge/_internal/commands/accept_call.py
+++ b/src/bayhinge/_internal/commands/accept_call.py
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class AwaitTurn(Decision):
+class AwaitEarlierCall(Decision):
     """An earlier call of the program has not ended: decide again once it has."""
 
     index: int
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class RunningView:
+class RunningCallView:
     """The program's running call; a program runs one call at a time."""
 
     index: int
@@ -71,7 +71,7 @@
     idempotency_key: str | None
 
 
-def decide_call(state: ProgramState, call: Call, running: RunningView | None) -> Decision:
+def decide_call(state: ProgramState, call: Call, running: RunningCallView | None) -> Decision:
     """Decides what to do with a call; ``running`` is the program's running call, if any."""
     known = _find_earlier_call(state, call, running)
     if known is not None:
@@ -82,11 +82,11 @@
     index = state.next_index if call.index is None else call.index
     if running is not None:
         if call.index is None or index <= running.index + MAX_AHEAD:
-            return AwaitTurn(index)
+            return AwaitEarlierCall(index)
         return RefuseCall(_index_gap_refusal(state, index))
     if index > state.next_index:
         return (
-            AwaitTurn(index)
+            AwaitEarlierCall(index)
             if index <= state.next_index + MAX_AHEAD
             else RefuseCall(_index_gap_refusal(state, index))
         )
@@ -94,7 +94,7 @@
 
 
 def _find_earlier_call(
-    state: ProgramState, call: Call, running: RunningView | None
+    state: ProgramState, call: Call, running: RunningCallView | None
 ) -> Decision | None:
     """Finds an earlier request for the same call, by its idempotency key or index."""
     if call.idempotency_key is not None:
--- a/src/bayhinge/_internal/decisions/answer_bounds.py
+++ b/src/bayhinge/_internal/decisions/answer_timeouts.py
@@ -17,7 +17,7 @@
 SMOOTHING = 0.3
 """Weight of the newest sample in the moving average; follows a burst within about three answers."""
 
-MOST_WAITS = 2
+MAX_SILENCE_PERIODS = 2
 """Silence periods after which a request that may fail over does so, although its endpoint answers
 others: it may be queued there, or its own connection may be dead."""
 
@@ -27,36 +27,40 @@
 
 
 @attrs.frozen
-class AnswerBounds:
+class AnswerTimeouts:
     """Timeouts of one run.
 
     Attributes:
-        unheard_s: seconds without any data after which the endpoint is suspected.
-        may_leave: another endpoint may serve the request, or resume it.
+        silence_s: seconds without any data after which the endpoint is suspected.
+        may_fail_over: another endpoint may serve the request, or resume it.
         pause_s: seconds after which a stalled stream fails over; None where it never does.
     """
 
-    unheard_s: float
-    may_leave: bool = False
+    silence_s: float
+    may_fail_over: bool = False
     pause_s: float | None = None
 
 
-def usual_answer_s(before_s: float | None, newest_s: float) -> float:
+def smoothed_answer_s(before_s: float | None, newest_s: float) -> float:
     """Returns the moving average of the time to the first byte, with the newest sample."""
     if before_s is None:
         return newest_s
     return before_s + SMOOTHING * (newest_s - before_s)
 
 
-def bounds_of(route: Route, may_leave: bool, usual_s: float = 0.0) -> AnswerBounds:
+def bounds_of(route: Route, may_fail_over: bool, usual_s: float = 0.0) -> AnswerTimeouts:
     """Returns the timeouts of a run.
 
     ``usual_s`` is the service's average time to the first byte. An endpoint is suspected also where
     the request may not fail over, so that other requests avoid it.
     """
-    has_pauses = may_leave and route.is_resumable and route.pause_s is not None
-    return AnswerBounds(
-        max(MIN_SILENCE_S, SILENCE_OBJECTIVES * route.objective_s, TYPICAL_LATENCIES * usual_s),
-        may_leave,
+    has_pauses = may_fail_over and route.is_resumable and route.pause_s is not None
+    return AnswerTimeouts(
+        max(
+            MIN_SILENCE_S,
+            SILENCE_OBJECTIVES * route.latency_objective_s,
+            TYPICAL_LATENCIES * usual_s,
+        ),
+        may_fail_over,
         PAUSE_MULTIPLE * (route.pause_s or 0.0) if has_pauses else None,
     )
--- a/src/bayhinge/_internal/decisions/cell.py
+++ b/src/bayhinge/_internal/decisions/cell.py
@@ -36,7 +36,7 @@
     make_order,
     make_placement,
 )
-from bayhinge._internal.models.endpoints import Endpoint, EndpointLoad, EndpointState
+from bayhinge._internal.models.endpoints import Endpoint, EndpointLoad, ListedEndpointState
 from bayhinge._internal.models.refusals import Figure, RefusalCode
 
 SCAN_LIMIT = 8
@@ -124,7 +124,7 @@
             if view is None or view.address != endpoint.address:
                 view = self._new_view(endpoint)
                 self.endpoints_by_name[endpoint.name] = view
-            leaving = endpoint.state is EndpointState.LEAVING
+            leaving = endpoint.state is ListedEndpointState.LEAVING
             if leaving and view.standing is not Standing.LEAVING:
                 yield self._mark_leaving(view, "the platform lists it as leaving")
             elif not leaving and view.standing is Standing.LEAVING:
@@ -147,7 +147,7 @@
             settings.cache_tokens,
         )
 
-    def take_load(self, endpoint: str, load: EndpointLoad, now: float) -> list[Action]:
+    def apply_load_report(self, endpoint: str, load: EndpointLoad, now: float) -> list[Action]:
         """Applies an engine's load report; only the capacity is used, as the rest lags."""
         view = self.endpoints_by_name.get(endpoint)
         if view is not None and load.cache_capacity_tokens > 0:
--- a/src/bayhinge/_internal/decisions/disk_fence.py
+++ b/src/bayhinge/_internal/decisions/disk_fence.py
@@ -23,7 +23,7 @@
 
 import attrs
 
-from bayhinge._internal.decisions.disk_placement import places_of
+from bayhinge._internal.decisions.disk_placement import replicas_of
 from bayhinge._internal.decisions.disk_quorum import reservations_needed
 
 CATCH_UP_LIMIT_S = 0.6
@@ -106,7 +106,7 @@
         if not _contains(self.members, own):
             # A disk that lost its folder: it has the old address, but none of the data.
             return Verdict.NOT_YET
-        if has_caught_up or _contains(places_of(program, self.previous, self.tolerated), own):
+        if has_caught_up or _contains(replicas_of(program, self.previous, self.tolerated), own):
             return Verdict.TAKEN
         return Verdict.NOT_YET
 
--- a/src/bayhinge/_internal/decisions/disk_placement.py
+++ b/src/bayhinge/_internal/decisions/disk_placement.py
@@ -27,7 +27,7 @@
 Disk = TypeVar("Disk", bound=PlacedDisk)
 
 
-def places_of(program: str, members: Sequence[Disk], tolerated: int) -> list[Disk]:
+def replicas_of(program: str, members: Sequence[Disk], tolerated: int) -> list[Disk]:
     """Returns the disks that store a program, spread over the halls by rendezvous hashing.
 
     When a member joins or leaves, few programs move, and each of them by one disk.
--- a/src/bayhinge/_internal/decisions/disk_reach.py
+++ b/src/bayhinge/_internal/decisions/disk_reachability.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class DiskReach:
+class DiskReachability:
     """Counts the disks that failed to answer directly since the last direct answer.
 
     Attributes:
@@ -19,11 +19,11 @@
     tolerated: int
     _silent_since_answer: set[str] = attrs.field(factory=set)
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Records that a disk answered without a relay."""
         self._silent_since_answer.clear()
 
-    def note_silence(self, disk: str) -> None:
+    def record_silence(self, disk: str) -> None:
         """Records that a disk did not answer directly."""
         self._silent_since_answer.add(disk)
 
--- a/src/bayhinge/_internal/decisions/endpoint_starts.py
+++ b/src/bayhinge/_internal/decisions/endpoint_incarnations.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class NewStart:
+class NewIncarnation:
     """A new incarnation at an address.
 
     Attributes:
@@ -48,7 +48,7 @@
     return now_s - ago_s if ago_s >= -CLOCK_SKEW_S else None
 
 
-def is_over(contact: Contact, start: NewStart) -> bool:
+def is_over(contact: Contact, start: NewIncarnation) -> bool:
     """Whether a connection certainly leads to an earlier incarnation."""
     if contact.address != start.address:
         return True
@@ -60,7 +60,7 @@
     return contact.opened_s < start.began_s - CLOCK_SKEW_S
 
 
-def is_surely_of(contact: Contact, start: NewStart) -> bool:
+def belongs_to(contact: Contact, start: NewIncarnation) -> bool:
     """Whether a connection certainly leads to this incarnation."""
     return (
         contact.address == start.address
--- a/src/bayhinge/_internal/decisions/endpoint_book.py
+++ b/src/bayhinge/_internal/decisions/endpoint_table.py
@@ -6,8 +6,8 @@
 import attrs
 
 from bayhinge._internal.decisions import placement_weights as weights
-from bayhinge._internal.decisions.start_revisions import StartRevisions
-from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointStart
+from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
+from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 from bayhinge.coordination.rendezvous import rank
 
 FIRST_EJECTION_S = 1.0
@@ -24,18 +24,18 @@
 stays below it, one that fails 2 requests in 5 exceeds it."""
 
 
-class EntryNews(StrEnum):
+class EntryChange(StrEnum):
     """What an entry has changed."""
 
     NOTHING = "nothing"
     FOUND = "found"
     CHANGED = "changed"
-    STARTED_AGAIN = "started_again"
+    RESTARTED = "started_again"
     OUTDATED = "outdated"
 
 
 @attrs.define(eq=False)
-class EndpointBelief:
+class EndpointState:
     """State of one incarnation of an endpoint: its entry, load and recent failures.
 
     A later incarnation starts with a fresh state.
@@ -43,8 +43,8 @@
     Attributes:
         failures: recent failures; each success reduces the count.
         complaints: number of other hosts that reported a recent failure.
-        is_doubtful: it is suspected, as its entry has vanished for a reason not known yet.
-        is_displaced: another endpoint has started at its address since.
+        is_suspected: it is suspected, as its entry has vanished for a reason not known yet.
+        is_replaced: another endpoint has started at its address since.
     """
 
     entry: EndpointEntry
@@ -53,8 +53,8 @@
     failures: float = 0.0
     complaints: int = 0
     ejected_until_s: float = 0.0
-    is_doubtful: bool = False
-    is_displaced: bool = False
+    is_suspected: bool = False
+    is_replaced: bool = False
 
     @property
     def load(self) -> float:
@@ -66,13 +66,13 @@
         """The load plus a penalty for failure reports, in the same unit."""
         return self.load + weights.failure_report(self.entry.slots) * self.complaints
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Records a complete answer."""
         self.failures *= FAILURE_DECAY
         if self.failures <= MAX_TRUSTED_FAILURES:
             self.ejected_until_s = 0.0
 
-    def note_failure(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Records that the endpoint was unreachable or broke off; ejects it for a while."""
         ejection_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2**self.failures)
         self.failures += 1
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class Wish:
+class PlacementPreference:
     """A request's preference for endpoints with its history or its shared part in cache.
 
     Attributes:
@@ -90,36 +90,36 @@
         connected: endpoints to which the requesting host has an idle connection.
     """
 
-    start: EndpointStart = EndpointStart()
+    start: EndpointIncarnation = EndpointIncarnation()
     shared_part: str = ""
     kept_tokens: int = 0
     shared_tokens: int = 0
     connected: frozenset[str] = frozenset()
 
 
-class EndpointBook:
+class EndpointTable:
     """The state of the newest known incarnation of every endpoint."""
 
     def __init__(self, hall: str) -> None:
         self._hall = hall
-        self._state_by_instance: dict[str, EndpointBelief] = {}
+        self._state_by_instance: dict[str, EndpointState] = {}
         self._removed_by_instance: dict[str, EndpointEntry] = {}
-        self.start_revisions = StartRevisions()
+        self.incarnation_revisions = IncarnationRevisions()
 
-    def all(self) -> list[EndpointBelief]:
+    def all(self) -> list[EndpointState]:
         """Returns the states of all endpoints."""
         return list(self._state_by_instance.values())
 
-    def find(self, instance: str) -> EndpointBelief | None:
+    def find(self, instance: str) -> EndpointState | None:
         """Returns the state of an endpoint, or None where it is unknown."""
         return self._state_by_instance.get(instance)
 
-    def find_start(self, start: EndpointStart) -> EndpointBelief | None:
+    def find_incarnation(self, start: EndpointIncarnation) -> EndpointState | None:
         """Returns the state of an incarnation, or None where it has ended or is unknown."""
         state = self._state_by_instance.get(start.endpoint)
         return state if state is not None and start.may_be(state.entry.start) else None
 
-    def is_current(self, state: EndpointBelief) -> bool:
+    def is_current(self, state: EndpointState) -> bool:
         """Whether a state is of the newest known incarnation of its endpoint."""
         return self._state_by_instance.get(state.entry.instance) is state
 
@@ -128,37 +128,37 @@
         state = self._state_by_instance.get(instance)
         return self._removed_by_instance.get(instance) if state is None else state.entry
 
-    def forget_gone(self, start: EndpointStart) -> None:
+    def forget_removed(self, start: EndpointIncarnation) -> None:
         """Forgets a removed endpoint, once no delayed entry of it can arrive any more."""
         entry = self._removed_by_instance.get(start.endpoint)
         if entry is not None and entry.start == start:
             del self._removed_by_instance[start.endpoint]
 
-    def put(self, entry: EndpointEntry) -> EntryNews:
+    def put(self, entry: EndpointEntry) -> EntryChange:
         """Applies an entry, unless it is of an incarnation before the known one."""
         instance = entry.instance
         state = self._state_by_instance.get(instance)
         known = self.last_entry(instance)
         if known is not None and known.start.is_after(entry.start):
-            return EntryNews.OUTDATED
+            return EntryChange.OUTDATED
         is_later = known is not None and entry.start.is_after(known.start)
         if state is None or is_later:
             self._removed_by_instance.pop(instance, None)
-            self._state_by_instance[instance] = EndpointBelief(entry)
+            self._state_by_instance[instance] = EndpointState(entry)
             self._update_replaced(entry.address)
             if known is not None:
                 self._update_replaced(known.address)
-            return EntryNews.STARTED_AGAIN if is_later else EntryNews.FOUND
+            return EntryChange.RESTARTED if is_later else EntryChange.FOUND
         if entry.born_ms is None:
             # An entry without a start time is of the known incarnation.
             entry = attrs.evolve(entry, born_ms=state.entry.born_ms)
-        is_changed = state.entry != entry or state.is_doubtful
+        is_changed = state.entry != entry or state.is_suspected
         old_address, state.entry = state.entry.address, entry
-        state.is_doubtful = False
+        state.is_suspected = False
         if is_changed:
             self._update_replaced(entry.address)
             self._update_replaced(old_address)
-        return EntryNews.CHANGED if is_changed else EntryNews.NOTHING
+        return EntryChange.CHANGED if is_changed else EntryChange.NOTHING
 
     def withdraw(self, instance: str) -> bool:
         """Marks an endpoint as leaving until its next entry; returns whether it was not before."""
@@ -173,18 +173,18 @@
         state = self._state_by_instance.pop(instance, None)
         if state is None:
             return False
-        self.start_revisions.forget(instance)
+        self.incarnation_revisions.forget(instance)
         if state.entry.born_ms is not None:
             self._removed_by_instance[instance] = state.entry
         self._update_replaced(state.entry.address)
         return True
 
-    def displaced_at(self, address: str) -> list[EndpointBelief]:
+    def replaced_at(self, address: str) -> list[EndpointState]:
         """Returns the endpoints at an address that another endpoint uses now."""
         return [
             state
             for state in self._state_by_instance.values()
-            if state.is_displaced and state.entry.address == address
+            if state.is_replaced and state.entry.address == address
         ]
 
     def _update_replaced(self, address: str) -> None:
@@ -193,9 +193,9 @@
             state for state in self._state_by_instance.values() if state.entry.address == address
         ]
         for state in there:
-            state.is_displaced = any(other.entry.took_address_of(state.entry) for other in there)
+            state.is_replaced = any(other.entry.reuses_address_of(state.entry) for other in there)
 
-    def hear_loads(self, running_by_instance: Mapping[str, int]) -> None:
+    def apply_peer_loads(self, running_by_instance: Mapping[str, int]) -> None:
         """Applies the sums of the other hosts' requests in flight."""
         for instance, state in self._state_by_instance.items():
             state.running_at_peers = running_by_instance.get(instance, 0)
@@ -217,8 +217,8 @@
         }
 
     def choose(
-        self, service: str, preference: Wish, tried: Iterable[str], now_s: float
-    ) -> EndpointBelief | None:
+        self, service: str, preference: PlacementPreference, tried: Iterable[str], now_s: float
+    ) -> EndpointState | None:
         """Returns the best endpoint of a service that is not in ``tried``, or None."""
         excluded = set(tried)
         candidates = [
@@ -229,7 +229,7 @@
             and state.entry.instance not in excluded
         ]
         unsuspected = [
-            state for state in candidates if not (state.is_doubtful or state.is_displaced)
+            state for state in candidates if not (state.is_suspected or state.is_replaced)
         ] or candidates
         healthy = [state for state in unsuspected if state.ejected_until_s <= now_s]
         trusted = [state for state in healthy if state.complaints < weights.MIN_FAILURE_REPORTS]
@@ -238,7 +238,9 @@
         # Where all are ejected, trying one is better than refusing the request.
         return self._best(healthy or unsuspected, preference)
 
-    def _best(self, candidates: list[EndpointBelief], preference: Wish) -> EndpointBelief | None:
+    def _best(
+        self, candidates: list[EndpointState], preference: PlacementPreference
+    ) -> EndpointState | None:
         if not candidates:
             return None
         # Among equal endpoints, prefers one with an idle connection.
@@ -250,7 +252,7 @@
                 state.entry.instance,
             ),
         )
-        holder = self.find_start(preference.start)
+        holder = self.find_incarnation(preference.start)
         for state in candidates:
             if state is holder:
                 slack = weights.own_cache(state.entry.slots, preference.kept_tokens)
@@ -264,8 +266,8 @@
         return least_loaded
 
     def _by_shared_part(
-        self, candidates: list[EndpointBelief], shared_part: str
-    ) -> list[EndpointBelief]:
+        self, candidates: list[EndpointState], shared_part: str
+    ) -> list[EndpointState]:
         """Returns the endpoints in the order of preference for requests with a shared part.
 
         Each hall concentrates these requests on its own endpoints, where it has any.
@@ -274,7 +276,7 @@
         names = [state.entry.instance for state in near or candidates]
         return [self._state_by_instance[name] for name in rank(shared_part, names)]
 
-    def _cost(self, state: EndpointBelief) -> float:
+    def _cost(self, state: EndpointState) -> float:
         is_near = state.entry.hall == self._hall
         away = 0.0 if is_near else weights.other_hall(state.entry.slots)
         return state.effective_load + away
--- a/src/bayhinge/_internal/decisions/proof_age.py
+++ b/src/bayhinge/_internal/decisions/freshness_proofs.py
@@ -45,7 +45,7 @@
     asked_s: float
 
 
-def vouched(revision: int, age_s: float, asked_s: float) -> Proof:
+def confirmed_by_peer(revision: int, age_s: float, asked_s: float) -> Proof:
     """Converts a peer's proof to this host's clock.
 
     ``age_s`` is its age on the peer's clock at the answer, which was after ``asked_s``, so the
@@ -72,7 +72,7 @@
     return ProofBounds(revoked_s * ADMIT_SHARE, revoked_s * RENEW_SHARE)
 
 
-class ProofBook:
+class FreshnessProofs:
     """A host's newest proof, and one for a revision that it does not have yet."""
 
     def __init__(self) -> None:
--- a/src/bayhinge/_internal/decisions/start_revisions.py
+++ b/src/bayhinge/_internal/decisions/incarnation_revisions.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection
 
 
-class StartRevisions:
+class IncarnationRevisions:
     """Store revisions at which endpoint restarts became known here.
 
     Hosts report up to which revision they know the endpoints. Those that are behind refer to an
@@ -21,7 +21,7 @@
         """Forgets a removed endpoint."""
         self._revision_by_endpoint.pop(endpoint, None)
 
-    def unheard_by(self, known_to: int | None) -> Collection[str]:
+    def not_known_by(self, known_to: int | None) -> Collection[str]:
         """Returns the endpoints whose newest incarnation a host does not know.
 
         ``known_to`` is None for a host that does not report it; its figures are then accepted.
--- a/src/bayhinge/_internal/decisions/sightings.py
+++ b/src/bayhinge/_internal/decisions/last_seen.py
@@ -37,7 +37,7 @@
     return min(MAX_ADVERTISED_S, max(MIN_ADVERTISED_S, ADVERTISED_PERIODS * period_s))
 
 
-class Sightings:
+class LastSeen:
     """When each incarnation of a host was last seen by any host.
 
     Incarnations are identified by :func:`start_of`.
--- a/src/bayhinge/_internal/decisions/load_board.py
+++ b/src/bayhinge/_internal/decisions/load_table.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class HostReport:
+class HostLoadReport:
     """One host's load report.
 
     Attributes:
@@ -43,7 +43,7 @@
     resting: frozenset[str] = frozenset()
 
 
-class LoadBoard:
+class LoadTable:
     """Sums of requests in flight, by endpoint."""
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self._running_by_endpoint: Counter[str] = Counter()
         self._failure_reports_by_endpoint: Counter[str] = Counter()
 
-    def hear(self, report: HostReport, now_s: float) -> None:
+    def hear(self, report: HostLoadReport, now_s: float) -> None:
         """Applies a report, unless a newer one of the same incarnation is known."""
         loads = self._loads_by_host.get(report.host)
         if loads is not None and loads.incarnation != report.incarnation:
@@ -106,7 +106,7 @@
         """Returns the number of requests in flight by endpoint."""
         return self._running_by_endpoint
 
-    def complaints_by_endpoint(self) -> Mapping[str, int]:
+    def failure_reports_by_endpoint(self) -> Mapping[str, int]:
         """Returns the number of hosts that have ejected an endpoint."""
         return self._failure_reports_by_endpoint
 
--- a/src/bayhinge/_internal/decisions/watchers.py
+++ b/src/bayhinge/_internal/decisions/watchers.py
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen
-class WatchTurn:
+class WatchSlot:
     """The time slot of one watch among those of a site.
 
     Attributes:
@@ -89,7 +89,7 @@
         return (hall + within_hall) / self.halls
 
 
-def wait_until_turn(slot: WatchTurn, now_s: float) -> float:
+def wait_until_slot(slot: WatchSlot, now_s: float) -> float:
     """Returns how long a watch that begins now waits, in seconds.
 
     ``now_s`` is wall-clock time; clock skew between hosts only spreads the ends less evenly.
--- a/src/bayhinge/_internal/models/account_keys.py
+++ b/src/bayhinge/_internal/models/account_keys.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class ClosedAccount(AccountIdentity):
+class InvalidAccount(AccountIdentity):
     """An account whose configuration is invalid; requests with its keys are refused as not run.
 
     Serving them without limits could starve other accounts, and a 401 would tell callers that
@@ -65,22 +65,22 @@
 class AccountTable:
     """All accounts of one configuration; a key listed by two accounts is invalid."""
 
-    accounts: tuple[RoutedAccount | ClosedAccount, ...]
-    _account_by_digest: dict[str, RoutedAccount | ClosedAccount] = attrs.field(
+    accounts: tuple[RoutedAccount | InvalidAccount, ...]
+    _account_by_digest: dict[str, RoutedAccount | InvalidAccount] = attrs.field(
         init=False, eq=False, repr=False
     )
 
     @_account_by_digest.default
-    def _index_keys(self) -> dict[str, RoutedAccount | ClosedAccount]:
-        found: dict[str, RoutedAccount | ClosedAccount] = {}
+    def _index_keys(self) -> dict[str, RoutedAccount | InvalidAccount]:
+        found: dict[str, RoutedAccount | InvalidAccount] = {}
         for account in self.accounts:
             for digest in account.key_sha256:
                 other = found.setdefault(digest, account)
                 if other.name != account.name:
                     why = f"the key also belongs to account '{account.name}'"
-                    found[digest] = ClosedAccount(other.name, (digest,), why)
+                    found[digest] = InvalidAccount(other.name, (digest,), why)
         return found
 
-    def find(self, digest: str) -> RoutedAccount | ClosedAccount | None:
+    def find(self, digest: str) -> RoutedAccount | InvalidAccount | None:
         """Returns the account that owns the key with this digest, or None."""
         return self._account_by_digest.get(digest)
--- a/src/bayhinge/_internal/models/endpoint_entries.py
+++ b/src/bayhinge/_internal/models/endpoint_entries.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class EndpointStart:
+class EndpointIncarnation:
     """One incarnation of an endpoint; no state survives from earlier ones.
 
     Attributes:
@@ -16,13 +16,13 @@
     endpoint: str = ""
     born_ms: int | None = None
 
-    def may_be(self, other: "EndpointStart") -> bool:
+    def may_be(self, other: "EndpointIncarnation") -> bool:
         """Whether the two can be the same incarnation."""
         if self.endpoint != other.endpoint:
             return False
         return self.born_ms is None or other.born_ms is None or self.born_ms == other.born_ms
 
-    def is_after(self, other: "EndpointStart") -> bool:
+    def is_after(self, other: "EndpointIncarnation") -> bool:
         """Whether this is known to be a later incarnation of the same endpoint."""
         return self.endpoint == other.endpoint and _is_later(self.born_ms, other.born_ms)
 
@@ -35,7 +35,7 @@
         instance: its id, which stays the same across restarts.
         slots: maximum number of concurrent requests.
         is_leaving: it is draining and gets no new work.
-        born_ms: see :class:`EndpointStart`.
+        born_ms: see :class:`EndpointIncarnation`.
     """
 
     instance: str
@@ -47,11 +47,11 @@
     born_ms: int | None = None
 
     @property
-    def start(self) -> EndpointStart:
+    def start(self) -> EndpointIncarnation:
         """The incarnation that the entry describes."""
-        return EndpointStart(self.instance, self.born_ms)
+        return EndpointIncarnation(self.instance, self.born_ms)
 
-    def took_address_of(self, other: "EndpointEntry") -> bool:
+    def reuses_address_of(self, other: "EndpointEntry") -> bool:
         """Whether this is a different endpoint known to have started later at the same address."""
         return (
             self.instance != other.instance
--- a/src/bayhinge/_internal/models/endpoints.py
+++ b/src/bayhinge/_internal/models/endpoints.py
@@ -5,7 +5,7 @@
 import attrs
 
 
-class EndpointState(StrEnum):
+class ListedEndpointState(StrEnum):
     """An endpoint's state in the platform's list."""
 
     LIVE = "live"
@@ -20,7 +20,7 @@
     pool: str
     hall: str
     address: str
-    state: EndpointState
+    state: ListedEndpointState
 
 
 @attrs.frozen
--- a/src/bayhinge/_internal/models/refusals.py
+++ b/src/bayhinge/_internal/models/refusals.py
@@ -161,11 +161,11 @@
     answered: bool = False
     started_before: bool = False
 
-    def note_send(self) -> None:
+    def record_send(self) -> None:
         """Counts a send; must be called before any byte goes to an endpoint."""
         self.sends += 1
 
-    def note_unsent(self) -> None:
+    def retract_send(self) -> None:
         """Reverts a send that can't have arrived, such as after a refused connection."""
         self.sends -= 1
 
--- a/src/bayhinge/_internal/models/routed_requests.py
+++ b/src/bayhinge/_internal/models/routed_requests.py
@@ -39,13 +39,13 @@
 
     Attributes:
         token_budget: output token limit over all turns of the program, or None.
-        most_tokens: output token limit of this turn.
+        max_output_tokens: output token limit of this turn.
         previous: the id of the turn that this one continues, or None for the first.
     """
 
     program: str
     token_budget: int | None
-    most_tokens: int
+    max_output_tokens: int
     previous: str | None
 
 
@@ -97,7 +97,7 @@
 
 
 @attrs.frozen
-class AnswerMarks:
+class AnswerMetadata:
     """Metadata from the headers of an endpoint's answer.
 
     Attributes:
--- a/src/bayhinge/_internal/models/routing.py
+++ b/src/bayhinge/_internal/models/routing.py
@@ -30,11 +30,11 @@
 
     Attributes:
         timeout_s: the longest time that a request may be held, in seconds.
-        objective_s: the latency objective, in seconds.
+        latency_objective_s: the latency objective, in seconds.
         urgency: 0 is the most urgent.
         max_endpoints: the number of endpoints that one request may be sent to.
-        keeps_turns: conversation history is retained; requests carry only new input.
-        keep_turns_s: how long a turn is retained, in seconds.
+        retains_turns: conversation history is retained; requests carry only new input.
+        turn_retention_s: how long a turn is retained, in seconds.
         is_resumable: an interrupted stream may be resumed after any of its events.
         pause_s: the objective for the gap between events, in seconds, or None.
         is_public: requests need no client account key.
@@ -46,11 +46,11 @@
     kind: RouteKind
     shares: tuple[ServiceShare, ...]
     timeout_s: float
-    objective_s: float
+    latency_objective_s: float
     urgency: int
     max_endpoints: int
-    keeps_turns: bool = False
-    keep_turns_s: float = 0.0
+    retains_turns: bool = False
+    turn_retention_s: float = 0.0
     is_resumable: bool = False
     pause_s: float | None = None
     is_public: bool = False
@@ -73,7 +73,7 @@
 
 
 @attrs.frozen
-class ClosedRoute:
+class InvalidRoute:
     """A route whose host and prefix are valid but whose other fields are not.
 
     Its requests are refused as not run, with a retry time. Without this entry they would get a 404
@@ -127,21 +127,21 @@
     """
 
     version: int
-    routes: tuple[Route | ClosedRoute, ...]
+    routes: tuple[Route | InvalidRoute, ...]
     services_by_name: dict[str, ServiceSpec]
     limits: RequestLimits
     findings: tuple[str, ...] = ()
     accounts: AccountTable | None = None
-    _route_by_host_and_prefix: dict[tuple[str, str], Route | ClosedRoute] = attrs.field(
+    _route_by_host_and_prefix: dict[tuple[str, str], Route | InvalidRoute] = attrs.field(
         init=False, eq=False, repr=False
     )
 
     @_route_by_host_and_prefix.default
-    def _index_routes(self) -> dict[tuple[str, str], Route | ClosedRoute]:
+    def _index_routes(self) -> dict[tuple[str, str], Route | InvalidRoute]:
         # Reversed, so that the first of two routes with the same host and prefix wins.
         return {(route.host, route.path_prefix): route for route in reversed(self.routes)}
 
-    def find(self, host: str, path: str) -> Route | ClosedRoute | None:
+    def find(self, host: str, path: str) -> Route | InvalidRoute | None:
         """Returns the route of ``host`` with the longest prefix of ``path``, or None.
 
         Prefixes end with a slash, so one lookup per slash in the path suffices, however many routes
--- a/src/bayhinge/_internal/network/datagrams.py
+++ b/src/bayhinge/_internal/network/datagrams.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 
-class Datagrams(asyncio.DatagramProtocol):
+class DatagramReceiver(asyncio.DatagramProtocol):
     """Passes the bytes of each received datagram to a callback."""
 
     def __init__(self, on_datagram: Callable[[bytes], None]) -> None:
--- a/src/bayhinge/_internal/network/endpoint_answer.py
+++ b/src/bayhinge/_internal/network/endpoint_answer.py
@@ -10,7 +10,7 @@
 from bayhinge._internal.models.routed_requests import RawHeaders
 
 
-class BrokenAnswerError(Exception):
+class IncompleteAnswerError(Exception):
     """The answer is incomplete; ``why`` is the reason.
 
     Attributes:
@@ -23,11 +23,11 @@
         self.cut_bytes = 0
 
 
-class SilentEndpointError(BrokenAnswerError):
+class SilentEndpointError(IncompleteAnswerError):
     """The answer is incomplete because the endpoint sent nothing for too long."""
 
 
-class UnreachableError(Exception):
+class EndpointUnreachableError(Exception):
     """No connection to the endpoint could be made, so nothing was sent."""
 
 
@@ -45,7 +45,7 @@
         """Yields the body's bytes as they arrive.
 
         Raises:
-            BrokenAnswerError: the body is incomplete.
+            IncompleteAnswerError: the body is incomplete.
         """
         try:
             while True:
@@ -54,12 +54,12 @@
                     return
                 yield piece
         except (ClientPayloadError, HttpProcessingError, ConnectionError) as error:
-            raise BrokenAnswerError(f"the body is incomplete: {error}") from error
+            raise IncompleteAnswerError(f"the body is incomplete: {error}") from error
 
     async def read_body(self) -> bytes:
         """Returns the whole body.
 
         Raises:
-            BrokenAnswerError: the body is incomplete.
+            IncompleteAnswerError: the body is incomplete.
         """
         return b"".join([piece async for piece in self.read_pieces()])
--- a/src/bayhinge/_internal/network/endpoint_client.py
+++ b/src/bayhinge/_internal/network/endpoint_client.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class EnginePiece:
+class EngineChunk:
     """A chunk of an engine's stream: text, tool calls, or the fields of the last chunks."""
 
     text: str = ""
@@ -46,7 +46,7 @@
 
 
 @attrs.frozen
-class EndpointTimes:
+class EndpointTimeouts:
     """Timeouts in seconds."""
 
     connect_s: float = 1.0
@@ -60,7 +60,7 @@
     @abstractmethod
     def complete(
         self, endpoint: str, address: str, request: EngineRequest
-    ) -> AsyncIterator[EnginePiece]:
+    ) -> AsyncIterator[EngineChunk]:
         """Streams an engine's answer.
 
         Raises:
@@ -101,7 +101,7 @@
 class HttpEndpointClient(EndpointClient):
     """The :class:`EndpointClient` over HTTP."""
 
-    def __init__(self, times: EndpointTimes) -> None:
+    def __init__(self, times: EndpointTimeouts) -> None:
         self._times = times
         self._session: aiohttp.ClientSession | None = None
         self._is_closed = False
@@ -119,7 +119,7 @@
 
     async def complete(
         self, endpoint: str, address: str, request: EngineRequest
-    ) -> AsyncIterator[EnginePiece]:
+    ) -> AsyncIterator[EngineChunk]:
         """See :class:`EndpointClient`."""
         times = self._times
         timeout = call_timeout(
@@ -225,13 +225,13 @@
     raise EndpointError(endpoint, f"status {response.status} {text}", ran, draining)
 
 
-def _parse_chunk(endpoint: str, line: bytes) -> EnginePiece:
+def _parse_chunk(endpoint: str, line: bytes) -> EngineChunk:
     try:
         chunk = orjson.loads(line)
         choice = chunk["choices"][0] if chunk.get("choices") else {}
         delta = choice.get("delta") or {}
         calls = delta.get("tool_calls")
-        return EnginePiece(
+        return EngineChunk(
             delta.get("content") or "",
             orjson.dumps(calls) if calls else None,
             choice.get("finish_reason"),
--- a/src/bayhinge/_internal/network/endpoint_link.py
+++ b/src/bayhinge/_internal/network/endpoint_connections.py
@@ -14,20 +14,20 @@
 from aiohttp.http_parser import HttpResponseParser
 from aiohttp.streams import StreamReader
 
-from bayhinge._internal.decisions.endpoint_starts import (
+from bayhinge._internal.decisions.endpoint_incarnations import (
     Contact,
-    NewStart,
-    is_surely_of,
+    NewIncarnation,
+    belongs_to,
 )
 from bayhinge._internal.network.addresses import split_address
 from bayhinge._internal.network.endpoint_answer import (
     Answer,
-    BrokenAnswerError,
+    EndpointUnreachableError,
+    IncompleteAnswerError,
     SilentEndpointError,
-    UnreachableError,
 )
-from bayhinge._internal.utils.running_time import running_timeout
 from bayhinge._internal.utils.silence import set_tcp_timeouts
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 
 READ_BUFFER_BYTES = 65_536
 """Buffer size of a body; beyond it reading from the endpoint is paused."""
@@ -157,10 +157,10 @@
                 connection is ended earlier.
 
         Raises:
-            UnreachableError: the connection is already closed; nothing was sent.
+            EndpointUnreachableError: the connection is already closed; nothing was sent.
         """
         if not self.is_open or self.transport is None or self.transport.is_closing():
-            raise UnreachableError(self._why_closed or "the connection is closed")
+            raise EndpointUnreachableError(self._why_closed or "the connection is closed")
         self.is_busy = True
         timeout_s = RETRYABLE_TCP_USER_TIMEOUT_S if is_retryable else TCP_USER_TIMEOUT_S
         self._set_tcp_timeouts(timeout_s)
@@ -170,11 +170,11 @@
         """Returns the next answer once its headers have arrived.
 
         Raises:
-            BrokenAnswerError: the connection ended before that.
+            IncompleteAnswerError: the connection ended before that.
         """
         while not self._answers:
             if not self.is_open:
-                kind = SilentEndpointError if self._timed_out else BrokenAnswerError
+                kind = SilentEndpointError if self._timed_out else IncompleteAnswerError
                 raise kind(self._why_closed)
             self._waiter = self._loop.create_future()
             await self._waiter
@@ -242,7 +242,7 @@
     dropped_with_surplus: int = 0
 
 
-class EndpointLinks:
+class EndpointConnectionPool:
     """A pool of idle connections, by endpoint instance."""
 
     def __init__(self) -> None:
@@ -254,7 +254,7 @@
         """Returns an idle connection of the pool, or a new one.
 
         Raises:
-            UnreachableError: the connection can't be made.
+            EndpointUnreachableError: the connection can't be made.
         """
         loop = asyncio.get_running_loop()
         idle = self._idle_by_key.get(key, [])
@@ -269,14 +269,14 @@
             connection.abort("idle for too long")
         host, port = split_address(address)
         try:
-            async with running_timeout(CONNECT_TIMEOUT_S):
+            async with stall_tolerant_timeout(CONNECT_TIMEOUT_S):
                 _, connection = await loop.create_connection(
                     lambda: EndpointConnection(loop, key, address, self._last_received_s_by_key),
                     host,
                     port,
                 )
         except (OSError, TimeoutError) as error:
-            raise UnreachableError(str(error) or type(error).__name__) from error
+            raise EndpointUnreachableError(str(error) or type(error).__name__) from error
         self.counts.opened += 1
         return connection
 
@@ -307,7 +307,7 @@
             if idle and idle[-1].is_open and now < idle[-1].reusable_until_s
         )
 
-    def was_heard_since(self, key: str, since_s: float) -> bool:
+    def has_received_since(self, key: str, since_s: float) -> bool:
         """Returns whether an endpoint has sent anything since a time on the loop's clock."""
         return self._last_received_s_by_key.get(key, 0.0) > since_s
 
@@ -316,10 +316,10 @@
         for connection in self._idle_by_key.pop(key, []):
             connection.abort("the endpoint was removed or timed out")
 
-    def start_again(self, key: str, start: NewStart) -> int:
+    def start_again(self, key: str, start: NewIncarnation) -> int:
         """Closes idle connections that may belong to a previous incarnation; returns how many."""
         idle = self._idle_by_key.pop(key, [])
-        kept = [connection for connection in idle if is_surely_of(connection.contact, start)]
+        kept = [connection for connection in idle if belongs_to(connection.contact, start)]
         for connection in idle:
             if connection not in kept:
                 connection.abort("the endpoint has restarted")
--- a/src/bayhinge/_internal/network/endpoint_list.py
+++ b/src/bayhinge/_internal/network/endpoint_list.py
@@ -8,7 +8,7 @@
 import attrs
 from attrs import validators
 
-from bayhinge._internal.models.endpoints import Endpoint, EndpointState
+from bayhinge._internal.models.endpoints import Endpoint, ListedEndpointState
 from bayhinge._internal.utils.checked_fields import InvalidTableError, parse_form, text
 from bayhinge._internal.utils.http_session import call_timeout
 
@@ -21,7 +21,9 @@
     pool: str = attrs.field(validator=text())
     hall: str = attrs.field(validator=text())
     address: str = attrs.field(validator=text())
-    state: str = attrs.field(validator=validators.in_([state.value for state in EndpointState]))
+    state: str = attrs.field(
+        validator=validators.in_([state.value for state in ListedEndpointState])
+    )
 
 
 class EndpointList(ABC):
@@ -72,7 +74,7 @@
         except InvalidTableError as error:
             findings.append(str(error))
             continue
-        state = EndpointState(form.state)
+        state = ListedEndpointState(form.state)
         found.append(Endpoint(form.name, form.pool, form.hall, form.address, state))
     if findings:
         logger.warning("skipped %d invalid endpoint list entries: %s", len(findings), findings[:3])
--- a/src/bayhinge/_internal/network/front.py
+++ b/src/bayhinge/_internal/network/front.py
@@ -153,7 +153,7 @@
         wants_stream: bool,
     ) -> web.StreamResponse:
         """Serves a call without a program header as a program of its own."""
-        begun = await self._handler.begin_single(account)
+        begun = await self._handler.open_single_call_program(account)
         if begun.is_error():
             raise RefusedError(begun.error)
         program = begun.ok
@@ -163,7 +163,7 @@
             response = await self._answer_chat(request, own, self._handler.call(own), wants_stream)
             reason = "its one call has ended"
         finally:
-            await self._handler.end_single(account, program, reason)
+            await self._handler.end_single_call_program(account, program, reason)
         return response
 
     async def _answer_chat(
@@ -205,7 +205,7 @@
                     if not response.prepared:
                         # Delayed until here, so that a refused call still gets its error status.
                         await response.prepare(request)
-                        self._handler.note_latency("first_token", loop.time() - started)
+                        self._handler.record_latency("first_token", loop.time() - started)
                     if isinstance(item, AnswerPart):
                         offset = item.offset + len(item.text)
                         await response.write(part_event(incoming.program, incoming.target, item))
@@ -232,14 +232,16 @@
             request, account, program, CallKind.SERVICE, name, body
         )
         if not program:
-            begun = await self._handler.begin_single(account)
+            begun = await self._handler.open_single_call_program(account)
             if begun.is_error():
                 raise RefusedError(begun.error)
             try:
                 own = _for_program(incoming, begun.ok)
                 return await self._answer_service(own)
             finally:
-                await self._handler.end_single(account, begun.ok, "its one call has ended")
+                await self._handler.end_single_call_program(
+                    account, begun.ok, "its one call has ended"
+                )
         return await self._answer_service(incoming)
 
     async def _answer_service(self, incoming: IncomingCall) -> web.Response:
--- a/src/bayhinge/_internal/network/front_handler.py
+++ b/src/bayhinge/_internal/network/front_handler.py
@@ -52,12 +52,14 @@
         """Returns the names of the models that pools serve."""
 
     @abstractmethod
-    async def begin_single(self, account: ClientAccount) -> Result[str, Refusal]:
+    async def open_single_call_program(self, account: ClientAccount) -> Result[str, Refusal]:
         """Opens a program for a single call, for requests without a program."""
 
     @abstractmethod
-    async def end_single(self, account: ClientAccount, program: str, reason: str) -> None:
-        """Ends a program opened by :meth:`begin_single`."""
+    async def end_single_call_program(
+        self, account: ClientAccount, program: str, reason: str
+    ) -> None:
+        """Ends a program opened by :meth:`open_single_call_program`."""
 
     @abstractmethod
     async def open_program(
@@ -118,5 +120,5 @@
         """Returns the metrics in the Prometheus text format."""
 
     @abstractmethod
-    def note_latency(self, what: str, seconds: float) -> None:
+    def record_latency(self, what: str, seconds: float) -> None:
         """Adds a latency to its histogram."""
--- a/src/bayhinge/_internal/network/peer_client.py
+++ b/src/bayhinge/_internal/network/peer_client.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.network.addresses import split_address
 from bayhinge._internal.network.peer_link import PeerLink
 from bayhinge._internal.network.peers import Peers
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.frames.ttypes import Frame, FrameKind
 from bayhinge.coordination.clock import HybridClock
 
@@ -89,14 +89,14 @@
     def _retire_link(self, link: "_ClientLink", address: str) -> None:
         """Retires a suspected connection; open streams on it may still be answered."""
         if link.is_open:
-            self.left_silent += 1
+            self.abandoned_connections += 1
             eliot.log_message("peer.left_silent_connection", address=address)
             link.retire()
 
     async def _connect(self, address: str) -> "_ClientLink":
         host, port = split_address(address)
         try:
-            async with running_timeout(self._connect_s):
+            async with stall_tolerant_timeout(self._connect_s):
                 _, link = await asyncio.get_running_loop().create_connection(
                     lambda: _ClientLink(self._clock), host, port
                 )
--- a/src/bayhinge/_internal/network/peer_server.py
+++ b/src/bayhinge/_internal/network/peer_server.py
@@ -7,7 +7,7 @@
 from bayhinge._internal.models.refusals import RefusalCode, RefusedError, refuse_unaccepted
 from bayhinge._internal.network.addresses import split_address
 from bayhinge._internal.network.peer_link import PeerLink
-from bayhinge._internal.network.peers import AnsweringHandler, PeerHandler, PeerListener
+from bayhinge._internal.network.peers import PeerHandler, PeerListener, UnaryPeerHandler
 from bayhinge._internal.wire.frames.ttypes import Frame, FrameKind
 from bayhinge.coordination.clock import HybridClock
 
@@ -73,7 +73,7 @@
     async def _serve(self, frame: Frame) -> None:
         stream, method, payload = frame.stream, frame.method or "", frame.payload or b""
         try:
-            if isinstance(self._handler, AnsweringHandler):
+            if isinstance(self._handler, UnaryPeerHandler):
                 answer = await self._handler.answer(method, payload)
                 self._send(stream, FrameKind.END, None, answer)
                 return
--- a/src/bayhinge/_internal/network/peers.py
+++ b/src/bayhinge/_internal/network/peers.py
@@ -18,7 +18,7 @@
         """
 
 
-class AnsweringHandler(PeerHandler):
+class UnaryPeerHandler(PeerHandler):
     """A handler whose methods all answer with one message."""
 
     @abstractmethod
@@ -38,10 +38,10 @@
     """The client for requests to all other hosts.
 
     Attributes:
-        left_silent: number of connections that were replaced because they were unresponsive.
+        abandoned_connections: number of connections replaced because they were unresponsive.
     """
 
-    left_silent = 0
+    abandoned_connections = 0
 
     @abstractmethod
     def stream(self, address: str, method: str, payload: bytes) -> AsyncGenerator[bytes, None]:
--- a/src/bayhinge/_internal/network/routed_front.py
+++ b/src/bayhinge/_internal/network/routed_front.py
@@ -16,7 +16,7 @@
 from bayhinge._internal import status_codes
 from bayhinge._internal.models.routed_requests import RawHeaders
 from bayhinge._internal.network.addresses import split_address
-from bayhinge._internal.utils.early_sockets import BACKLOG, EarlySockets
+from bayhinge._internal.utils.prebound_sockets import BACKLOG, PreboundSockets
 from bayhinge._internal.utils.silence import set_tcp_timeouts
 
 MAX_HEADER_BYTES = 65_536
@@ -141,9 +141,9 @@
     """An HTTP server on one address."""
 
     def __init__(
-        self, address: str, handler: ExchangeHandler, sockets: EarlySockets | None = None
+        self, address: str, handler: ExchangeHandler, sockets: PreboundSockets | None = None
     ) -> None:
-        self._sockets = sockets or EarlySockets()
+        self._sockets = sockets or PreboundSockets()
         self._address = address
         self._handler = handler
         self._server: Server | None = None
--- a/src/bayhinge/_internal/network/stream_splice.py
+++ b/src/bayhinge/_internal/network/stream_splice.py
@@ -43,7 +43,7 @@
         self.all_numbered = True
 
     @property
-    def may_go_on(self) -> bool:
+    def can_resume(self) -> bool:
         """Whether another run can resume the stream."""
         return self.all_numbered
 
--- a/src/bayhinge/_internal/platform/call_format.py
+++ b/src/bayhinge/_internal/platform/call_format.py
@@ -4,7 +4,7 @@
 
 from bayhinge._internal.models.account_keys import hash_key
 from bayhinge._internal.models.routed_requests import (
-    AnswerMarks,
+    AnswerMetadata,
     HeaderFinding,
     PromptPart,
     RawHeaders,
@@ -12,7 +12,7 @@
     RoutedRequest,
     TurnContext,
 )
-from bayhinge._internal.services.gateway.outside import CallFormat
+from bayhinge._internal.services.gateway.platform_interface import CallFormat
 
 ATTEMPT = b"bayhinge-attempt-id"
 DEADLINE = b"bayhinge-deadline-ms"
@@ -132,11 +132,11 @@
             lines.append(f"Content-Length: {body_bytes}".encode())
         return b"\r\n".join(lines) + b"\r\n\r\n"
 
-    def read_answer(self, status: int, headers: RawHeaders) -> AnswerMarks:
+    def read_answer(self, status: int, headers: RawHeaders) -> AnswerMetadata:
         """See :class:`CallFormat`."""
         value_by_name = {name.lower(): value for name, value in headers}
         attempt = value_by_name.get(ATTEMPT)
-        return AnswerMarks(
+        return AnswerMetadata(
             attempt=None if attempt is None else attempt.decode("latin-1"),
             is_signed=SIGNATURE in value_by_name,
             not_run=NOT_RUN in value_by_name,
@@ -210,15 +210,15 @@
     budget = _parse_count(value_by_name.get(BUDGET), "Bayhinge-Token-Budget", _TURN, findings)
     usage = value_by_name.get(USAGE, b"")
     _, _, most = usage.partition(b",")
-    most_tokens = _parse_count(most or None, "Bayhinge-Token-Usage", _TURN, findings)
-    if most_tokens is None and budget is not None and not findings:
+    max_output_tokens = _parse_count(most or None, "Bayhinge-Token-Usage", _TURN, findings)
+    if max_output_tokens is None and budget is not None and not findings:
         why = "Bayhinge-Token-Usage: a turn with a token budget must state its output token limit"
         findings.append(HeaderFinding(_TURN, why))
     previous = value_by_name.get(PREVIOUS)
     return TurnContext(
         program=program.decode("latin-1"),
         token_budget=budget,
-        most_tokens=most_tokens or 0,
+        max_output_tokens=max_output_tokens or 0,
         previous=None if previous is None else previous.decode("latin-1"),
     )
 
--- a/src/bayhinge/_internal/platform/disk_program.py
+++ b/src/bayhinge/_internal/platform/disk_program.py
@@ -7,7 +7,7 @@
 from bayhinge._internal.platform.retirements import RetirementListener
 from bayhinge._internal.services.disks.disk_host import DiskHost
 from bayhinge._internal.services.keep_running import keep_running
-from bayhinge._internal.services.key_follower import KeyFollower
+from bayhinge._internal.services.prefix_follower import PrefixFollower
 
 RETIREMENT_WAIT_S = 6.0
 """Long-poll time of one watch call for retirements. Short, because a watch that hangs through an
@@ -21,7 +21,7 @@
         super().__init__()
         self._store = PlatformObjects(settings.store_address)
         self._disk = DiskHost(settings, self._store)
-        self._follower = KeyFollower(
+        self._follower = PrefixFollower(
             self._store,
             f"{RETIREMENTS_KIND}/",
             lambda: RETIREMENT_WAIT_S,
--- a/src/bayhinge/_internal/platform/early_listening.py
+++ b/src/bayhinge/_internal/platform/early_listening.py
@@ -5,7 +5,7 @@
 import tomllib
 from pathlib import Path
 
-from bayhinge._internal.utils.early_sockets import EarlySockets
+from bayhinge._internal.utils.prebound_sockets import PreboundSockets
 
 SETTINGS_VARIABLE = "BAYHINGE_NODE_FILE"
 
@@ -13,12 +13,12 @@
 """Listening addresses to open early; not the readiness address, as a loading host is not ready."""
 
 
-def listen_early() -> EarlySockets:
+def listen_early() -> PreboundSockets:
     """Listens at the addresses in the settings file.
 
     Errors are only printed, since the program itself validates the settings and reports findings.
     """
-    sockets = EarlySockets()
+    sockets = PreboundSockets()
     try:
         with Path(os.environ.get(SETTINGS_VARIABLE, "")).open("rb") as file:
             addresses = tomllib.load(file)["listen"]
--- a/src/bayhinge/_internal/platform/entry_calls.py
+++ b/src/bayhinge/_internal/platform/entry_calls.py
@@ -32,7 +32,7 @@
             await exchange.respond(status, (), b"")
         elif path == METRICS_PATH:
             # Imported on first use, to save memory on hosts whose metrics are not scraped.
-            from bayhinge._internal.services.gateway.figures import entry_metrics
+            from bayhinge._internal.services.gateway.metrics import entry_metrics
 
             await exchange.respond(status_codes.HTTP_OK, _TEXT, entry_metrics(self._gateway))
         elif path == RESOLVE_PATH:
--- a/src/bayhinge/_internal/platform/entry_program.py
+++ b/src/bayhinge/_internal/platform/entry_program.py
@@ -14,8 +14,8 @@
     PlatformObjects,
 )
 from bayhinge._internal.services.gateway.gateway import Gateway
-from bayhinge._internal.services.gateway.outside import Platform
-from bayhinge._internal.utils.early_sockets import EarlySockets
+from bayhinge._internal.services.gateway.platform_interface import Platform
+from bayhinge._internal.utils.prebound_sockets import PreboundSockets
 
 METRICS_PORT = 9464
 """Port of the metrics page, as in the deploy file; outside the port ranges used by tests."""
@@ -24,9 +24,9 @@
 class EntryProgram(Service):
     """An entry host: a gateway and the HTTP endpoints for the platform."""
 
-    def __init__(self, settings: SiteSettings, sockets: EarlySockets | None = None) -> None:
+    def __init__(self, settings: SiteSettings, sockets: PreboundSockets | None = None) -> None:
         super().__init__()
-        sockets = sockets or EarlySockets()
+        sockets = sockets or PreboundSockets()
         store = PlatformObjects(settings.store_address)
         self._gateway = Gateway(
             settings,
--- a/src/bayhinge/_internal/platform/object_reader.py
+++ b/src/bayhinge/_internal/platform/object_reader.py
@@ -8,15 +8,15 @@
 from bayhinge._internal.exceptions import UnreadableObjectError
 from bayhinge._internal.models.account_keys import (
     AccountTable,
-    ClosedAccount,
+    InvalidAccount,
     Quota,
     RoutedAccount,
     hash_key,
 )
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.routing import (
-    ClosedRoute,
     EngineSpec,
+    InvalidRoute,
     RequestLimits,
     Route,
     RouteKind,
@@ -26,7 +26,7 @@
 )
 from bayhinge._internal.platform import object_forms as forms
 from bayhinge._internal.platform.objects_api import CONFIGURATION_KEY
-from bayhinge._internal.services.gateway.outside import ObjectReader
+from bayhinge._internal.services.gateway.platform_interface import ObjectReader
 from bayhinge._internal.utils.checked_fields import SHOWN, InvalidTableError, parse_form
 
 KIND_BY_NAME = {
@@ -115,7 +115,7 @@
             return None
         return AccountTable(tuple(self._decode_account(item) for item in self._whole.tenants))
 
-    def _decode_account(self, item: Any) -> RoutedAccount | ClosedAccount:
+    def _decode_account(self, item: Any) -> RoutedAccount | InvalidAccount:
         """Decodes an account; requests with the keys of an invalid one are refused.
 
         An invalid urgency alone is ignored, and the route's urgency applies.
@@ -127,7 +127,7 @@
             form = parse_form(forms.AccountForm, item)
         except InvalidTableError as error:
             self._findings.append(f"account '{name}': {error}")
-            return ClosedAccount(name, digests, str(error))
+            return InvalidAccount(name, digests, str(error))
         quota = Quota(float(form.rate_per_s), float(form.burst or 0)) if form.rate_per_s else None
         return RoutedAccount(
             form.name, digests, self._decode_account_urgency(name, table.get("priority")), quota
@@ -161,7 +161,7 @@
             self._findings.append(f"service '{name[:SHOWN]}': {error}")
             self._invalid_services.add(name)
 
-    def _decode_route(self, item: Any) -> Route | ClosedRoute:
+    def _decode_route(self, item: Any) -> Route | InvalidRoute:
         name = str(item.get("name", "?"))[:SHOWN] if isinstance(item, dict) else "?"
         try:
             place = parse_form(forms.RouteKeyForm, item)
@@ -172,7 +172,7 @@
             route = self._decode_checked_route(name, host, place.path_prefix, item)
         except InvalidTableError as error:
             self._findings.append(f"route '{name}': {error}")
-            return ClosedRoute(name, host, place.path_prefix, str(error))
+            return InvalidRoute(name, host, place.path_prefix, str(error))
         return route
 
     def _decode_checked_route(self, name: str, host: str, path_prefix: str, item: Any) -> Route:
@@ -192,11 +192,11 @@
             kind=kind,
             shares=self._decode_shares(form),
             timeout_s=form.timeout_ms / 1000,
-            objective_s=slo_ms / 1000,
+            latency_objective_s=slo_ms / 1000,
             urgency=DEFAULT_URGENCY if form.priority is None else form.priority,
             max_endpoints=form.attempts or DEFAULT_ATTEMPTS_BY_KIND[kind],
-            keeps_turns=bool(form.retained),
-            keep_turns_s=float(form.retention_s or 0.0),
+            retains_turns=bool(form.retained),
+            turn_retention_s=float(form.retention_s or 0.0),
             is_resumable=kind is RouteKind.STREAMING and bool(form.resumable),
             pause_s=None if form.gap_slo_ms is None else form.gap_slo_ms / 1000,
             is_public=bool(form.public),
--- a/src/bayhinge/_internal/platform/objects_api.py
+++ b/src/bayhinge/_internal/platform/objects_api.py
@@ -35,7 +35,7 @@
     PollingStore,
     StoredObject,
 )
-from bayhinge.coordination.store_contact import StoreContact
+from bayhinge.coordination.store_availability import StoreAvailability
 
 CALL_TIMEOUT_S = 1.0
 """Timeout of one call; a healthy store answers within milliseconds."""
@@ -73,11 +73,11 @@
         """Makes a client of the store at ``ip:port``."""
         self._base_url = f"http://{address}/-/objects"
         self._session: aiohttp.ClientSession | None = None
-        self._contact = StoreContact()
+        self._contact = StoreAvailability()
         self.calls = 0
 
     @property
-    def contact(self) -> StoreContact:
+    def contact(self) -> StoreAvailability:
         """See :class:`PollingStore`."""
         return self._contact
 
@@ -191,7 +191,7 @@
                 text = await response.read()
             content = _decode_json(text) if text else {}
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            self._contact.note_failure(is_silent=isinstance(error, TimeoutError))
+            self._contact.record_failure(is_silent=isinstance(error, TimeoutError))
             raise StoreUnavailableError(what, str(error) or type(error).__name__) from error
         except (ValueError, RecursionError) as error:
             raise _invalid_answer_error(what, error) from error
@@ -201,9 +201,9 @@
     def _record_status(self, status: int) -> None:
         is_rate_limited = status == status_codes.HTTP_TOO_MANY_REQUESTS
         if is_rate_limited or status >= status_codes.HTTP_SERVER_ERROR:
-            self._contact.note_failure(is_silent=False)
+            self._contact.record_failure(is_silent=False)
         else:
-            self._contact.note_answer()
+            self._contact.record_answer()
 
 
 def _check_status(what: str, status: int, content: Any) -> _Answer:
--- a/src/bayhinge/_internal/platform/programs.py
+++ b/src/bayhinge/_internal/platform/programs.py
@@ -15,25 +15,25 @@
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.platform.early_listening import SETTINGS_VARIABLE
 from bayhinge._internal.platform.settings_file import read_settings
-from bayhinge._internal.utils.early_sockets import EarlySockets
 from bayhinge._internal.utils.log_output import LogOutput
+from bayhinge._internal.utils.prebound_sockets import PreboundSockets
 
 
 # Each program is imported only when it is started, to save start-up time and memory: an entry host
 # does not need the turn log, and a disk host does not need the HTTP server.
-def _entry(settings: SiteSettings, sockets: EarlySockets) -> Service:
+def _entry(settings: SiteSettings, sockets: PreboundSockets) -> Service:
     from bayhinge._internal.platform.entry_program import EntryProgram
 
     return EntryProgram(settings, sockets)
 
 
-def _disk(settings: SiteSettings, sockets: EarlySockets) -> Service:
+def _disk(settings: SiteSettings, sockets: PreboundSockets) -> Service:
     from bayhinge._internal.platform.disk_program import DiskProgram
 
     return DiskProgram(settings)
 
 
-PROGRAM_BY_NAME: dict[str, Callable[[SiteSettings, EarlySockets], Service]] = {
+PROGRAM_BY_NAME: dict[str, Callable[[SiteSettings, PreboundSockets], Service]] = {
     "entry": _entry,
     "disk": _disk,
 }
@@ -59,7 +59,7 @@
     eliot.log_message("settings.reloaded", findings=findings)
 
 
-def run(arguments: list[str], sockets: EarlySockets | None = None) -> int:
+def run(arguments: list[str], sockets: PreboundSockets | None = None) -> int:
     """Runs the program named by the first argument; returns its exit status.
 
     ``sockets`` are sockets that already listen for the program.
@@ -76,5 +76,5 @@
             print(finding, file=sys.stderr)
         return status_codes.EXIT_BAD_SETTINGS
     eliot.add_destinations(LogOutput(sys.stdout.fileno(), read.ok.host))
-    asyncio.run(_run(program(read.ok, sockets or EarlySockets()), path))
+    asyncio.run(_run(program(read.ok, sockets or PreboundSockets()), path))
     return status_codes.EXIT_OK
--- a/src/bayhinge/_internal/platform/retirements.py
+++ b/src/bayhinge/_internal/platform/retirements.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.platform.objects_api import RETIREMENTS_KIND, PlatformObjects
 from bayhinge._internal.services.disks.disk_host import DiskHost
 from bayhinge._internal.services.keep_running import keep_running
-from bayhinge._internal.services.key_follower import FollowListener
+from bayhinge._internal.services.prefix_follower import ObjectListener
 from bayhinge.coordination.errors import StoreError
 from bayhinge.coordination.store import Change
 
@@ -20,7 +20,7 @@
 """Retry delay after a failed status write."""
 
 
-class RetirementListener(FollowListener):
+class RetirementListener(ObjectListener):
     """Starts the retirement of this disk host on request, and reports its status."""
 
     def __init__(self, store: PlatformObjects, disk: DiskHost) -> None:
@@ -30,12 +30,12 @@
         self._key = f"{RETIREMENTS_KIND}/{disk.settings.host}"
 
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
-        """See :class:`FollowListener`."""
+        """See :class:`ObjectListener`."""
         if self._key in value_by_key:
             self._handle_request(value_by_key[self._key])
 
     def apply(self, change: Change, is_after_outage: bool) -> None:
-        """See :class:`FollowListener`."""
+        """See :class:`ObjectListener`."""
         if change.key == self._key and change.value is not None:
             self._handle_request(change.value)
 
--- a/src/bayhinge/_internal/services/call_runner.py
+++ b/src/bayhinge/_internal/services/call_runner.py
@@ -18,7 +18,7 @@
 from bayhinge._internal.models.programs import ProgramState
 from bayhinge._internal.models.refusals import CallAttempt, Figure, RefusalCode, RefusedError
 from bayhinge._internal.models.settings import Settings
-from bayhinge._internal.network.endpoint_client import EndpointClient, EnginePiece, EngineRequest
+from bayhinge._internal.network.endpoint_client import EndpointClient, EngineChunk, EngineRequest
 from bayhinge._internal.services.answers import LiveAnswer
 from bayhinge._internal.services.grants import GrantedEndpoint, GrantSource
 from bayhinge._internal.services.timeline import Timeline
@@ -76,7 +76,7 @@
 
     def begin_attempt(self) -> None:
         """Clears everything but text that a failed attempt has collected."""
-        self.attempt.note_send()
+        self.attempt.record_send()
         self.attempts += 1
         self.tool_calls.clear()
         self.usage = Usage()
@@ -223,7 +223,7 @@
             if error.may_have_run:
                 await self._charge_failed_attempt(prepared, progress, pieces)
             else:
-                progress.attempt.note_unsent()
+                progress.attempt.retract_send()
             raise
         finally:
             if outcome is Outcome.CANCELLED:
@@ -278,7 +278,7 @@
             fields["resume_offset"] = offset
         return EngineRequest(request_id, splice(fields, prepared.prompt))
 
-    def _apply_piece(self, piece: EnginePiece, live: LiveAnswer, progress: _Progress) -> None:
+    def _apply_piece(self, piece: EngineChunk, live: LiveAnswer, progress: _Progress) -> None:
         live.add(piece.text)
         if piece.tool_calls is not None:
             merge_tool_calls(progress.tool_calls, piece.tool_calls)
@@ -303,7 +303,7 @@
             if before_send is not None:
                 await before_send(granted.endpoint, progress.attempt)
             timeout_s = min(settings.timeout_seconds, max(0.05, prepared.deadline - loop.time()))
-            progress.attempt.note_send()
+            progress.attempt.record_send()
             progress.attempts += 1
             answer = await self._endpoints.call_service(
                 granted.endpoint, granted.address, work, timeout_s
@@ -312,7 +312,7 @@
         except EndpointError as error:
             outcome = _outcome_of(error)
             if not error.may_have_run:
-                progress.attempt.note_unsent()
+                progress.attempt.retract_send()
             raise
         except RefusedError:
             outcome = Outcome.CANCELLED
--- a/src/bayhinge/_internal/services/disks/disk_host.py
+++ b/src/bayhinge/_internal/services/disks/disk_host.py
@@ -62,7 +62,7 @@
         await self.gossip.start()
         self.gossip.me.phase = wire.HostPhase.READY
         self.gossip.me.disk_set_version = self.disk_set.version
-        self.gossip.on_hello = self._on_heartbeat
+        self.gossip.on_heartbeat = self._on_heartbeat
         self.gossip.describe = self._describe
         eliot.log_message(
             "disk.started",
--- a/src/bayhinge/_internal/services/disks/disk_request_handler.py
+++ b/src/bayhinge/_internal/services/disks/disk_request_handler.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.models.refusals import RefusalCode, RefusedError, refuse_unaccepted
 from bayhinge._internal.network.frames import decode_message, encode_message
-from bayhinge._internal.network.peers import AnsweringHandler
+from bayhinge._internal.network.peers import UnaryPeerHandler
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.disks.copy_limits import KEYS_PER_CALL
 from bayhinge._internal.services.disks.disk_state import DiskState
@@ -23,7 +23,7 @@
 }
 
 
-class DiskRequestHandler(AnsweringHandler):
+class DiskRequestHandler(UnaryPeerHandler):
     """Handles the requests to a disk host."""
 
     def __init__(self, disk: DiskState) -> None:
@@ -39,7 +39,7 @@
         }
 
     async def answer(self, method: str, payload: bytes) -> bytes:
-        """See :class:`AnsweringHandler`."""
+        """See :class:`UnaryPeerHandler`."""
         handler = self._handlers.get(method)
         if handler is None:
             raise FrameError(f"unknown disk host method '{method}'")
--- a/src/bayhinge/_internal/services/disks/disk_state.py
+++ b/src/bayhinge/_internal/services/disks/disk_state.py
@@ -10,7 +10,7 @@
 
 import eliot
 
-from bayhinge._internal.decisions.disk_placement import places_of
+from bayhinge._internal.decisions.disk_placement import replicas_of
 from bayhinge._internal.exceptions import FrameError, PeerFailureError, PeerUnreachableError
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.frames import decode_message, encode_message
@@ -21,7 +21,7 @@
 from bayhinge._internal.services.disks.turn_log import TurnLog
 from bayhinge._internal.services.gossip import Gossip
 from bayhinge._internal.utils.durable_files import replace_synced
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 DISK_SET_FILE = "disk-set"
@@ -69,7 +69,7 @@
             members = [*self.disk_set.members, member]
             tolerated = self.settings.tolerated_disks
             return [
-                key for key, program in keys if member in places_of(program, members, tolerated)
+                key for key, program in keys if member in replicas_of(program, members, tolerated)
             ]
         return [key for key, program in keys if member.host in self._replica_hosts(program)]
 
@@ -77,7 +77,7 @@
         hosts = self._hosts_by_program.get(program)
         if hosts is None:
             tolerated = self.settings.tolerated_disks
-            replicas = places_of(program, self.disk_set.members, tolerated)
+            replicas = replicas_of(program, self.disk_set.members, tolerated)
             hosts = {member.host for member in replicas}
             self._hosts_by_program[program] = hosts
         return hosts
@@ -119,7 +119,7 @@
     async def call(self, address: str, method: str, payload: bytes) -> bytes | None:
         """Calls another host; returns its answer, or None where the call failed."""
         try:
-            async with running_timeout(CALL_TIMEOUT_S):
+            async with stall_tolerant_timeout(CALL_TIMEOUT_S):
                 return await self.peers.call(address, method, payload)
         except (TimeoutError, PeerUnreachableError, PeerFailureError) as error:
             eliot.log_message(
--- a/src/bayhinge/_internal/services/disks/turn_index.py
+++ b/src/bayhinge/_internal/services/disks/turn_index.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.wire.hosts.ttypes import EntryKind, TurnEntry
 
 MIN_RETENTION_S = 90.0
@@ -29,7 +29,7 @@
 
     location: Location
     previous: str | None
-    run_at: EndpointStart
+    run_at: EndpointIncarnation
     program: str
     account: str | None
 
@@ -76,7 +76,7 @@
         self._ledger_by_program: dict[str, ProgramLedger] = {}
         self._lifetime_by_program: dict[str, ProgramLifetime] = {}
         self._keys_by_segment: dict[int, list[tuple[str, str]]] = {}
-        self._incarnations: dict[EndpointStart, EndpointStart] = {}
+        self._incarnations: dict[EndpointIncarnation, EndpointIncarnation] = {}
         self._dropped_keys = 0
         self.now_s = now_s
 
@@ -158,9 +158,9 @@
             )
             self._record_dependency(entry)
 
-    def _incarnation_of(self, entry: TurnEntry) -> EndpointStart:
+    def _incarnation_of(self, entry: TurnEntry) -> EndpointIncarnation:
         """Returns the endpoint incarnation that ran a turn, as one object shared by its turns."""
-        start = EndpointStart(entry.endpoint or "", entry.endpoint_born_ms)
+        start = EndpointIncarnation(entry.endpoint or "", entry.endpoint_born_ms)
         return self._incarnations.setdefault(start, start)
 
     def _record_dependency(self, entry: TurnEntry) -> None:
--- a/src/bayhinge/_internal/services/disks/turn_log.py
+++ b/src/bayhinge/_internal/services/disks/turn_log.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.services.disks.log_frames import HEADER_BYTES, encode_frame, read_frames
 from bayhinge._internal.services.disks.turn_index import (
@@ -43,7 +43,7 @@
     """
 
     text: bytes = b""
-    run_at: EndpointStart = EndpointStart()
+    run_at: EndpointIncarnation = EndpointIncarnation()
     missing: str | None = None
     account: str | None = None
 
@@ -77,7 +77,7 @@
     def chain(self, last: str) -> Chain:
         """Returns the chain that ends with a turn, its texts joined from the oldest on."""
         texts: list[bytes] = []
-        run_at = EndpointStart()
+        run_at = EndpointIncarnation()
         attempt: str | None = last
         newest = self._index.turn(last)
         account = None if newest is None else newest.account
--- a/src/bayhinge/_internal/services/front_service.py
+++ b/src/bayhinge/_internal/services/front_service.py
@@ -63,11 +63,13 @@
         pools = self._parts.settings.pools_by_name.values()
         return sorted({model for pool in pools for model in pool.models})
 
-    async def begin_single(self, account: ClientAccount) -> Result[str, Refusal]:
+    async def open_single_call_program(self, account: ClientAccount) -> Result[str, Refusal]:
         """See :class:`FrontHandler`."""
-        return await self._opener.begin_single(account)
+        return await self._opener.open_single_call_program(account)
 
-    async def end_single(self, account: ClientAccount, program: str, reason: str) -> None:
+    async def end_single_call_program(
+        self, account: ClientAccount, program: str, reason: str
+    ) -> None:
         """See :class:`FrontHandler`."""
         # In the background: the caller has its answer and need not wait for durability.
         verb = "end" if reason == "its one call has ended" else "cancel"
@@ -169,7 +171,7 @@
         }
         return metrics_page(self._parts.latencies, gauges)
 
-    def note_latency(self, what: str, seconds: float) -> None:
+    def record_latency(self, what: str, seconds: float) -> None:
         """See :class:`FrontHandler`."""
         self._parts.latencies.add(what, seconds)
 
--- a/src/bayhinge/_internal/services/gateway/active_runs.py
+++ b/src/bayhinge/_internal/services/gateway/active_runs.py
@@ -2,9 +2,9 @@
 
 import attrs
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBelief
-from bayhinge._internal.decisions.endpoint_starts import NewStart, is_over
-from bayhinge._internal.network.endpoint_link import EndpointConnection
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation, is_over
+from bayhinge._internal.decisions.endpoint_table import EndpointState
+from bayhinge._internal.network.endpoint_connections import EndpointConnection
 
 ENDED_REASON = "the endpoint has restarted"
 
@@ -20,7 +20,7 @@
         is_ended: the incarnation has ended, or another endpoint has its address.
     """
 
-    state: EndpointBelief
+    state: EndpointState
     connection: EndpointConnection | None = None
     is_ended: bool = False
 
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self._runs_by_endpoint: dict[str, set[ActiveRun]] = {}
 
-    def begin(self, state: EndpointBelief) -> ActiveRun:
+    def begin(self, state: EndpointState) -> ActiveRun:
         """Adds a run at an endpoint."""
         run = ActiveRun(state)
         state.running_here += 1
@@ -51,7 +51,7 @@
         if not runs:
             del self._runs_by_endpoint[run.endpoint]
 
-    def handle_restart(self, newest: EndpointBelief, incarnation: NewStart) -> tuple[int, int]:
+    def handle_restart(self, newest: EndpointState, incarnation: NewIncarnation) -> tuple[int, int]:
         """Ends the runs of earlier incarnations, and counts the others at the newest one.
 
         Returns how many ended, and how many continue.
@@ -68,7 +68,7 @@
             continued += 1
         return len(runs) - continued, continued
 
-    def handle_replacement(self, endpoint: str, incarnation: NewStart) -> int:
+    def handle_replacement(self, endpoint: str, incarnation: NewIncarnation) -> int:
         """Ends the runs of an endpoint whose address another has taken; returns how many."""
         ended = 0
         for run in self._runs_by_endpoint.get(endpoint, set()):
@@ -79,7 +79,7 @@
         return ended
 
 
-def _is_stale(run: ActiveRun, incarnation: NewStart) -> bool:
+def _is_stale(run: ActiveRun, incarnation: NewIncarnation) -> bool:
     if run.connection is None:
         return run.state.entry.address != incarnation.address
     return is_over(run.connection.contact, incarnation)
--- a/src/bayhinge/_internal/services/gateway/admission.py
+++ b/src/bayhinge/_internal/services/gateway/admission.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from bayhinge._internal.models.account_keys import ClosedAccount, RoutedAccount
+from bayhinge._internal.models.account_keys import InvalidAccount, RoutedAccount
 from bayhinge._internal.models.refusals import (
     Figure,
     Refusal,
@@ -102,7 +102,7 @@
                     RefusalCode.UNAUTHORIZED, f"the request {shown}", self._proof_age()
                 )
             )
-        if isinstance(account, ClosedAccount):
+        if isinstance(account, InvalidAccount):
             raise RefusedError(
                 refuse_unaccepted(
                     RefusalCode.CONFIG_UNKNOWN,
@@ -114,7 +114,7 @@
 
     def _find(
         self, table: RoutingTable, digest: str | None
-    ) -> RoutedAccount | ClosedAccount | None:
+    ) -> RoutedAccount | InvalidAccount | None:
         if table.accounts is None or digest is None:
             return None
         return table.accounts.find(digest)
--- a/src/bayhinge/_internal/services/gateway/buffered_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/buffered_delivery.py
@@ -1,12 +1,12 @@
 """Delivers answers that are buffered whole before they are sent."""
 
 from bayhinge._internal import status_codes
-from bayhinge._internal.decisions.answer_bounds import AnswerBounds
-from bayhinge._internal.models.routed_requests import AnswerMarks
-from bayhinge._internal.network.endpoint_answer import Answer, BrokenAnswerError
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
+from bayhinge._internal.models.routed_requests import AnswerMetadata
+from bayhinge._internal.network.endpoint_answer import Answer, IncompleteAnswerError
 from bayhinge._internal.network.routed_front import Exchange
 from bayhinge._internal.services.gateway.delivery import Delivery, is_success
-from bayhinge._internal.services.gateway.outside import CallFormat
+from bayhinge._internal.services.gateway.platform_interface import CallFormat
 
 
 class BufferedDelivery(Delivery):
@@ -18,14 +18,14 @@
         self._calls = calls
 
     async def deliver(
-        self, answer: Answer, marks: AnswerMarks, may_repeat: bool, bounds: AnswerBounds
+        self, answer: Answer, marks: AnswerMetadata, may_repeat: bool, bounds: AnswerTimeouts
     ) -> None:
         """See :class:`Delivery`."""
         body = await answer.read_body()
         if is_success(answer.status) and (not marks.is_signed or marks.is_encoded):
-            raise BrokenAnswerError("the answer is unsigned or encoded")
+            raise IncompleteAnswerError("the answer is unsigned or encoded")
         if may_repeat and answer.status >= status_codes.HTTP_SERVER_ERROR:
-            raise BrokenAnswerError(f"status {answer.status}")
+            raise IncompleteAnswerError(f"status {answer.status}")
         self.outcome = "served" if is_success(answer.status) else f"status_{answer.status}"
         await self._exchange.respond(
             answer.status, self._calls.answer_headers(answer.headers), body
--- a/src/bayhinge/_internal/services/gateway/configuration_proofs.py
+++ b/src/bayhinge/_internal/services/gateway/configuration_proofs.py
@@ -14,21 +14,21 @@
 import attrs
 import eliot
 
-from bayhinge._internal.decisions.proof_age import (
+from bayhinge._internal.decisions.freshness_proofs import (
+    FreshnessProofs,
     Proof,
-    ProofBook,
     ProofBounds,
+    confirmed_by_peer,
     may_ask_store,
     place_in_order,
-    vouched,
 )
 from bayhinge._internal.exceptions import FrameError, PeerFailureError, PeerUnreachableError
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gossip import Gossip
-from bayhinge._internal.services.key_follower import KeyFollower
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.services.prefix_follower import PrefixFollower
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.errors import StoreError
 from bayhinge.coordination.store import PollingStore
@@ -77,7 +77,7 @@
         self,
         store: PollingStore,
         key: str,
-        follower: KeyFollower,
+        follower: PrefixFollower,
         gossip: Gossip,
         peers: Peers,
         bounds: ProofBounds | None,
@@ -92,7 +92,7 @@
         self._gossip = gossip
         self._peers = peers
         self._bounds = bounds
-        self._proofs = ProofBook()
+        self._proofs = FreshnessProofs()
         self._failed_s = -math.inf
         self._renewal_requested = asyncio.Event()
         self._renewed = asyncio.Event()
@@ -143,7 +143,7 @@
             self.counts.waited += 1
             self._renewal_requested.set()
             try:
-                async with running_timeout(PROOF_WAIT_S):
+                async with stall_tolerant_timeout(PROOF_WAIT_S):
                     while not self.may_admit:
                         await self._renewed.wait()
             except TimeoutError:
@@ -230,7 +230,7 @@
     async def _ask_peer(self, address: str) -> None:
         asked_s = asyncio.get_running_loop().time()
         try:
-            async with running_timeout(PEER_ANSWER_S):
+            async with stall_tolerant_timeout(PEER_ANSWER_S):
                 call = encode_message(wire.ProofCall(self._gossip.me.host))
                 answer = await self._peers.call(address, methods.PROOF, call)
             reply = decode_message(wire.ProofReply(), answer)
@@ -241,7 +241,7 @@
         if reply.revision is None or reply.age_ms is None or not reply.age_ms >= 0:
             return
         self.counts.from_peers += 1
-        self._accept(vouched(reply.revision, reply.age_ms / 1000, asked_s))
+        self._accept(confirmed_by_peer(reply.revision, reply.age_ms / 1000, asked_s))
         self._follower.hear(reply.revision, address)
 
     async def _ask_store(self) -> None:
--- a/src/bayhinge/_internal/services/gateway/delivery.py
+++ b/src/bayhinge/_internal/services/gateway/delivery.py
@@ -3,9 +3,9 @@
 from abc import ABC, abstractmethod
 
 from bayhinge._internal import status_codes
-from bayhinge._internal.decisions.answer_bounds import AnswerBounds
-from bayhinge._internal.models.endpoint_entries import EndpointStart
-from bayhinge._internal.models.routed_requests import AnswerMarks
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
+from bayhinge._internal.models.routed_requests import AnswerMetadata
 from bayhinge._internal.network.endpoint_answer import Answer
 from bayhinge._internal.services.gateway.active_runs import ActiveRun
 
@@ -25,9 +25,9 @@
         return "" if self.run is None else self.run.endpoint
 
     @property
-    def incarnation(self) -> EndpointStart:
+    def incarnation(self) -> EndpointIncarnation:
         """The incarnation of the answering endpoint, as far as is known."""
-        return EndpointStart() if self.run is None else self.run.state.entry.start
+        return EndpointIncarnation() if self.run is None else self.run.state.entry.start
 
     @property
     def resume_after(self) -> int | None:
@@ -41,12 +41,12 @@
 
     @abstractmethod
     async def deliver(
-        self, answer: Answer, marks: AnswerMarks, may_repeat: bool, bounds: AnswerBounds
+        self, answer: Answer, marks: AnswerMetadata, may_repeat: bool, bounds: AnswerTimeouts
     ) -> None:
         """Delivers an answer.
 
         Raises:
-            BrokenAnswerError: it broke off; a part of it may have been delivered.
+            IncompleteAnswerError: it broke off; a part of it may have been delivered.
         """
 
 
--- a/src/bayhinge/_internal/services/gateway/disk_directory.py
+++ b/src/bayhinge/_internal/services/gateway/disk_directory.py
@@ -7,8 +7,8 @@
 
 import eliot
 
-from bayhinge._internal.decisions.disk_placement import places_of
-from bayhinge._internal.decisions.disk_reach import DiskReach
+from bayhinge._internal.decisions.disk_placement import replicas_of
+from bayhinge._internal.decisions.disk_reachability import DiskReachability
 from bayhinge._internal.exceptions import FrameError, PeerFailureError, PeerUnreachableError
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.frames import decode_message
@@ -16,7 +16,7 @@
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.disk_sets import read_disk_set
 from bayhinge._internal.services.gateway.initial_sync import InitialSync
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts.ttypes import DiskMember, DiskSet, Hello
 from bayhinge.coordination.errors import StoreError
 from bayhinge.coordination.store import ObjectStore
@@ -56,7 +56,7 @@
         self.initial_store_delay_s = PEER_WAIT_S
         self._is_known = asyncio.Event()
         self.disk_set = DiskSet(0, [])
-        self.reach = DiskReach(settings.tolerated_disks)
+        self.reach = DiskReachability(settings.tolerated_disks)
         self.initial_sync = InitialSync("disks")
         self.on_change: Callable[[DiskSet], None] = lambda disk_set: None
 
@@ -89,7 +89,7 @@
 
     async def _probe(self, member: DiskMember) -> None:
         try:
-            async with running_timeout(FETCH_S):
+            async with stall_tolerant_timeout(FETCH_S):
                 await self._peers.call(member.address, methods.DISK_SET, b"")
         except (TimeoutError, PeerUnreachableError, PeerFailureError) as error:
             self.record_failure(member, str(error) or "no answer in time")
@@ -120,7 +120,7 @@
     def replicas(self, program: str) -> list[DiskMember]:
         """Returns the disks that store a program, nearest first."""
         members = self.disk_set.members
-        return self.nearest_first(places_of(program, members, self._settings.tolerated_disks))
+        return self.nearest_first(replicas_of(program, members, self._settings.tolerated_disks))
 
     def nearest_first(self, members: Iterable[DiskMember] | None = None) -> list[DiskMember]:
         """Sorts disks, by default all members: suspected ones last, then own hall first."""
@@ -152,7 +152,7 @@
 
     def record_failure(self, member: DiskMember, why: str) -> None:
         """Suspects a disk that did not answer, or only through a relay."""
-        self.reach.note_silence(member.host)
+        self.reach.record_silence(member.host)
         now = asyncio.get_running_loop().time()
         if self._suspected_until_by_host.get(member.host, 0.0) < now:
             eliot.log_message("disk.silent", disk=member.host, why=why)
@@ -160,7 +160,7 @@
 
     def record_success(self, member: DiskMember) -> None:
         """Records a direct answer of a disk."""
-        self.reach.note_answer()
+        self.reach.record_answer()
         if self._suspected_until_by_host.pop(member.host, None) is not None:
             eliot.log_message("disk.answers", disk=member.host)
 
@@ -173,7 +173,7 @@
     async def fetch(self, address: str) -> None:
         """Fetches another host's disk set and adopts it if newer; failures are logged."""
         try:
-            async with running_timeout(FETCH_S):
+            async with stall_tolerant_timeout(FETCH_S):
                 answer = await self._peers.call(address, methods.DISK_SET, b"")
             self.accept(decode_message(DiskSet(), answer))
         except (TimeoutError, PeerUnreachableError, PeerFailureError, FrameError) as error:
--- a/src/bayhinge/_internal/services/gateway/disk_link.py
+++ b/src/bayhinge/_internal/services/gateway/disk_link.py
@@ -16,7 +16,7 @@
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gossip import Gossip
-from bayhinge._internal.utils.running_time import RunningBound
+from bayhinge._internal.utils.stall_tolerant_timeouts import StallTolerantDeadline
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 ANSWER_S = 1.2
@@ -128,7 +128,7 @@
 
     async def first_answer(self, limit_s: float) -> bytes | None:
         """Returns the first answer; None on a timeout, or if every attempt has failed."""
-        bound = RunningBound(limit_s)
+        bound = StallTolerantDeadline(limit_s)
         waiting = {*self.direct, *self.via_relay}
         while waiting and bound.left_s > 0:
             finished, waiting = await bound.first_of(waiting)
--- a/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
+++ b/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
@@ -10,10 +10,10 @@
 
 import eliot
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBelief, EndpointBook
-from bayhinge._internal.decisions.endpoint_starts import NewStart, began_s
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation, began_s
+from bayhinge._internal.decisions.endpoint_table import EndpointState, EndpointTable
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
-from bayhinge._internal.network.endpoint_link import EndpointLinks
+from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 
 
@@ -22,8 +22,8 @@
 
     def __init__(
         self,
-        endpoint_table: EndpointBook,
-        links: EndpointLinks,
+        endpoint_table: EndpointTable,
+        links: EndpointConnectionPool,
         runs: ActiveRuns,
         wall_ms: Callable[[], int],
     ) -> None:
@@ -34,10 +34,10 @@
         self.known_revision: Callable[[], int] = lambda: 0
         self.forget_loads: Callable[[str], None] = lambda endpoint: None
 
-    def handle_restart(self, newest: EndpointBelief, former: EndpointEntry) -> None:
+    def handle_restart(self, newest: EndpointState, former: EndpointEntry) -> None:
         """Handles a later incarnation of a known endpoint."""
         entry = newest.entry
-        self._endpoint_table.start_revisions.note(entry.instance, self.known_revision())
+        self._endpoint_table.incarnation_revisions.note(entry.instance, self.known_revision())
         self.forget_loads(entry.instance)
         incarnation = self._new_incarnation(entry)
         closed = self._links.start_again(entry.instance, incarnation)
@@ -55,7 +55,7 @@
             connections_closed=closed,
         )
 
-    def handle_return(self, newest: EndpointBelief) -> None:
+    def handle_return(self, newest: EndpointState) -> None:
         """Handles the return of a removed endpoint, whose earlier runs may still be active."""
         if newest.entry.born_ms is None:
             return
@@ -69,10 +69,10 @@
                 runs_kept=continued,
             )
 
-    def handle_replacement(self, newest: EndpointBelief) -> None:
+    def handle_replacement(self, newest: EndpointState) -> None:
         """Ends the runs of endpoints whose address this one has taken over."""
         entry = newest.entry
-        for state in self._endpoint_table.displaced_at(entry.address):
+        for state in self._endpoint_table.replaced_at(entry.address):
             instance = state.entry.instance
             ended = self._runs.handle_replacement(instance, self._new_incarnation(entry))
             self._links.drop_idle(instance)
@@ -84,12 +84,12 @@
                 runs_over=ended,
             )
 
-    def _new_incarnation(self, entry: EndpointEntry) -> NewStart:
+    def _new_incarnation(self, entry: EndpointEntry) -> NewIncarnation:
         now_s = asyncio.get_running_loop().time()
-        return NewStart(entry.address, began_s(entry.born_ms, self._wall_ms(), now_s))
+        return NewIncarnation(entry.address, began_s(entry.born_ms, self._wall_ms(), now_s))
 
 
-def _since_s(incarnation: NewStart) -> float | None:
+def _since_s(incarnation: NewIncarnation) -> float | None:
     if incarnation.began_s is None:
         return None
     return round(asyncio.get_running_loop().time() - incarnation.began_s, 3)
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -9,18 +9,18 @@
 from mode import Service
 
 from bayhinge._internal.decisions.caller_addresses import ReadyHost, addresses_for, sending
-from bayhinge._internal.decisions.endpoint_book import EndpointBook
-from bayhinge._internal.decisions.proof_age import proof_bounds
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
+from bayhinge._internal.decisions.freshness_proofs import proof_bounds
 from bayhinge._internal.decisions.quota_bucket import QuotaMargin
 from bayhinge._internal.decisions.request_rate import RequestRate
 from bayhinge._internal.decisions.watchers import (
     HallHost,
-    WatchTurn,
-    wait_until_turn,
+    WatchSlot,
+    wait_until_slot,
     watchers_of,
 )
 from bayhinge._internal.models.site_settings import SiteSettings
-from bayhinge._internal.network.endpoint_link import EndpointLinks
+from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.routed_front import RoutedFront
 from bayhinge._internal.network.tcp_peers import TcpPeerNetwork
 from bayhinge._internal.services.gateway.active_runs import ActiveRuns
@@ -31,9 +31,9 @@
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
 from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange, sum_loads
-from bayhinge._internal.services.gateway.outside import Platform
 from bayhinge._internal.services.gateway.peer_requests import PeerRequestHandler
 from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
+from bayhinge._internal.services.gateway.platform_interface import Platform
 from bayhinge._internal.services.gateway.quotas import Quotas
 from bayhinge._internal.services.gateway.request_sender import RequestSender
 from bayhinge._internal.services.gateway.request_service import RequestService
@@ -45,9 +45,9 @@
 from bayhinge._internal.services.gossip import Gossip
 from bayhinge._internal.services.host_registry import HostRegistry
 from bayhinge._internal.services.keep_running import keep_running
-from bayhinge._internal.services.key_follower import FIRST_LIST_S, KeyFollower
 from bayhinge._internal.services.latencies import Latencies
-from bayhinge._internal.utils.early_sockets import EarlySockets
+from bayhinge._internal.services.prefix_follower import FIRST_LIST_DELAY_S, PrefixFollower
+from bayhinge._internal.utils.prebound_sockets import PreboundSockets
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.clock import HybridClock, SystemClock
 
@@ -67,7 +67,7 @@
     """The gateway service of one entry host process."""
 
     def __init__(
-        self, settings: SiteSettings, platform: Platform, sockets: EarlySockets | None = None
+        self, settings: SiteSettings, platform: Platform, sockets: PreboundSockets | None = None
     ) -> None:
         super().__init__()
         self.settings = settings
@@ -77,8 +77,8 @@
         network = TcpPeerNetwork(CONNECT_S)
         self.peers = network.connect(clock)
         self.gossip = Gossip(settings, wire.HostRole.ENTRY)
-        self.links = EndpointLinks()
-        self.endpoint_table = EndpointBook(settings.hall)
+        self.links = EndpointConnectionPool()
+        self.endpoint_table = EndpointTable(settings.hall)
         self.configuration = ConfigurationState(platform.objects, platform.configuration_key)
         runs = ActiveRuns()
         restarts = EndpointRestarts(self.endpoint_table, self.links, runs, self._wall_clock.wall_ms)
@@ -86,7 +86,7 @@
             platform.objects, self.endpoint_table, self.links, restarts
         )
         self.followers_by_prefix = {
-            prefix: KeyFollower(
+            prefix: PrefixFollower(
                 platform.store, prefix, partial(self._watch_timeout_s, index), listener, self.peers
             )
             for index, (prefix, listener) in enumerate(
@@ -97,7 +97,7 @@
             )
         }
         for follower in self.followers_by_prefix.values():
-            follower.should_poll = self._is_watcher
+            follower.should_watch = self._is_watcher
             follower.first_list_s = self._first_list_delay_s()
             follower.on_change = self.gossip.say_now
         self.proofs = ConfigurationProofs(
@@ -171,7 +171,7 @@
         await self._listener.start()
         await self.front.start()
         self.gossip.describe = self._fill_heartbeat
-        self.gossip.on_hello = self._handle_heartbeat
+        self.gossip.on_heartbeat = self._handle_heartbeat
         self.gossip.on_round = self._handle_gossip_round
         self.disks.on_change = self._disks_changed
         await self.gossip.start()
@@ -237,7 +237,7 @@
         return addresses_for(self._ready_hosts(), hall, region, self._random)
 
     def _ready_hosts(self) -> list[ReadyHost]:
-        ready = self.gossip.taking_callers()
+        ready = self.gossip.ready_entry_hosts()
         if self.is_ready:
             ready.append(self.gossip.me)
         regions = self.settings.region_by_hall
@@ -274,7 +274,7 @@
         me = self.gossip.me
         halls = sorted({me.hall, *self.settings.region_by_hall})
         watchers = self._watchers()
-        turn = WatchTurn(
+        turn = WatchSlot(
             halls.index(me.hall),
             len(halls),
             watchers.index(me.host) if me.host in watchers else 0,
@@ -282,14 +282,14 @@
             len(self.followers_by_prefix),
             len(watchers),
         )
-        return wait_until_turn(turn, self._wall_clock.wall_ms() / 1000)
+        return wait_until_slot(turn, self._wall_clock.wall_ms() / 1000)
 
     def _first_list_delay_s(self) -> float:
         """Returns how long to wait for updates from peers before listing the store."""
         settings = self.settings
         # Seeds list the store at once: every other host learns from them.
         return (
-            random.uniform(*FIRST_LIST_S)
+            random.uniform(*FIRST_LIST_DELAY_S)
             if settings.is_first_start and settings.ip not in settings.seeds
             else 0.0
         )
@@ -336,7 +336,9 @@
     def _handle_gossip_round(self) -> None:
         self._refresh_advertised()
         heartbeats = self.gossip.fresh(wire.HostRole.ENTRY)
-        self.endpoint_table.hear_loads(sum_loads(heartbeats, self.endpoint_table.start_revisions))
+        self.endpoint_table.apply_peer_loads(
+            sum_loads(heartbeats, self.endpoint_table.incarnation_revisions)
+        )
         self.coordinators.refresh()
         self.quotas.refresh()
         if self.coordinators.coordinated_hall:
--- a/src/bayhinge/_internal/services/gateway/load_exchange.py
+++ b/src/bayhinge/_internal/services/gateway/load_exchange.py
@@ -8,12 +8,12 @@
 
 from mode import Service
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBelief, EndpointBook
-from bayhinge._internal.decisions.load_board import HostReport, LoadBoard
-from bayhinge._internal.decisions.start_revisions import StartRevisions
+from bayhinge._internal.decisions.endpoint_table import EndpointState, EndpointTable
+from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
+from bayhinge._internal.decisions.load_table import HostLoadReport, LoadTable
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.network.addresses import split_address
-from bayhinge._internal.network.datagrams import Datagrams
+from bayhinge._internal.network.datagrams import DatagramReceiver
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.keep_running import keep_running
@@ -36,13 +36,13 @@
     """Sends and receives the loads of endpoints for one host."""
 
     def __init__(
-        self, me: wire.Hello, endpoint_table: EndpointBook, coordinators: HallCoordinators
+        self, me: wire.Hello, endpoint_table: EndpointTable, coordinators: HallCoordinators
     ) -> None:
         super().__init__()
         self._me = me
         self._endpoint_table = endpoint_table
         self._coordinators = coordinators
-        self._load_table = LoadBoard()
+        self._load_table = LoadTable()
         self._tables_by_hall: dict[str, tuple[wire.HallLoads, float]] = {}
         self._remote_grants: dict[str, int] = {}
         self.last_grant_by_hall: dict[str, int] = {}
@@ -56,7 +56,7 @@
         """Opens a UDP socket on the peer address and starts reporting."""
         host, port = split_address(self._me.peer_address)
         self._transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: Datagrams(self._receive), local_addr=(host, port)
+            lambda: DatagramReceiver(self._receive), local_addr=(host, port)
         )
         self.add_future(keep_running("load reports", self._report_periodically))
         self.add_future(keep_running("hall loads", self._send_hall_tables))
@@ -90,7 +90,7 @@
             self.endpoints_known_to(),
         )
 
-    def mark_changed(self, state: EndpointBelief) -> None:
+    def mark_changed(self, state: EndpointState) -> None:
         """Schedules a report, as the coordinator does not know this host's load at an endpoint."""
         if not self._changed_halls:
             asyncio.get_running_loop().call_later(REPORT_DELAY_S, self._report_changed)
@@ -119,9 +119,9 @@
 
     def receive_loads(self, loads: wire.HostLoads) -> None:
         """Applies a host's load report, except for endpoints whose restart it has not seen."""
-        stale = self._endpoint_table.start_revisions.unheard_by(loads.endpoints_known_to)
+        stale = self._endpoint_table.incarnation_revisions.not_known_by(loads.endpoints_known_to)
         self._load_table.hear(
-            HostReport(
+            HostLoadReport(
                 loads.host,
                 loads.incarnation,
                 loads.beat,
@@ -132,14 +132,14 @@
             asyncio.get_running_loop().time(),
         )
 
-    def grant(self, host: str, state: EndpointBelief) -> int:
+    def grant(self, host: str, state: EndpointState) -> int:
         """Counts a request that a host will send; returns 0 for an endpoint of another hall."""
         if state.entry.hall == self._me.hall:
             return self._load_table.grant(host, state.entry.instance)
         self.record_remote_grant(state)
         return 0
 
-    def record_remote_grant(self, state: EndpointBelief) -> None:
+    def record_remote_grant(self, state: EndpointState) -> None:
         """Counts a request for another hall until that hall's next table includes it."""
         instance = state.entry.instance
         self._remote_grants[instance] = self._remote_grants.get(instance, 0) + 1
@@ -156,7 +156,7 @@
         now = asyncio.get_running_loop().time()
         self._load_table.forget_silent(now)
         running = dict(self._load_table.running_by_endpoint())
-        complaints = self._load_table.complaints_by_endpoint()
+        complaints = self._load_table.failure_reports_by_endpoint()
         fresh_halls = {self._me.hall}
         for hall, (table, received_s) in self._tables_by_hall.items():
             if received_s < now - HALL_TABLE_KEEP_S:
@@ -222,7 +222,7 @@
         is_same_incarnation = known is not None and known.incarnation == table.incarnation
         if known is not None and is_same_incarnation and table.beat <= known.beat:
             return
-        stale = self._endpoint_table.start_revisions.unheard_by(table.endpoints_known_to)
+        stale = self._endpoint_table.incarnation_revisions.not_known_by(table.endpoints_known_to)
         table.running_by_endpoint = excluding_endpoints(table.running_by_endpoint, stale)
         self._tables_by_hall[table.hall] = table, asyncio.get_running_loop().time()
         for instance in table.running_by_endpoint:
@@ -242,11 +242,11 @@
     }
 
 
-def sum_loads(heartbeats: Iterable[wire.Hello], revisions: StartRevisions) -> dict[str, int]:
+def sum_loads(heartbeats: Iterable[wire.Hello], revisions: IncarnationRevisions) -> dict[str, int]:
     """Sums the running requests in heartbeats, except where a host has not seen a restart."""
     total: dict[str, int] = {}
     for heartbeat in heartbeats:
-        stale = revisions.unheard_by(heartbeat.endpoints_known_to)
+        stale = revisions.not_known_by(heartbeat.endpoints_known_to)
         for endpoint, running in excluding_endpoints(heartbeat.running_by_endpoint, stale).items():
             total[endpoint] = total.get(endpoint, 0) + running
     return total
--- a/src/bayhinge/_internal/services/gateway/figures.py
+++ b/src/bayhinge/_internal/services/gateway/metrics.py
@@ -51,7 +51,7 @@
         "endpoint_connections_opened_total": gateway.links.counts.opened,
         "endpoint_connections_reused_total": gateway.links.counts.reused,
         "endpoint_connections_with_surplus_total": gateway.links.counts.dropped_with_surplus,
-        "peer_connections_left_silent_total": gateway.peers.left_silent,
+        "peer_connections_left_silent_total": gateway.peers.abandoned_connections,
         "endpoints_doubted_total": gateway.requests.send_counts.suspected,
         "requests_sent_again_total": gateway.requests.send_counts.retried,
         "streams_cut_in_an_event_total": gateway.requests.send_counts.cut_in_event,
--- a/src/bayhinge/_internal/services/gateway/open_turn.py
+++ b/src/bayhinge/_internal/services/gateway/open_turn.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.models.routed_requests import TurnContext
 
 
@@ -21,7 +21,7 @@
     attempt: str
     context: TurnContext
     history: bytes
-    last_engine: EndpointStart
+    last_engine: EndpointIncarnation
     reserved: int
     is_retained: bool = True
     account: str = ""
--- a/src/bayhinge/_internal/services/gateway/peer_requests.py
+++ b/src/bayhinge/_internal/services/gateway/peer_requests.py
@@ -5,22 +5,22 @@
 from bayhinge._internal.exceptions import FrameError, PeerFailureError, PeerUnreachableError
 from bayhinge._internal.models.refusals import RefusalCode, RefusedError, refuse_unaccepted
 from bayhinge._internal.network.frames import decode_message, encode_message
-from bayhinge._internal.network.peers import AnsweringHandler, Peers
+from bayhinge._internal.network.peers import Peers, UnaryPeerHandler
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gateway.configuration_proofs import ConfigurationProofs
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
 from bayhinge._internal.services.gateway.quotas import Quotas
-from bayhinge._internal.services.key_follower import KeyFollower
+from bayhinge._internal.services.prefix_follower import PrefixFollower
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 
-class PeerRequestHandler(AnsweringHandler):
+class PeerRequestHandler(UnaryPeerHandler):
     """Dispatches requests from other hosts to the gateway's parts."""
 
     def __init__(
         self,
-        followers_by_prefix: Mapping[str, KeyFollower],
+        followers_by_prefix: Mapping[str, PrefixFollower],
         placer: CoordinatorPlacer,
         proofs: ConfigurationProofs,
         quotas: Quotas,
@@ -43,7 +43,7 @@
         }
 
     async def answer(self, method: str, payload: bytes) -> bytes:
-        """See :class:`AnsweringHandler`."""
+        """See :class:`UnaryPeerHandler`."""
         answer = self._answer_by_method.get(method)
         if answer is None:
             raise FrameError(f"an entry host has no method '{method}'")
--- a/src/bayhinge/_internal/services/gateway/placement.py
+++ b/src/bayhinge/_internal/services/gateway/placement.py
@@ -11,15 +11,19 @@
 
 import attrs
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBelief, EndpointBook, Wish
+from bayhinge._internal.decisions.endpoint_table import (
+    EndpointState,
+    EndpointTable,
+    PlacementPreference,
+)
 from bayhinge._internal.exceptions import FrameError, PeerFailureError, PeerUnreachableError
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinator, HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 ANSWER_S = 0.04
@@ -31,33 +35,33 @@
 
     @abstractmethod
     async def place(
-        self, service: str, preference: Wish, tried: Iterable[str]
-    ) -> EndpointBelief | None:
+        self, service: str, preference: PlacementPreference, tried: Iterable[str]
+    ) -> EndpointState | None:
         """Returns the endpoint to send to, or None if none is left.
 
         The caller must count the request as running before it next yields to the event loop.
         """
 
     @abstractmethod
-    def record_end(self, state: EndpointBelief) -> None:
+    def record_end(self, state: EndpointState) -> None:
         """Records that a request is no longer running at an endpoint."""
 
 
 class LocalPlacer(Placer):
     """Places requests with only this host's own view of endpoints."""
 
-    def __init__(self, endpoint_table: EndpointBook) -> None:
+    def __init__(self, endpoint_table: EndpointTable) -> None:
         self._endpoint_table = endpoint_table
 
     async def place(
-        self, service: str, preference: Wish, tried: Iterable[str]
-    ) -> EndpointBelief | None:
+        self, service: str, preference: PlacementPreference, tried: Iterable[str]
+    ) -> EndpointState | None:
         """See :class:`Placer`."""
         return self._endpoint_table.choose(
             service, preference, tried, asyncio.get_running_loop().time()
         )
 
-    def record_end(self, state: EndpointBelief) -> None:
+    def record_end(self, state: EndpointState) -> None:
         """See :class:`Placer`."""
 
 
@@ -75,7 +79,7 @@
 
     def __init__(
         self,
-        endpoint_table: EndpointBook,
+        endpoint_table: EndpointTable,
         coordinators: HallCoordinators,
         exchange: LoadExchange,
         peers: Peers,
@@ -89,11 +93,11 @@
         self.counts = PlacementCounts()
 
     async def place(
-        self, service: str, preference: Wish, tried: Iterable[str]
-    ) -> EndpointBelief | None:
+        self, service: str, preference: PlacementPreference, tried: Iterable[str]
+    ) -> EndpointState | None:
         """See :class:`Placer`."""
         excluded = set(tried)
-        preferred = self._endpoint_table.find_start(preference.start)
+        preferred = self._endpoint_table.find_incarnation(preference.start)
         hall = self._hall if preferred is None else preferred.entry.hall
         coordinator = self._coordinators.coordinator_of(hall)
         if coordinator is not None and hall != self._coordinators.coordinated_hall:
@@ -102,7 +106,7 @@
                 return state
         return self._place_locally(service, preference, excluded)
 
-    def record_end(self, state: EndpointBelief) -> None:
+    def record_end(self, state: EndpointState) -> None:
         """See :class:`Placer`."""
         self._exchange.mark_changed(state)
 
@@ -115,8 +119,8 @@
             return wire.PlaceReply("", 0, None if coordinator is None else coordinator.host)
         self._exchange.receive_loads(call.loads)
         self._exchange.refresh_endpoint_table()
-        preference = Wish(
-            EndpointStart(call.wished, call.wished_born_ms),
+        preference = PlacementPreference(
+            EndpointIncarnation(call.wished, call.wished_born_ms),
             call.shared_part,
             call.kept_tokens,
             call.shared_tokens,
@@ -124,7 +128,9 @@
         )
         now = asyncio.get_running_loop().time()
         # The caller would use the old address of endpoints whose restart it does not know yet.
-        outdated = self._endpoint_table.start_revisions.unheard_by(call.loads.endpoints_known_to)
+        outdated = self._endpoint_table.incarnation_revisions.not_known_by(
+            call.loads.endpoints_known_to
+        )
         state = self._endpoint_table.choose(
             call.service_name, preference, {*call.avoid, *outdated}, now
         )
@@ -134,8 +140,8 @@
         return wire.PlaceReply(state.entry.instance, grant)
 
     def _place_locally(
-        self, service: str, preference: Wish, excluded: set[str]
-    ) -> EndpointBelief | None:
+        self, service: str, preference: PlacementPreference, excluded: set[str]
+    ) -> EndpointState | None:
         if self._coordinators.coordinated_hall:
             self._exchange.refresh_endpoint_table()
             self.counts.as_coordinator += 1
@@ -150,8 +156,12 @@
         return state
 
     async def _ask_coordinator(
-        self, coordinator: HallCoordinator, service: str, preference: Wish, excluded: set[str]
-    ) -> EndpointBelief | None:
+        self,
+        coordinator: HallCoordinator,
+        service: str,
+        preference: PlacementPreference,
+        excluded: set[str],
+    ) -> EndpointState | None:
         excluded_now = excluded | self._endpoint_table.resting(asyncio.get_running_loop().time())
         for _ in range(2):
             call = wire.PlaceCall(
@@ -176,7 +186,9 @@
             coordinator = other
         return None
 
-    def _connected(self, coordinator: HallCoordinator, service: str, preference: Wish) -> list[str]:
+    def _connected(
+        self, coordinator: HallCoordinator, service: str, preference: PlacementPreference
+    ) -> list[str]:
         """Returns the connected endpoints that the coordinator may choose."""
         states = [self._endpoint_table.find(instance) for instance in preference.connected]
         return [
@@ -189,15 +201,15 @@
 
     def _accept(
         self, reply: wire.PlaceReply, coordinator: HallCoordinator, service: str, excluded: set[str]
-    ) -> EndpointBelief | None:
+    ) -> EndpointState | None:
         """Returns a coordinator's choice, or None if this host knows that it is unusable."""
         state = self._endpoint_table.find(reply.endpoint)
         if (
             state is None
             or state.entry.service != service
             or state.entry.is_leaving
-            or state.is_doubtful
-            or state.is_displaced
+            or state.is_suspected
+            or state.is_replaced
             or reply.endpoint in excluded
         ):
             return None
@@ -214,7 +226,7 @@
     ) -> wire.PlaceReply | None:
         try:
             # Not asyncio.timeout(): a host that stalled would take the coordinator for silent.
-            async with running_timeout(ANSWER_S):
+            async with stall_tolerant_timeout(ANSWER_S):
                 answer = await self._peers.call(
                     coordinator.address, methods.PLACE, encode_message(call)
                 )
--- a/src/bayhinge/_internal/services/gateway/outside.py
+++ b/src/bayhinge/_internal/services/gateway/platform_interface.py
@@ -5,7 +5,7 @@
 import attrs
 
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
-from bayhinge._internal.models.routed_requests import AnswerMarks, RawHeaders, RoutedRequest
+from bayhinge._internal.models.routed_requests import AnswerMetadata, RawHeaders, RoutedRequest
 from bayhinge._internal.models.routing import RoutingTable
 from bayhinge.coordination.store import PollingStore
 
@@ -33,7 +33,7 @@
         """
 
     @abstractmethod
-    def read_answer(self, status: int, headers: RawHeaders) -> AnswerMarks:
+    def read_answer(self, status: int, headers: RawHeaders) -> AnswerMetadata:
         """Decodes the headers of an endpoint's answer."""
 
     @abstractmethod
--- a/src/bayhinge/_internal/services/gateway/quotas.py
+++ b/src/bayhinge/_internal/services/gateway/quotas.py
@@ -26,7 +26,7 @@
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gateway.suspect_hosts import SuspectHosts
 from bayhinge._internal.services.gossip import Gossip
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.rendezvous import choose
 
@@ -171,7 +171,7 @@
     ) -> wire.QuotaReply | None:
         address = self._address_by_host[coordinator]
         try:
-            async with running_timeout(ANSWER_S):
+            async with stall_tolerant_timeout(ANSWER_S):
                 answer = await self._peers.call(address, methods.QUOTA, encode_message(call))
             reply: wire.QuotaReply = decode_message(wire.QuotaReply(), answer)
         except (TimeoutError, PeerUnreachableError, PeerFailureError, FrameError) as error:
--- a/src/bayhinge/_internal/services/gateway/request_sender.py
+++ b/src/bayhinge/_internal/services/gateway/request_sender.py
@@ -6,23 +6,26 @@
 import attrs
 import eliot
 
-from bayhinge._internal.decisions.answer_bounds import (
-    MOST_WAITS,
-    AnswerBounds,
+from bayhinge._internal.decisions.answer_timeouts import (
+    MAX_SILENCE_PERIODS,
+    AnswerTimeouts,
     bounds_of,
-    usual_answer_s,
+    smoothed_answer_s,
 )
-from bayhinge._internal.decisions.endpoint_book import EndpointBook, Wish
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
 from bayhinge._internal.models.refusals import CallAttempt, Refusal, RefusalCode, RefusedError
-from bayhinge._internal.models.routed_requests import AnswerMarks, RoutedRequest
+from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind
 from bayhinge._internal.network.endpoint_answer import (
     Answer,
-    BrokenAnswerError,
+    EndpointUnreachableError,
+    IncompleteAnswerError,
     SilentEndpointError,
-    UnreachableError,
 )
-from bayhinge._internal.network.endpoint_link import EndpointConnection, EndpointLinks
+from bayhinge._internal.network.endpoint_connections import (
+    EndpointConnection,
+    EndpointConnectionPool,
+)
 from bayhinge._internal.services.gateway.active_runs import (
     ENDED_REASON,
     ActiveRun,
@@ -31,10 +34,10 @@
 from bayhinge._internal.services.gateway.admission import AdmissionRevokedError
 from bayhinge._internal.services.gateway.delivery import Delivery
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
-from bayhinge._internal.services.gateway.outside import CallFormat
 from bayhinge._internal.services.gateway.placement import LocalPlacer, Placer
 from bayhinge._internal.services.gateway.placement_preferences import preference_of
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.services.gateway.platform_interface import CallFormat
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 
 MAX_REJECTED_SENDS = 4
 """Maximum sends of a request that endpoints reject; each costs a round trip."""
@@ -61,7 +64,7 @@
     route: Route
     request: RoutedRequest
     body: bytes
-    preference: Wish
+    preference: PlacementPreference
     attempt: CallAttempt
     deadline_s: float
     delivery: Delivery
@@ -92,8 +95,8 @@
 
     def __init__(
         self,
-        endpoint_table: EndpointBook,
-        links: EndpointLinks,
+        endpoint_table: EndpointTable,
+        links: EndpointConnectionPool,
         calls: CallFormat,
         placer: Placer | None = None,
         runs: ActiveRuns | None = None,
@@ -141,17 +144,17 @@
                 await self._send_to(run, send_state)
                 return
             except AdmissionRevokedError as error:
-                attempt.note_unsent()
+                attempt.retract_send()
                 raise RefusedError(self._admission_refusal(send_state, error)) from error
-            except UnreachableError as error:
-                attempt.note_unsent()
+            except EndpointUnreachableError as error:
+                attempt.retract_send()
                 send_state.rejected += 1
                 self._record_failure(run, send_state, str(error))
             except RequestRejectedError as error:
-                attempt.note_unsent()
+                attempt.retract_send()
                 send_state.rejected += 1
                 self._log("send.not_taken", run, send_state, str(error))
-            except BrokenAnswerError as error:
+            except IncompleteAnswerError as error:
                 send_state.ran += 1
                 self.counts.cut_in_event += error.cut_bytes > 0
                 if isinstance(error, SilentEndpointError) and self._endpoint_table.is_current(
@@ -178,7 +181,7 @@
             code = RefusalCode.OUTCOME_UNKNOWN if send_state.ran else RefusalCode.NO_ENDPOINT
             why = f"none of {len(send_state.tried)} endpoint(s) of the service accepted the request"
             raise RefusedError(send_state.attempt.refuse(code, why, retry_after_s=RETRY_AFTER_S))
-        send_state.attempt.note_send()
+        send_state.attempt.record_send()
         run = self._runs.begin(state)
         send_state.tried.append(run)
         return run
@@ -188,7 +191,7 @@
         return [
             run.endpoint
             for run in send_state.tried
-            if self._endpoint_table.find_start(run.state.entry.start) is not None
+            if self._endpoint_table.find_incarnation(run.state.entry.start) is not None
         ]
 
     async def _send_to(self, run: ActiveRun, send_state: _SendState) -> None:
@@ -197,14 +200,14 @@
         try:
             connection = await self._links.acquire(run.endpoint, run.state.entry.address)
             if run.is_ended:
-                raise UnreachableError(ENDED_REASON)
+                raise EndpointUnreachableError(ENDED_REASON)
             run.connection = connection
             answer, marks = await self._exchange(connection, run, send_state)
             is_complete = True
             self._keep_or_close(connection, answer, marks)
             if marks.not_run or marks.wrong_instance:
                 raise RequestRejectedError(f"status {answer.status}")
-            run.state.note_success()
+            run.state.record_success()
         finally:
             self._runs.end(run)
             self._placer.record_end(run.state)
@@ -214,7 +217,7 @@
 
     async def _exchange(
         self, connection: EndpointConnection, run: ActiveRun, send_state: _SendState
-    ) -> tuple[Answer, AnswerMarks]:
+    ) -> tuple[Answer, AnswerMetadata]:
         """Sends the request, and delivers the answer unless the endpoint rejected it."""
         request, route = send_state.request, send_state.route
         loop = asyncio.get_running_loop()
@@ -244,7 +247,7 @@
         return answer, marks
 
     def _keep_or_close(
-        self, connection: EndpointConnection, answer: Answer, marks: AnswerMarks
+        self, connection: EndpointConnection, answer: Answer, marks: AnswerMetadata
     ) -> None:
         if answer.closes_connection or marks.idle_s == 0:
             connection.abort("the endpoint closes it")
@@ -256,8 +259,8 @@
         connection: EndpointConnection,
         run: ActiveRun,
         send_state: _SendState,
-        bounds: AnswerBounds,
-    ) -> tuple[Answer, AnswerMarks]:
+        bounds: AnswerTimeouts,
+    ) -> tuple[Answer, AnswerMetadata]:
         """Returns the head of the answer; suspects an endpoint that is silent on all connections.
 
         Raises:
@@ -268,7 +271,7 @@
         while True:
             try:
                 # After a stall, data that has arrived is read before the endpoint is suspected.
-                async with running_timeout(bounds.unheard_s):
+                async with stall_tolerant_timeout(bounds.silence_s):
                     answer, marks = await self._matching_answer(
                         connection, send_state.request.attempt
                     )
@@ -276,18 +279,18 @@
                 return answer, marks
             except TimeoutError:
                 wait_count += 1
-            has_responded = self._links.was_heard_since(run.endpoint, sent_s)
-            should_give_up = wait_count >= MOST_WAITS or not has_responded
-            if should_give_up and bounds.may_leave and self._has_untried_endpoint(send_state):
-                raise SilentEndpointError(f"no answer for {wait_count * bounds.unheard_s:.3f} s")
+            has_responded = self._links.has_received_since(run.endpoint, sent_s)
+            should_give_up = wait_count >= MAX_SILENCE_PERIODS or not has_responded
+            if should_give_up and bounds.may_fail_over and self._has_untried_endpoint(send_state):
+                raise SilentEndpointError(f"no answer for {wait_count * bounds.silence_s:.3f} s")
             if wait_count == 1 and not has_responded:
                 self.counts.suspected += 1
-                self._record_failure(run, send_state, f"not heard for {bounds.unheard_s:.3f} s")
+                self._record_failure(run, send_state, f"not heard for {bounds.silence_s:.3f} s")
 
     def _record_answer_time(self, service: str, sent_s: float) -> None:
         elapsed_s = asyncio.get_running_loop().time() - sent_s
         previous_s = self._usual_answer_s_by_service.get(service)
-        self._usual_answer_s_by_service[service] = usual_answer_s(previous_s, elapsed_s)
+        self._usual_answer_s_by_service[service] = smoothed_answer_s(previous_s, elapsed_s)
 
     def _has_untried_endpoint(self, send_state: _SendState) -> bool:
         """Whether an untried endpoint is left."""
@@ -300,7 +303,7 @@
 
     async def _matching_answer(
         self, connection: EndpointConnection, attempt: str
-    ) -> tuple[Answer, AnswerMarks]:
+    ) -> tuple[Answer, AnswerMetadata]:
         """Returns the answer with the request's id; skips answers to earlier requests."""
         while True:
             answer = await connection.next_answer()
@@ -314,9 +317,11 @@
             )
             await answer.read_body()
             if answer.closes_connection:
-                raise BrokenAnswerError("the connection closed after another request's answer")
+                raise IncompleteAnswerError("the connection closed after another request's answer")
 
-    def _raise_unless_repeatable(self, send_state: _SendState, error: BrokenAnswerError) -> None:
+    def _raise_unless_repeatable(
+        self, send_state: _SendState, error: IncompleteAnswerError
+    ) -> None:
         may_repeat = send_state.route.may_repeat and send_state.delivery.may_continue
         if may_repeat and send_state.ran < send_state.route.max_endpoints:
             self.counts.retried += 1
@@ -335,7 +340,7 @@
     def _record_failure(
         self, run: ActiveRun, send_state: _SendState, why: str, cut_bytes: int = 0
     ) -> None:
-        run.state.note_failure(asyncio.get_running_loop().time())
+        run.state.record_failure(asyncio.get_running_loop().time())
         self._log("send.failed", run, send_state, why, cut_bytes)
 
     def _log(
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -18,14 +18,14 @@
     refuse_unaccepted,
 )
 from bayhinge._internal.models.routed_requests import RequestField, RoutedRequest
-from bayhinge._internal.models.routing import ClosedRoute, Route, RouteKind, RoutingTable
+from bayhinge._internal.models.routing import InvalidRoute, Route, RouteKind, RoutingTable
 from bayhinge._internal.network.routed_front import BodyTooLongError, Exchange, ExchangeHandler
 from bayhinge._internal.services.gateway.admission import Admission
 from bayhinge._internal.services.gateway.buffered_delivery import BufferedDelivery
 from bayhinge._internal.services.gateway.delivery import Delivery
 from bayhinge._internal.services.gateway.initial_sync import InitialSync, initial_sync_deadline
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
-from bayhinge._internal.services.gateway.outside import CallFormat
+from bayhinge._internal.services.gateway.platform_interface import CallFormat
 from bayhinge._internal.services.gateway.quotas import Quotas
 from bayhinge._internal.services.gateway.request_sender import RETRY_AFTER_S, RequestSender
 from bayhinge._internal.services.gateway.store_listeners import ConfigurationState
@@ -130,7 +130,7 @@
                     f"no route leads to {request.host}{request.path}",
                 )
             )
-        if isinstance(route, ClosedRoute):
+        if isinstance(route, InvalidRoute):
             raise RefusedError(
                 refuse_unaccepted(
                     RefusalCode.CONFIG_UNKNOWN,
@@ -216,10 +216,10 @@
         context = request.turn
         if route.kind is not RouteKind.STREAMING or context is None:
             return None
-        if route.keeps_turns or context.token_budget is not None:
+        if route.retains_turns or context.token_budget is not None:
             await self._disk_sync.wait(request.attempt, sync_deadline_s)
             return await self._turn_recorder.open(
-                request.attempt, context, route.keeps_turns, request.account_name
+                request.attempt, context, route.retains_turns, request.account_name
             )
         return None
 
@@ -291,7 +291,7 @@
 def _begins_program(route: Route, request: RoutedRequest) -> bool:
     """Returns whether a request is its program's first turn."""
     context = request.turn
-    return route.keeps_turns and context is not None and context.previous is None
+    return route.retains_turns and context is not None and context.previous is None
 
 
 def _validate_head(route: Route, request: RoutedRequest) -> None:
@@ -307,7 +307,7 @@
         for finding in request.findings
         if finding.field is not RequestField.RESUME or route.is_resumable
     ]
-    if route.keeps_turns and route.is_resumable and request.resume_after is not None:
+    if route.retains_turns and route.is_resumable and request.resume_after is not None:
         # The recorded turn would lack the events that the caller has from an earlier attempt.
         findings.append("a retained turn can't be resumed by its caller; send it again in full")
     if findings:
--- a/src/bayhinge/_internal/services/gateway/store_listeners.py
+++ b/src/bayhinge/_internal/services/gateway/store_listeners.py
@@ -5,19 +5,19 @@
 
 import eliot
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBook, EntryNews
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, EntryChange
 from bayhinge._internal.exceptions import UnreadableObjectError
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.routing import RoutingTable
-from bayhinge._internal.network.endpoint_link import EndpointLinks
+from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
 from bayhinge._internal.services.gateway.initial_sync import InitialSync
-from bayhinge._internal.services.gateway.outside import ObjectReader
+from bayhinge._internal.services.gateway.platform_interface import ObjectReader
 from bayhinge._internal.services.gateway.unreadable_objects import (
     MAX_LOGGED_FINDINGS,
     UnreadableObjects,
 )
-from bayhinge._internal.services.key_follower import FollowListener
+from bayhinge._internal.services.prefix_follower import ObjectListener
 from bayhinge.coordination.store import Change
 
 MISSING_ENTRY_GRACE_S = 1.8
@@ -33,7 +33,7 @@
 earlier one does not restore it. Unanswered store writes may take effect seconds later."""
 
 
-class ConfigurationState(FollowListener):
+class ConfigurationState(ObjectListener):
     """Holds the newest readable configuration; never goes back to an older version."""
 
     def __init__(self, reader: ObjectReader, key: str) -> None:
@@ -55,14 +55,14 @@
         return self.table is not None and self.table.accounts is not None
 
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
-        """See :class:`FollowListener`."""
+        """See :class:`ObjectListener`."""
         value = value_by_key.get(self._key)
         if value is not None:
             self._load(value)
         self.on_change()
 
     def apply(self, change: Change, is_after_outage: bool) -> None:
-        """See :class:`FollowListener`."""
+        """See :class:`ObjectListener`."""
         if change.key == self._key and change.value is not None:
             self._load(change.value)
         self.on_change()
@@ -95,14 +95,14 @@
             )
 
 
-class EndpointTableUpdater(FollowListener):
+class EndpointTableUpdater(ObjectListener):
     """Applies the platform's endpoint entries to the endpoint table."""
 
     def __init__(
         self,
         reader: ObjectReader,
-        endpoint_table: EndpointBook,
-        links: EndpointLinks,
+        endpoint_table: EndpointTable,
+        links: EndpointConnectionPool,
         restarts: EndpointRestarts,
     ) -> None:
         self._reader = reader
@@ -114,7 +114,7 @@
         self.unreadable = UnreadableObjects("endpoint.unreadable")
 
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
-        """See :class:`FollowListener`."""
+        """See :class:`ObjectListener`."""
         instances = {_instance(key) for key in value_by_key}
         for state in self._endpoint_table.all():
             if state.entry.instance not in instances:
@@ -125,7 +125,7 @@
         self.initial_sync.complete()
 
     def apply(self, change: Change, is_after_outage: bool) -> None:
-        """See :class:`FollowListener`."""
+        """See :class:`ObjectListener`."""
         if change.value is None:
             self.unreadable.resolve(change.key)
             self._mark_missing(_instance(change.key), is_after_outage)
@@ -142,24 +142,24 @@
         self.unreadable.resolve(key)
         previous = self._endpoint_table.last_entry(entry.instance)
         update = self._endpoint_table.put(entry)
-        if update is EntryNews.OUTDATED:
+        if update is EntryChange.OUTDATED:
             # The known incarnation stays missing: this entry belongs to an earlier one.
             eliot.log_message("endpoint.outdated", endpoint=entry.instance, born_ms=entry.born_ms)
             return
         timer = self._removal_timer_by_instance.pop(entry.instance, None)
         if timer is not None:
             timer.cancel()
-        if update is not EntryNews.NOTHING:
+        if update is not EntryChange.NOTHING:
             self._handle_update(entry, update, previous)
 
     def _handle_update(
-        self, entry: EndpointEntry, update: EntryNews, previous: EndpointEntry | None
+        self, entry: EndpointEntry, update: EntryChange, previous: EndpointEntry | None
     ) -> None:
         newest = self._endpoint_table.find(entry.instance)
         assert newest is not None
-        if update is EntryNews.STARTED_AGAIN and previous is not None:
+        if update is EntryChange.RESTARTED and previous is not None:
             self._restarts.handle_restart(newest, previous)
-        if update is EntryNews.FOUND:
+        if update is EntryChange.FOUND:
             self._restarts.handle_return(newest)
         self._restarts.handle_replacement(newest)
         eliot.log_message(
@@ -184,7 +184,7 @@
         state = self._endpoint_table.find(instance)
         if state is None or instance in self._removal_timer_by_instance:
             return
-        state.is_doubtful = True
+        state.is_suspected = True
         grace_s = MISSING_AFTER_OUTAGE_GRACE_S if is_after_outage else MISSING_ENTRY_GRACE_S
         eliot.log_message(
             "endpoint.vanished", endpoint=instance, running=state.running_here, grace_s=grace_s
@@ -202,7 +202,7 @@
         if previous is not None and self._endpoint_table.remove(instance):
             self._links.forget(instance)
             asyncio.get_running_loop().call_later(
-                REMOVED_ENTRY_KEEP_S, self._endpoint_table.forget_gone, previous.start
+                REMOVED_ENTRY_KEEP_S, self._endpoint_table.forget_removed, previous.start
             )
             eliot.log_message("endpoint.gone", endpoint=instance, why=why)
 
--- a/src/bayhinge/_internal/services/gateway/stream_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/stream_delivery.py
@@ -7,12 +7,12 @@
 from collections.abc import AsyncIterator
 
 from bayhinge._internal import status_codes
-from bayhinge._internal.decisions.answer_bounds import AnswerBounds
-from bayhinge._internal.models.routed_requests import AnswerMarks, RoutedRequest
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
+from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route
 from bayhinge._internal.network.endpoint_answer import (
     Answer,
-    BrokenAnswerError,
+    IncompleteAnswerError,
     SilentEndpointError,
 )
 from bayhinge._internal.network.event_stream import EventReader, StreamEvent
@@ -20,9 +20,9 @@
 from bayhinge._internal.network.stream_splice import Spliced, StreamSplice
 from bayhinge._internal.services.gateway.delivery import Delivery, is_success
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
-from bayhinge._internal.services.gateway.outside import CallFormat
+from bayhinge._internal.services.gateway.platform_interface import CallFormat
 from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 
 
 class StreamDelivery(Delivery):
@@ -57,17 +57,17 @@
     @property
     def may_continue(self) -> bool:
         """See :class:`Delivery`."""
-        return self._splice is not None and self._splice.may_go_on
+        return self._splice is not None and self._splice.can_resume
 
     async def deliver(
-        self, answer: Answer, marks: AnswerMarks, may_repeat: bool, bounds: AnswerBounds
+        self, answer: Answer, marks: AnswerMetadata, may_repeat: bool, bounds: AnswerTimeouts
     ) -> None:
         """See :class:`Delivery`."""
         if not is_success(answer.status):
             await self._deliver_failure(answer, may_repeat)
             return
         if not marks.is_signed or marks.is_encoded:
-            raise BrokenAnswerError("the answer is unsigned or encoded")
+            raise IncompleteAnswerError("the answer is unsigned or encoded")
         if self._splice is None:
             await self._deliver_bytes(answer)
         else:
@@ -80,7 +80,7 @@
         body = await answer.read_body()
         is_retryable = may_repeat and answer.status >= status_codes.HTTP_SERVER_ERROR
         if is_retryable or self._exchange.has_begun:
-            raise BrokenAnswerError(f"status {answer.status}")
+            raise IncompleteAnswerError(f"status {answer.status}")
         self.outcome = f"status_{answer.status}"
         await self._exchange.respond(
             answer.status, self._calls.answer_headers(answer.headers), body
@@ -99,10 +99,10 @@
                 # off would exceed the program's budget.
                 self.tokens_delivered += self._tokens_per_event
         if not reader.is_between_events:
-            raise BrokenAnswerError("the stream ended within an event")
+            raise IncompleteAnswerError("the stream ended within an event")
 
     async def _deliver_events(
-        self, answer: Answer, splice: StreamSplice, bounds: AnswerBounds
+        self, answer: Answer, splice: StreamSplice, bounds: AnswerTimeouts
     ) -> None:
         """Delivers whole events; the head is sent with the first one.
 
@@ -114,9 +114,9 @@
             async for piece in _read_pieces(answer, bounds):
                 await self._deliver_piece(answer, run.feed(piece))
             if not run.is_between_events:
-                raise BrokenAnswerError("the stream ended within an event")
+                raise IncompleteAnswerError("the stream ended within an event")
             await self._deliver_piece(answer, run.end())
-        except BrokenAnswerError as error:
+        except IncompleteAnswerError as error:
             error.cut_bytes = run.cut_bytes
             raise
         if not self._exchange.has_begun:
@@ -129,7 +129,7 @@
             self._count(spliced.events)
             await self._exchange.write(spliced.text)
         if spliced.gap is not None:
-            raise BrokenAnswerError(spliced.gap)
+            raise IncompleteAnswerError(spliced.gap)
 
     async def _begin(self, answer: Answer) -> None:
         await self._exchange.begin(answer.status, self._calls.answer_headers(answer.headers))
@@ -147,21 +147,21 @@
             self._new_input + output,
             self.tokens_delivered,
             self.incarnation,
-            self._route.keep_turns_s,
+            self._route.turn_retention_s,
         )
         self.is_recorded = True
 
 
-async def _read_pieces(answer: Answer, bounds: AnswerBounds) -> AsyncIterator[bytes]:
+async def _read_pieces(answer: Answer, bounds: AnswerTimeouts) -> AsyncIterator[bytes]:
     """Yields an answer's bytes as they come.
 
     Raises:
-        BrokenAnswerError: the answer broke off, or paused for longer than its bounds allow.
+        IncompleteAnswerError: the answer broke off, or paused for longer than its bounds allow.
     """
     pieces = answer.read_pieces()
     while True:
         try:
-            async with running_timeout(bounds.pause_s):
+            async with stall_tolerant_timeout(bounds.pause_s):
                 piece = await anext(pieces, b"")
         except TimeoutError:
             raise SilentEndpointError(f"no event for {bounds.pause_s:.3f} s") from None
--- a/src/bayhinge/_internal/services/gateway/turn_histories.py
+++ b/src/bayhinge/_internal/services/gateway/turn_histories.py
@@ -1,6 +1,6 @@
 """Fetches the history of a turn from the disks."""
 
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.models.refusals import (
     Figure,
     RefusalCode,
@@ -17,7 +17,7 @@
     RETRY_AFTER_S,
     too_few_disks,
 )
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 
@@ -65,7 +65,7 @@
             if not texts:
                 _check_account(turn, entry.account)
             if not turn.last_engine.endpoint:
-                turn.last_engine = EndpointStart(entry.endpoint or "", entry.endpoint_born_ms)
+                turn.last_engine = EndpointIncarnation(entry.endpoint or "", entry.endpoint_born_ms)
             texts.append(entry.text or b"")
             attempt = entry.previous
         turn.history = b"".join(reversed(texts))
@@ -79,7 +79,7 @@
         answered = 0
         newest = version
         try:
-            async with running_timeout(DISK_ANSWER_S):
+            async with stall_tolerant_timeout(DISK_ANSWER_S):
                 async for _, reply in self._disk_client.ask(
                     members, methods.ENTRIES, message, wire.EntriesReply
                 ):
@@ -123,5 +123,5 @@
     )
 
 
-def _last_engine(reply: wire.ReserveReply) -> EndpointStart:
-    return EndpointStart(reply.endpoint or "", reply.endpoint_born_ms)
+def _last_engine(reply: wire.ReserveReply) -> EndpointIncarnation:
+    return EndpointIncarnation(reply.endpoint or "", reply.endpoint_born_ms)
--- a/src/bayhinge/_internal/services/gateway/turn_recorder.py
+++ b/src/bayhinge/_internal/services/gateway/turn_recorder.py
@@ -11,7 +11,7 @@
 import eliot
 
 from bayhinge._internal.decisions.disk_quorum import committed_tokens, copies_needed
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.models.refusals import RefusedError
 from bayhinge._internal.models.routed_requests import TurnContext
 from bayhinge._internal.network.frames import encode_message
@@ -52,11 +52,13 @@
         """
         if not is_retained:
             context = attrs.evolve(context, previous=None)
-        reserved = context.most_tokens if context.token_budget is not None else 0
+        reserved = context.max_output_tokens if context.token_budget is not None else 0
         if account:
             # Callers choose program ids: other accounts must not use up this program's budget.
             context = attrs.evolve(context, program=f"{account}/{context.program}")
-        turn = OpenTurn(attempt, context, b"", EndpointStart(), reserved, is_retained, account)
+        turn = OpenTurn(
+            attempt, context, b"", EndpointIncarnation(), reserved, is_retained, account
+        )
         self._check_turn_size(turn)
         replies = await self._reservations.reserve(attempt, context, reserved)
         try:
@@ -68,7 +70,7 @@
         return turn
 
     async def close(
-        self, turn: OpenTurn, text: bytes, tokens: int, engine: EndpointStart, keep_s: float
+        self, turn: OpenTurn, text: bytes, tokens: int, engine: EndpointIncarnation, keep_s: float
     ) -> None:
         """Appends a complete turn to enough disks; retries until it is durable."""
         entry = wire.TurnEntry(
--- a/src/bayhinge/_internal/services/gateway/turn_reservations.py
+++ b/src/bayhinge/_internal/services/gateway/turn_reservations.py
@@ -9,7 +9,7 @@
 import eliot
 
 from bayhinge._internal.decisions.disk_quorum import reservations_needed
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.models.routed_requests import TurnContext
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.services import methods
@@ -17,7 +17,7 @@
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.turn_refusals import DISK_ANSWER_S, too_few_disks
-from bayhinge._internal.utils.running_time import RunningBound
+from bayhinge._internal.utils.stall_tolerant_timeouts import StallTolerantDeadline
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 HISTORY_HEDGE_S = 0.06
@@ -47,7 +47,7 @@
             return []
         entry = wire.TurnEntry(wire.EntryKind.RESERVED, attempt, context.program, reserved)
         reservation = entry if reserved else None
-        bound = RunningBound(DISK_ANSWER_S)
+        bound = StallTolerantDeadline(DISK_ANSWER_S)
         try:
             while True:
                 # Repeated under a newer version of the set; disks ignore repeated reservations.
@@ -59,7 +59,7 @@
                     break
         except asyncio.CancelledError:
             # The caller left: release what the disks have reserved.
-            self.settle(OpenTurn(attempt, context, b"", EndpointStart(), reserved), 0)
+            self.settle(OpenTurn(attempt, context, b"", EndpointIncarnation(), reserved), 0)
             raise
         eliot.log_message(
             "turn.too_few_disks",
@@ -68,7 +68,7 @@
             needed=needed,
             disk_set_version=self._directory.disk_set.version,
         )
-        self.settle(OpenTurn(attempt, context, b"", EndpointStart(), reserved), 0)
+        self.settle(OpenTurn(attempt, context, b"", EndpointIncarnation(), reserved), 0)
         raise too_few_disks(len(replies), needed)
 
     async def _reserve_once(
@@ -76,7 +76,7 @@
         reservation: wire.TurnEntry | None,
         context: TurnContext,
         version: int,
-        bound: RunningBound,
+        bound: StallTolerantDeadline,
     ) -> tuple[int, list[wire.ReserveReply]]:
         """Reserves under one version of the set; returns the needed number of replies, and them."""
         members = self._directory.replicas(context.program)
@@ -143,7 +143,7 @@
         needed: int,
         context: TurnContext,
         version: int,
-        bound: RunningBound,
+        bound: StallTolerantDeadline,
     ) -> list[wire.ReserveReply]:
         """Waits for enough replies, and up to ``HISTORY_HEDGE_S`` longer for the history."""
         waiting = set(tasks)
@@ -158,7 +158,7 @@
                 if context.previous is None or tasks[0].done():
                     break
                 if not has_enough:
-                    bound = RunningBound(min(bound.left_s, HISTORY_HEDGE_S))
+                    bound = StallTolerantDeadline(min(bound.left_s, HISTORY_HEDGE_S))
                 has_enough = True
         return replies
 
--- a/src/bayhinge/_internal/services/gossip.py
+++ b/src/bayhinge/_internal/services/gossip.py
@@ -14,11 +14,11 @@
 import eliot
 from mode import Service
 
-from bayhinge._internal.decisions.sightings import Sightings, listed_s, start_of
+from bayhinge._internal.decisions.last_seen import LastSeen, listed_s, start_of
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.addresses import split_address
-from bayhinge._internal.network.datagrams import Datagrams
+from bayhinge._internal.network.datagrams import DatagramReceiver
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.services.keep_running import keep_running
 from bayhinge._internal.utils.checked_fields import is_ipv4_with_port
@@ -108,10 +108,10 @@
         self._sent_beat_by_address: dict[str, int] = {}
         self._invalid_address_lines = LineBudget(INVALID_ADDRESS_LINES_PER_S)
         self._near_silence_limit_s = self._far_silence_limit_s = MIN_SILENCE_S
-        self._sightings = Sightings()
+        self._sightings = LastSeen()
         self._stalled_until_s = 0.0
         self._transport: asyncio.DatagramTransport | None = None
-        self.on_hello: Callable[[Hello], None] = lambda heartbeat: None
+        self.on_heartbeat: Callable[[Hello], None] = lambda heartbeat: None
         self.on_round: Callable[[], None] = lambda: None
         self.describe: Callable[[Hello], None] = lambda heartbeat: None
 
@@ -120,7 +120,7 @@
         loop = asyncio.get_running_loop()
         host, port = split_address(self._settings.gossip_address)
         self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: Datagrams(self._receive), local_addr=(host, port)
+            lambda: DatagramReceiver(self._receive), local_addr=(host, port)
         )
         self.add_addresses(f"{seed}:{self._settings.gossip_port}" for seed in self._settings.seeds)
         self.add_future(keep_running("hellos", self._run))
@@ -170,7 +170,7 @@
             >= (near_since_s if observed.heartbeat.hall == own_hall else far_since_s)
         ]
 
-    def taking_callers(self) -> list[Hello]:
+    def ready_entry_hosts(self) -> list[Hello]:
         """Returns the heartbeats of entry hosts that were ready for callers a moment ago.
 
         Hosts of the own hall count if any host of the hall received their heartbeats.
@@ -254,7 +254,7 @@
 
     def _check_stall(self, late_s: float) -> None:
         if late_s > STALL_S:
-            self._sightings = Sightings()
+            self._sightings = LastSeen()
             self._stalled_until_s = asyncio.get_running_loop().time() + AFTER_STALL_S
 
     def _send_round(self) -> None:
@@ -345,7 +345,7 @@
         self.add_addresses(heartbeat.known_addresses)
         if not is_same_incarnation:
             self._send_to([heartbeat.gossip_address])
-        self.on_hello(heartbeat)
+        self.on_heartbeat(heartbeat)
 
     def _record_sightings(self, heartbeat: Hello, now_s: float) -> None:
         """Records which entry hosts of this hall the sender saw, and whether it is ready itself."""
--- a/src/bayhinge/_internal/services/host.py
+++ b/src/bayhinge/_internal/services/host.py
@@ -245,7 +245,7 @@
             return
         reply = decode_message(wire.NewsReply(), answer)
         feed.hear(reply.revision)
-        feed.take_from_peer(reply.first_revision, reply.changes)
+        feed.apply_from_peer(reply.first_revision, reply.changes)
 
     def _take_over(self, dead: HostInfo) -> None:
         if self.parts.membership.me.state is not HostState.SERVING:
--- a/src/bayhinge/_internal/services/host_parts.py
+++ b/src/bayhinge/_internal/services/host_parts.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.models.settings import Settings
 from bayhinge._internal.network.endpoint_client import (
     EndpointClient,
-    EndpointTimes,
+    EndpointTimeouts,
     HttpEndpointClient,
 )
 from bayhinge._internal.network.endpoint_list import EndpointList, HttpEndpointList
@@ -19,7 +19,7 @@
 from bayhinge._internal.services.account_directory import AccountDirectory
 from bayhinge._internal.services.adoption import Adopter, OwnerLocator
 from bayhinge._internal.services.call_runner import CallRunner
-from bayhinge._internal.services.histories import HistoryCache
+from bayhinge._internal.services.history_cache import HistoryCache
 from bayhinge._internal.services.latencies import Latencies
 from bayhinge._internal.services.owner import ProgramOwner
 from bayhinge._internal.services.owner_parts import OwnerParts
@@ -59,7 +59,7 @@
 def external_from_settings(settings: Settings, clock: Clock) -> Outside:
     """Builds the clients that the settings name."""
     limits = settings.limits
-    times = EndpointTimes(
+    times = EndpointTimeouts(
         limits.connect_seconds, limits.first_byte_seconds, limits.between_bytes_seconds
     )
     return Outside(
--- a/src/bayhinge/_internal/services/local_queries.py
+++ b/src/bayhinge/_internal/services/local_queries.py
@@ -113,7 +113,7 @@
             me.host,
             me.incarnation,
             feed.revision,
-            feed.heard_revision,
+            feed.observed_revision,
             feed.is_current(),
             tuple(sorted(feed.corrupt_by_key)),
         )
--- a/src/bayhinge/_internal/services/owner.py
+++ b/src/bayhinge/_internal/services/owner.py
@@ -7,12 +7,12 @@
 import attrs
 
 from bayhinge._internal.commands.accept_call import (
-    AwaitTurn,
+    AwaitEarlierCall,
     JoinCall,
     NewMessages,
     RefuseCall,
     ReplayCall,
-    RunningView,
+    RunningCallView,
     check_limits,
     decide_call,
     find_new_messages,
@@ -120,7 +120,7 @@
                 async for item in self._replay(program.state, decision.entry, call.resume_offset):
                     yield item
                 return
-            if isinstance(decision, AwaitTurn):
+            if isinstance(decision, AwaitEarlierCall):
                 await self._await_turn(program, decision.index, deadline)
                 continue
             if program.is_moving and not isinstance(decision, JoinCall):
@@ -183,7 +183,9 @@
 
     def _start(self, program: OwnedProgram, call: Call, deadline: float) -> RunningCall:
         index = program.state.next_index
-        running = RunningCall(RunningView(index, call.digest, call.idempotency_key), LiveAnswer())
+        running = RunningCall(
+            RunningCallView(index, call.digest, call.idempotency_key), LiveAnswer()
+        )
         program.running = running
         task = asyncio.create_task(self._run(program, running, call, deadline))
         running.task = task
--- a/src/bayhinge/_internal/services/owner_parts.py
+++ b/src/bayhinge/_internal/services/owner_parts.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from bayhinge._internal.commands.accept_call import RunningView
+from bayhinge._internal.commands.accept_call import RunningCallView
 from bayhinge._internal.models.programs import ProgramState
 from bayhinge._internal.models.refusals import (
     CallAttempt,
@@ -19,7 +19,7 @@
 from bayhinge._internal.services.answers import LiveAnswer
 from bayhinge._internal.services.call_runner import CallRunner
 from bayhinge._internal.services.grants import GrantSource
-from bayhinge._internal.services.histories import HistoryCache
+from bayhinge._internal.services.history_cache import HistoryCache
 from bayhinge._internal.services.timeline import Timeline
 from bayhinge.coordination.clock import Clock
 from bayhinge.coordination.errors import CoordinationError, FencedError
@@ -35,7 +35,7 @@
 class RunningCall:
     """The running call of a program; there is at most one."""
 
-    view: RunningView
+    view: RunningCallView
     live: LiveAnswer
     task: asyncio.Task[None] | None = None
 
--- a/src/bayhinge/_internal/services/key_follower.py
+++ b/src/bayhinge/_internal/services/prefix_follower.py
@@ -24,7 +24,7 @@
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.services import methods
-from bayhinge._internal.utils.running_time import running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts.ttypes import KnownObjects, ObjectsQuery
 from bayhinge.coordination.errors import HistoryLostError, StoreError
 from bayhinge.coordination.store import Change, PollingStore, StoredObject, list_all
@@ -58,7 +58,7 @@
 AFTER_OUTAGE_S = 2.0
 """For so long after the store's return, removed entries may have expired during the outage."""
 
-FIRST_LIST_S = (0.5, 2.5)
+FIRST_LIST_DELAY_S = (0.5, 2.5)
 """Range of the random delay before a host lists the objects at the first start of a site, unless a
 peer has sent them before; saves list calls."""
 
@@ -66,7 +66,7 @@
 """Timeout of a fetch from a peer."""
 
 
-class FollowListener(ABC):
+class ObjectListener(ABC):
     """Receives the objects and their changes.
 
     ``is_after_outage`` is true shortly after the store's return: entries that others must renew
@@ -89,7 +89,7 @@
     failing_since_s: float | None = None
 
 
-class KeyFollower:
+class PrefixFollower:
     """Keeps a copy of the objects under one prefix up to date."""
 
     def __init__(
@@ -97,7 +97,7 @@
         store: PollingStore,
         prefix: str,
         watch_timeout_s: Callable[[], float],
-        listener: FollowListener,
+        listener: ObjectListener,
         peers: Peers,
     ) -> None:
         """Creates a follower; :meth:`run` starts it.
@@ -130,10 +130,10 @@
         self.first_list_s = 0.0
         self._has_state = asyncio.Event()
         self.heard_s = 0.0
-        self.should_poll: Callable[[], bool] = lambda: True
+        self.should_watch: Callable[[], bool] = lambda: True
         self.on_change: Callable[[], None] = lambda: None
-        store.contact.on_return.append(self._renew)
-        store.contact.on_watched.append(self._renew_if_outdated)
+        store.contact.on_recovery.append(self._renew)
+        store.contact.on_watch_answer.append(self._renew_if_outdated)
 
     async def run(self) -> None:
         """Follows the prefix until it is stopped or cancelled."""
@@ -169,10 +169,10 @@
 
     async def _pause_before_next_try(self) -> None:
         contact = self._store.contact
-        if contact.may_ask(self):
+        if contact.may_probe(self):
             await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.5))
         else:
-            await contact.wait_for_return(MAX_RETURN_WAIT_S)
+            await contact.wait_for_recovery(MAX_RETURN_WAIT_S)
 
     def stop(self) -> None:
         """Cancels the pending call; failures after this are not recorded."""
@@ -241,12 +241,12 @@
             self._renew()
 
     def _is_after_outage(self) -> bool:
-        returned_s = max(self._reported_return_s, self._store.contact.returned_s)
-        return asyncio.get_running_loop().time() - returned_s <= AFTER_OUTAGE_S
+        recovered_s = max(self._reported_return_s, self._store.contact.recovered_s)
+        return asyncio.get_running_loop().time() - recovered_s <= AFTER_OUTAGE_S
 
     def _check_duty(self) -> bool:
         """Returns whether this host should watch, and logs when that changes."""
-        has_duty = self.should_poll()
+        has_duty = self.should_watch()
         if has_duty is not self._is_watching:
             self._is_watching = has_duty
             eliot.log_message("store.watcher", prefix=self.prefix, is_watching=has_duty)
@@ -280,7 +280,7 @@
         wait_s = 0.0 if is_probe else self._watch_timeout_s()
         page = await self._store.poll(self.prefix, self._cursor, wait_s)
         self._record_success()
-        self._store.contact.note_watched(page.revision, has_news=bool(page.changes))
+        self._store.contact.record_watch_answer(page.revision, has_news=bool(page.changes))
         self.heard_s = asyncio.get_running_loop().time()
         doubled_s = min(MAX_PAUSE_S, max(MIN_PAUSE_S, 2 * self._poll_pause_s))
         self._poll_pause_s = doubled_s if page.changes else 0.0
@@ -315,12 +315,12 @@
 
     async def _fetch(self, revision: int, peer_address: str) -> None:
         try:
-            is_waiting = bool(self.complete_to) and self.should_poll()
+            is_waiting = bool(self.complete_to) and self.should_watch()
             await asyncio.sleep(PEER_FETCH_DELAY_S if is_waiting else UNWATCHED_FETCH_DELAY_S)
             if not self._is_behind(revision):
                 return
             query = encode_message(ObjectsQuery(self.prefix))
-            async with running_timeout(PEER_CALL_TIMEOUT_S):
+            async with stall_tolerant_timeout(PEER_CALL_TIMEOUT_S):
                 answer = await self._peers.call(peer_address, methods.OBJECTS, query)
             state = decode_message(KnownObjects(), answer)
         except (TimeoutError, PeerUnreachableError, PeerFailureError, FrameError) as error:
--- a/src/bayhinge/_internal/services/program_opener.py
+++ b/src/bayhinge/_internal/services/program_opener.py
@@ -39,7 +39,7 @@
         opened = await self._parts.registry.open(account, parent, idempotency_key)
         return opened.map(lambda program: str(program.state.program_id))
 
-    async def begin_single(self, account: ClientAccount) -> Result[str, Refusal]:
+    async def open_single_call_program(self, account: ClientAccount) -> Result[str, Refusal]:
         """Opens a program of one call, which becomes durable with that call."""
         if self._is_leaving:
             return await self._open_at_peer(account, None, None)
--- a/src/bayhinge/_internal/services/queue_dispatcher.py
+++ b/src/bayhinge/_internal/services/queue_dispatcher.py
@@ -141,7 +141,7 @@
             for view in list(scheduler.endpoints_by_name.values()):
                 load = await self._endpoints.load(view.address)
                 if load is not None:
-                    self._execute(scheduler.take_load(view.name, load, _now()))
+                    self._execute(scheduler.apply_load_report(view.name, load, _now()))
 
     def _scheduler(self, cell: str) -> CellScheduler:
         scheduler = self._schedulers_by_cell.get(cell)
--- a/src/bayhinge/_internal/utils/early_sockets.py
+++ b/src/bayhinge/_internal/utils/prebound_sockets.py
@@ -11,7 +11,7 @@
 """Accept queue length; if it is full, callers' connection attempts are retried after a second."""
 
 
-class EarlySockets:
+class PreboundSockets:
     """Listening sockets by address, until servers claim them."""
 
     def __init__(self) -> None:
--- a/src/bayhinge/_internal/utils/running_time.py
+++ b/src/bayhinge/_internal/utils/stall_tolerant_timeouts.py
@@ -15,7 +15,7 @@
 
 
 @asynccontextmanager
-async def running_timeout(limit_s: float | None) -> AsyncIterator[None]:
+async def stall_tolerant_timeout(limit_s: float | None) -> AsyncIterator[None]:
     """Limits the body to ``limit_s`` seconds in which the loop was not stalled; None is no limit.
 
     With an ordinary timeout, a process that stalls for longer than the timeout would report a
@@ -58,8 +58,8 @@
             self._timer.cancel()
 
 
-class RunningBound:
-    """A time limit over several successive waits; see :func:`running_timeout`.
+class StallTolerantDeadline:
+    """A time limit over several successive waits; see :func:`stall_tolerant_timeout`.
 
     Attributes:
         left_s: the remaining time in seconds, not counting stalls of the loop.
--- a/src/bayhinge/coordination/config_feed.py
+++ b/src/bayhinge/coordination/config_feed.py
@@ -94,7 +94,7 @@
         return self._revision
 
     @property
-    def heard_revision(self) -> int:
+    def observed_revision(self) -> int:
         """The newest revision that this host has applied or a peer has reported."""
         return max(self._observed_revision, self._revision)
 
@@ -127,11 +127,11 @@
 
     def hear(self, revision: int) -> None:
         """Records that a peer has applied ``revision``; triggers a read if it is newer."""
-        if revision > self.heard_revision:
+        if revision > self.observed_revision:
             self._observed_revision = revision
             self._wake.set()
 
-    def take_from_peer(self, first_revision: int, changes: Iterable[bytes]) -> None:
+    def apply_from_peer(self, first_revision: int, changes: Iterable[bytes]) -> None:
         """Applies consecutive changes sent by a peer, starting at ``first_revision``."""
         for offset, data in enumerate(changes):
             self._apply(first_revision + offset, data)
--- a/src/bayhinge/coordination/membership.py
+++ b/src/bayhinge/coordination/membership.py
@@ -25,7 +25,7 @@
 logger = logging.getLogger(__name__)
 
 
-MAX_BEATS_PER_SECOND = 60.0
+MAX_HEARTBEATS_PER_SECOND = 60.0
 """Maximum heartbeats of all hosts; in larger fleets each host sends fewer."""
 
 
@@ -118,7 +118,7 @@
     def heartbeat_s(self) -> float:
         """Seconds between heartbeats; longer in a large fleet, to limit the store's load."""
         return max(
-            self._times.heartbeat_s, len(self._observed_by_incarnation) / MAX_BEATS_PER_SECOND
+            self._times.heartbeat_s, len(self._observed_by_incarnation) / MAX_HEARTBEATS_PER_SECOND
         )
 
     @property
--- a/src/bayhinge/coordination/store.py
+++ b/src/bayhinge/coordination/store.py
@@ -12,7 +12,7 @@
 import attrs
 
 from bayhinge.coordination.errors import StoreUnavailableError
-from bayhinge.coordination.store_contact import StoreContact
+from bayhinge.coordination.store_availability import StoreAvailability
 
 MAX_VALUE_BYTES = 1_000_000
 """Maximum size of a value in the store."""
@@ -115,7 +115,7 @@
 
     @property
     @abstractmethod
-    def contact(self) -> StoreContact:
+    def contact(self) -> StoreAvailability:
         """Whether the store answers this client's calls."""
 
     @abstractmethod
--- a/tests/functional/test_cut_streams.py
+++ b/tests/functional/test_cut_streams.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBook
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.refusals import CallAttempt, RefusedError
 from bayhinge._internal.models.routed_requests import RoutedRequest
-from bayhinge._internal.network.endpoint_link import EndpointLinks
+from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform.call_format import PlatformCallFormat
 from bayhinge._internal.services.gateway.request_sender import RequestSender
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
@@ -71,7 +71,7 @@
 
     server = await asyncio.start_server(wire, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    book, links = EndpointBook("north"), EndpointLinks()
+    book, links = EndpointTable("north"), EndpointConnectionPool()
     for name in ("e-1", "e-2"):
         book.put(EndpointEntry(name, "llm", f"127.0.0.1:{port}", "north", 4, False))
     caller = Caller()
--- a/tests/functional/test_early_listening.py
+++ b/tests/functional/test_early_listening.py
@@ -12,7 +12,7 @@
 
 from bayhinge._internal.network.routed_front import Exchange, ExchangeHandler, RoutedFront
 from bayhinge._internal.platform.early_listening import SETTINGS_VARIABLE, listen_early
-from bayhinge._internal.utils.early_sockets import EarlySockets
+from bayhinge._internal.utils.prebound_sockets import PreboundSockets
 
 pytestmark = pytest.mark.functional
 
@@ -31,7 +31,7 @@
 def test_a_request_that_comes_before_the_host_can_serve_is_served() -> None:
     async def scenario() -> bytes:
         address = free_address()
-        sockets = EarlySockets()
+        sockets = PreboundSockets()
         sockets.open(address)
         host, _, port = address.partition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
--- a/tests/functional/test_endpoint_link.py
+++ b/tests/functional/test_endpoint_link.py
@@ -8,10 +8,13 @@
 
 from bayhinge._internal.network.endpoint_answer import (
     Answer,
-    BrokenAnswerError,
-    UnreachableError,
+    EndpointUnreachableError,
+    IncompleteAnswerError,
+)
+from bayhinge._internal.network.endpoint_connections import (
+    EndpointConnection,
+    EndpointConnectionPool,
 )
-from bayhinge._internal.network.endpoint_link import EndpointConnection, EndpointLinks
 
 pytestmark = pytest.mark.functional
 Wire = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -28,11 +31,11 @@
     return await reader.readuntil(b"\r\n\r\n")
 
 
-def run(wire: Wire, scenario: Callable[[EndpointLinks, str], Awaitable[None]]) -> None:
+def run(wire: Wire, scenario: Callable[[EndpointConnectionPool, str], Awaitable[None]]) -> None:
     async def main() -> None:
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        links = EndpointLinks()
+        links = EndpointConnectionPool()
         try:
             async with asyncio.timeout(5):
                 await scenario(links, address)
@@ -43,7 +46,7 @@
     asyncio.run(main())
 
 
-async def ask(links: EndpointLinks, address: str) -> tuple[EndpointConnection, Answer]:
+async def ask(links: EndpointConnectionPool, address: str) -> tuple[EndpointConnection, Answer]:
     connection = await links.acquire("e-1", address)
     connection.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", b"")
     return connection, await connection.next_answer()
@@ -55,7 +58,7 @@
             await read_request(reader)
             writer.write(answer("a"))
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         for _ in range(3):
             connection, got = await ask(links, address)
             assert await got.read_body() == b"body"
@@ -71,7 +74,7 @@
         writer.write(answer("a") + answer("surplus"))
         await reader.read()
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         connection, got = await ask(links, address)
         assert await got.read_body() == b"body"
         links.release(connection, None)
@@ -88,7 +91,7 @@
         writer.write(answer("surplus"))
         await reader.read()
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         connection, got = await ask(links, address)
         await got.read_body()
         links.release(connection, None)
@@ -104,7 +107,7 @@
         writer.write(answer("late", b"other") + answer("mine", b"own"))
         await reader.read()
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         connection, first = await ask(links, address)
         assert (b"Bayhinge-Attempt-Id", b"late") in first.headers
         await first.read_body()
@@ -130,8 +133,8 @@
         await writer.drain()
         writer.close()
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
-        with pytest.raises(BrokenAnswerError):
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
+        with pytest.raises(IncompleteAnswerError):
             _, got = await ask(links, address)
             await got.read_body()
 
@@ -150,10 +153,10 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         writer.close()
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         _, got = await ask(links, address)
         if resets:
-            with pytest.raises(BrokenAnswerError):
+            with pytest.raises(IncompleteAnswerError):
                 await got.read_body()
         else:
             assert await got.read_body() == b"some"
@@ -168,8 +171,8 @@
         writer.write(bytes_sent)
         writer.close()
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
-        with pytest.raises(BrokenAnswerError):
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
+        with pytest.raises(IncompleteAnswerError):
             await ask(links, address)
 
     run(wire, scenario)
@@ -181,7 +184,7 @@
         writer.write(answer("a"))
         await asyncio.sleep(10)
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         connection = await links.acquire("e-1", address)
         connection.send(b"POST / HTTP/1.1\r\nHost: x\r\n\r\n", b"x" * 20_000_000)
         got = await connection.next_answer()
@@ -197,8 +200,8 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
-        with pytest.raises(UnreachableError):
-            await EndpointLinks().acquire("e-1", f"127.0.0.1:{port}")
+        with pytest.raises(EndpointUnreachableError):
+            await EndpointConnectionPool().acquire("e-1", f"127.0.0.1:{port}")
 
     asyncio.run(main())
 
@@ -210,7 +213,7 @@
         await asyncio.sleep(0.05)
         writer.close()
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         connection, got = await ask(links, address)
         await got.read_body()
         links.release(connection, None)
@@ -227,7 +230,7 @@
             await read_request(reader)
             writer.write(answer("a"))
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         other = await asyncio.start_server(wire, "127.0.0.1", 0)
         kept, got = await ask(links, address)
         await got.read_body()
--- a/tests/functional/test_endpoint_restarts.py
+++ b/tests/functional/test_endpoint_restarts.py
@@ -11,8 +11,8 @@
 import orjson
 import pytest
 
-from bayhinge._internal.decisions.endpoint_starts import CLOCK_SKEW_S
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.decisions.endpoint_incarnations import CLOCK_SKEW_S
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from tests.lib.asked_endpoints import asked, only_one_service
 from tests.lib.log_lines import collected_lines, told
 from tests.lib.platform_engine import EngineTroubles, PlatformEngine
@@ -216,7 +216,7 @@
         places = [
             disk._disk.turns.chain(reply.attempt).run_at for disk in site.disk_by_name.values()
         ]
-        assert EndpointStart(engine.instance, engine.born_ms) in places
+        assert EndpointIncarnation(engine.instance, engine.born_ms) in places
 
     play(tmp_path, scenario)
 
--- a/tests/functional/test_left_behind_sends.py
+++ b/tests/functional/test_left_behind_sends.py
@@ -5,11 +5,11 @@
 import attrs
 import pytest
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBook
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.refusals import CallAttempt, RefusedError, RunState
 from bayhinge._internal.models.routed_requests import RoutedRequest
-from bayhinge._internal.network.endpoint_link import EndpointLinks
+from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform.call_format import PlatformCallFormat
 from bayhinge._internal.services.gateway.request_sender import RequestSender
 from tests.functional.test_sending import REQUEST, Keep, reply, send
@@ -65,7 +65,7 @@
 
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        book, links = EndpointBook("north"), EndpointLinks()
+        book, links = EndpointTable("north"), EndpointConnectionPool()
         for name in ("e-1", "e-2"):
             book.put(EndpointEntry(name, "app", f"127.0.0.1:{port}", "north", 4, False))
         sender = RequestSender(book, links, PlatformCallFormat())
@@ -96,7 +96,7 @@
 
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        book, links = EndpointBook("north"), EndpointLinks()
+        book, links = EndpointTable("north"), EndpointConnectionPool()
         for name in ("e-1", "e-2", "e-3"):
             book.put(EndpointEntry(name, "llm", f"127.0.0.1:{port}", "north", 4, False))
         request = RoutedRequest("GET", "/x", "host", (), "mine")
--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -9,9 +9,9 @@
 from bayhinge._internal.network.peer_client import PeerClient
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.platform.objects_api import PlatformObjects
-from bayhinge._internal.services import key_follower
+from bayhinge._internal.services import prefix_follower
 from bayhinge._internal.services.disk_sets import change_disk_set, read_disk_set
-from bayhinge._internal.services.key_follower import FollowListener, KeyFollower
+from bayhinge._internal.services.prefix_follower import ObjectListener, PrefixFollower
 from bayhinge._internal.wire.hosts.ttypes import DiskMember
 from bayhinge.coordination.clock import HybridClock, SystemClock
 from bayhinge.coordination.errors import (
@@ -247,7 +247,7 @@
     run(scenario)
 
 
-class Memory(FollowListener):
+class Memory(ObjectListener):
     """Keeps what it hears."""
 
     def __init__(self) -> None:
@@ -276,12 +276,12 @@
 def test_a_follower_hears_changes_through_lost_history_and_outages(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(key_follower, "RETRY_S", 0.05)
+    monkeypatch.setattr(prefix_follower, "RETRY_S", 0.05)
 
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         memory = Memory()
         server.put("config", "main", {"version": 1})
-        follower = KeyFollower(store, "config/", lambda: 2.0, memory, peers())
+        follower = PrefixFollower(store, "config/", lambda: 2.0, memory, peers())
         running = asyncio.create_task(follower.run())
         await until(lambda: memory.value_by_key == {"config/main": b'{"version":1}'})
         server.put("config", "main", {"version": 2})
@@ -308,7 +308,7 @@
         prefixes = ("config/", "servers/")
         memories = [Memory() for _ in prefixes]
         followers = [
-            KeyFollower(store, prefix, lambda: 1.0, memory, peers())
+            PrefixFollower(store, prefix, lambda: 1.0, memory, peers())
             for prefix, memory in zip(prefixes, memories, strict=True)
         ]
         running = [asyncio.create_task(follower.run()) for follower in followers]
@@ -332,7 +332,7 @@
 def test_many_changes_in_a_row_cost_few_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         memory = Memory()
-        follower = KeyFollower(store, "servers/", lambda: 2.0, memory, peers())
+        follower = PrefixFollower(store, "servers/", lambda: 2.0, memory, peers())
         running = asyncio.create_task(follower.run())
         await until(lambda: len(server.calls) >= 2)
         for number in range(40):
