--- a/tests/functional/test_sending.py
+++ b/tests/functional/test_sending.py
@@ -5,15 +5,18 @@
 
 import pytest
 
-from bayhinge._internal.decisions.answer_bounds import AnswerBounds
-from bayhinge._internal.decisions.endpoint_book import EndpointBook, EntryNews
-from bayhinge._internal.decisions.endpoint_starts import NewStart
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, EntryChange
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.refusals import CallAttempt, RefusedError, RunState
-from bayhinge._internal.models.routed_requests import AnswerMarks, RoutedRequest
+from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind, ServiceShare
 from bayhinge._internal.network.endpoint_answer import Answer
-from bayhinge._internal.network.endpoint_link import EndpointConnection, EndpointLinks
+from bayhinge._internal.network.endpoint_connections import (
+    EndpointConnection,
+    EndpointConnectionPool,
+)
 from bayhinge._internal.platform.call_format import PlatformCallFormat
 from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.delivery import Delivery
@@ -35,7 +38,7 @@
         self.body = b""
 
     async def deliver(
-        self, answer: Answer, marks: AnswerMarks, may_repeat: bool, bounds: AnswerBounds
+        self, answer: Answer, marks: AnswerMetadata, may_repeat: bool, bounds: AnswerTimeouts
     ) -> None:
         self.body = await answer.read_body()
 
@@ -48,11 +51,11 @@
 
 def send(
     wire: Wire, times: int = 1
-) -> tuple[Keep, CallAttempt, EndpointLinks, RefusedError | None]:
-    async def main() -> tuple[Keep, CallAttempt, EndpointLinks, RefusedError | None]:
+) -> tuple[Keep, CallAttempt, EndpointConnectionPool, RefusedError | None]:
+    async def main() -> tuple[Keep, CallAttempt, EndpointConnectionPool, RefusedError | None]:
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        book, links = EndpointBook("north"), EndpointLinks()
+        book, links = EndpointTable("north"), EndpointConnectionPool()
         book.put(EndpointEntry("e-1", "app", f"127.0.0.1:{port}", "north", 4, False))
         sender = RequestSender(book, links, PlatformCallFormat())
         delivery, attempt, refused = Keep(), CallAttempt(), None
@@ -117,18 +120,18 @@
     assert (links.counts.opened, links.counts.reused) == (1, 1)
 
 
-class SlowLinks(EndpointLinks):
+class SlowLinks(EndpointConnectionPool):
     """The first connection is used only after a moment."""
 
     def __init__(self) -> None:
         super().__init__()
         self.asked = asyncio.Event()
-        self.may_go_on = asyncio.Event()
+        self.can_resume = asyncio.Event()
 
     async def acquire(self, key: str, address: str) -> EndpointConnection:
         connection = await super().acquire(key, address)
         self.asked.set()
-        await self.may_go_on.wait()
+        await self.can_resume.wait()
         return connection
 
 
@@ -148,7 +151,7 @@
             await asyncio.start_server(wire(name), "127.0.0.1", 0) for name in ("left", "new")
         ]
         addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
-        book, links, runs = EndpointBook("north"), SlowLinks(), ActiveRuns()
+        book, links, runs = EndpointTable("north"), SlowLinks(), ActiveRuns()
         book.put(EndpointEntry("e-1", "app", addresses[0], "north", 4, False, 1_000))
         sender = RequestSender(book, links, PlatformCallFormat(), runs=runs)
         delivery, attempt = Keep(), CallAttempt()
@@ -158,11 +161,11 @@
         )
         await links.asked.wait()
         again = EndpointEntry("e-1", "app", addresses[1], "north", 4, False, 2_000)
-        assert book.put(again) is EntryNews.STARTED_AGAIN
+        assert book.put(again) is EntryChange.RESTARTED
         newest = book.find("e-1")
         assert newest is not None
-        assert runs.handle_restart(newest, NewStart(addresses[1], None)) == (1, 0)
-        links.may_go_on.set()
+        assert runs.handle_restart(newest, NewIncarnation(addresses[1], None)) == (1, 0)
+        links.can_resume.set()
         await sending
         assert newest.running_here == 0
         links.close()
@@ -195,7 +198,7 @@
 
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        book, links, runs = EndpointBook("north"), EndpointLinks(), ActiveRuns()
+        book, links, runs = EndpointTable("north"), EndpointConnectionPool(), ActiveRuns()
         book.put(EndpointEntry("e-1", "app", address, "north", 4, False, 1_000))
         sender = RequestSender(book, links, PlatformCallFormat(), runs=runs)
         limit_s = asyncio.get_running_loop().time() + 2
@@ -207,7 +210,7 @@
         newest = book.find("e-1")
         assert newest is not None
         # Sent since the restart, as far as can be told: it is at the new start already.
-        assert runs.handle_restart(newest, NewStart(address, None)) == (0, 1)
+        assert runs.handle_restart(newest, NewIncarnation(address, None)) == (0, 1)
         may_close.set()
         refused = None
         try:
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -10,7 +10,7 @@
 from bayhinge._internal.exceptions import PeerUnreachableError
 from bayhinge._internal.network.peer_client import PeerClient
 from bayhinge._internal.network.peer_server import PeerServer
-from bayhinge._internal.network.peers import AnsweringHandler
+from bayhinge._internal.network.peers import UnaryPeerHandler
 from bayhinge._internal.services.gateway.turn_refusals import DISK_ANSWER_S
 from bayhinge.coordination.clock import HybridClock, SystemClock
 from tests.lib.charged_time import charged_time
@@ -40,7 +40,7 @@
     return [f"127.0.0.1:{endpoint.port}" for endpoint in endpoints]
 
 
-class Echo(AnsweringHandler):
+class Echo(UnaryPeerHandler):
     async def answer(self, method: str, payload: bytes) -> bytes:
         if method == "never":
             await asyncio.sleep(60)
@@ -59,7 +59,7 @@
                 await client.call(address, "echo", b"2")
         async with asyncio.timeout(0.04):
             assert await client.call(address, "echo", b"3") == b"3"
-        assert client.left_silent == 1
+        assert client.abandoned_connections == 1
         await client.close()
         await server.stop()
 
@@ -100,11 +100,11 @@
         await asyncio.sleep(0.02)
         await client.call(address, "echo", b"")
         await slow
-        assert client.left_silent == 0, "the link was heard while the call waited"
+        assert client.abandoned_connections == 0, "the link was heard while the call waited"
         for _ in range(5):
             await give_up()
         # The second connection never brought anything: a third one would say no more.
-        assert client.left_silent == 1
+        assert client.abandoned_connections == 1
         await client.close()
         await server.stop()
 
--- a/tests/functional/test_standins.py
+++ b/tests/functional/test_standins.py
@@ -7,7 +7,7 @@
 import aiohttp
 import pytest
 
-from bayhinge._internal.network.endpoint_client import EndpointTimes, HttpEndpointClient
+from bayhinge._internal.network.endpoint_client import EndpointTimeouts, HttpEndpointClient
 from bayhinge._internal.network.http_store import HttpObjectStore
 from bayhinge.coordination.errors import (
     AlreadyExistsError,
@@ -123,7 +123,7 @@
         body = chat("a long enough prompt", program="p", hold=30, max_tokens=1)
         async with session.post("/v1/chat/completions", json=body) as sent:
             await sent.read()
-        client = HttpEndpointClient(EndpointTimes())
+        client = HttpEndpointClient(EndpointTimeouts())
         assert await client.held(engine.base_url) == ["p"]
         async with session.post("/v1/kv/export", json={"program": "p"}) as response:
             exported = await response.json()
--- a/tests/lib/asked_endpoints.py
+++ b/tests/lib/asked_endpoints.py
@@ -3,7 +3,7 @@
 import asyncio
 from functools import partial
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBook
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
 from tests.lib.platform_engine import EngineTroubles, PlatformEngine
 from tests.lib.platform_site import PlatformSite
 
@@ -30,5 +30,5 @@
             await site.until(partial(_is_unknown, entry._gateway.endpoint_table, other.instance))
 
 
-def _is_unknown(book: EndpointBook, instance: str) -> bool:
+def _is_unknown(book: EndpointTable, instance: str) -> bool:
     return book.find(instance) is None
--- a/tests/lib/cut_answers.py
+++ b/tests/lib/cut_answers.py
@@ -5,10 +5,10 @@
 
 import attrs
 
-from bayhinge._internal.decisions.answer_bounds import AnswerBounds
-from bayhinge._internal.models.routed_requests import AnswerMarks, RawHeaders, RoutedRequest
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
+from bayhinge._internal.models.routed_requests import AnswerMetadata, RawHeaders, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind, ServiceShare
-from bayhinge._internal.network.endpoint_answer import BrokenAnswerError
+from bayhinge._internal.network.endpoint_answer import IncompleteAnswerError
 from bayhinge._internal.network.routed_front import Exchange
 from bayhinge._internal.platform.call_format import PlatformCallFormat
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
@@ -24,13 +24,13 @@
     RouteKind.STREAMING,
     (ServiceShare("llm", 1.0),),
     timeout_s=1.0,
-    objective_s=1.0,
+    latency_objective_s=1.0,
     urgency=5,
     max_endpoints=9,
     is_resumable=True,
 )
-SIGNED = AnswerMarks("a", True, False, False, False, None)
-BOUNDS = AnswerBounds(unheard_s=1.0, pause_s=1.0, may_leave=True)
+SIGNED = AnswerMetadata("a", True, False, False, False, None)
+BOUNDS = AnswerTimeouts(silence_s=1.0, pause_s=1.0, may_fail_over=True)
 
 
 def event(number: int, run: int) -> bytes:
@@ -50,7 +50,7 @@
         for piece in self.pieces:
             yield piece
         if self.breaks_off:
-            raise BrokenAnswerError("cut")
+            raise IncompleteAnswerError("cut")
 
 
 @attrs.define
--- a/tests/lib/disks_elsewhere.py
+++ b/tests/lib/disks_elsewhere.py
@@ -7,7 +7,7 @@
 
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peer_server import PeerServer
-from bayhinge._internal.network.peers import AnsweringHandler
+from bayhinge._internal.network.peers import UnaryPeerHandler
 from bayhinge._internal.services import methods
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.clock import HybridClock, SystemClock
@@ -18,7 +18,7 @@
 TEXT = b"what was said before"
 
 
-class Disk(AnsweringHandler):
+class Disk(UnaryPeerHandler):
     """Takes every reservation, and has each turn."""
 
     def __init__(self) -> None:
--- a/tests/lib/fence_model.py
+++ b/tests/lib/fence_model.py
@@ -13,7 +13,7 @@
 import attrs
 
 from bayhinge._internal.decisions.disk_fence import KnownSet, Verdict
-from bayhinge._internal.decisions.disk_placement import missing_members_allowed, places_of
+from bayhinge._internal.decisions.disk_placement import missing_members_allowed, replicas_of
 from bayhinge._internal.decisions.disk_quorum import (
     committed_tokens,
     copies_needed,
@@ -218,7 +218,7 @@
         members = list(source.disk_set.members)
         if all(one.host != asker.host for one in members):
             members.append(asker)
-        return any(one.host == asker.host for one in places_of(PROGRAM, members, self.tolerated))
+        return any(one.host == asker.host for one in replicas_of(PROGRAM, members, self.tolerated))
 
     # ---- changes ----
 
@@ -335,7 +335,7 @@
             turn.replies.clear()
 
     def _places(self, turn: Turn) -> list[DiskMember]:
-        return places_of(PROGRAM, self.sets[turn.version - 1].members, self.tolerated)
+        return replicas_of(PROGRAM, self.sets[turn.version - 1].members, self.tolerated)
 
     def end(self, turn: Turn, hosts: Collection[str]) -> None:
         """Its text goes to disks; it is acknowledged once it is on enough of them."""
@@ -368,7 +368,7 @@
         if self.committed() + TOKENS <= BUDGET:
             return
         for known in self.sets:
-            places = places_of(PROGRAM, known.members, self.tolerated)
+            places = replicas_of(PROGRAM, known.members, self.tolerated)
             needed = reservations_needed(len(places), self.tolerated)
             takers = [
                 disk
--- a/tests/lib/proof_model.py
+++ b/tests/lib/proof_model.py
@@ -16,7 +16,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from bayhinge._internal.decisions.proof_age import Proof, ProofBook, proof_bounds, vouched
+from bayhinge._internal.decisions.freshness_proofs import (
+    FreshnessProofs,
+    Proof,
+    confirmed_by_peer,
+    proof_bounds,
+)
 
 BOUND_S = 5.0
 """How long a key may be served after it was taken away."""
@@ -36,7 +41,7 @@
     rate: float
     offset_s: float
     known_revision: int = 0
-    book: ProofBook = attrs.field(factory=ProofBook)
+    book: FreshnessProofs = attrs.field(factory=FreshnessProofs)
     frozen_until_s: float = 0.0
     frozen_s: float = 0.0
 
@@ -65,7 +70,7 @@
 
     def peer_proof(self, revision: int, age_s: float, asked_s: float, got_s: float) -> Proof:
         """Counts from when the peer was asked, and from the age that it told."""
-        return vouched(revision, age_s, asked_s)
+        return confirmed_by_peer(revision, age_s, asked_s)
 
     def knows_enough(self, host: Host) -> int:
         """The revision up to which proofs count."""
--- a/tests/lib/proof_mutants.py
+++ b/tests/lib/proof_mutants.py
@@ -1,6 +1,6 @@
 """The model of proofs with one guard left out each."""
 
-from bayhinge._internal.decisions.proof_age import Proof
+from bayhinge._internal.decisions.freshness_proofs import Proof
 from tests.lib.proof_model import BOUND_S, Host, ProofModel
 
 
--- a/tests/lib/silent_store.py
+++ b/tests/lib/silent_store.py
@@ -14,7 +14,7 @@
     PollingStore,
     StoredObject,
 )
-from bayhinge.coordination.store_contact import StoreContact
+from bayhinge.coordination.store_availability import StoreAvailability
 from tests.lib.read_only_store import ReadOnlyStore
 
 Answer = TypeVar("Answer")
@@ -68,11 +68,11 @@
 
     def __init__(self, truth: StoreTruth) -> None:
         self._truth = truth
-        self._contact = StoreContact()
+        self._contact = StoreAvailability()
         self.calls = 0
 
     @property
-    def contact(self) -> StoreContact:
+    def contact(self) -> StoreAvailability:
         return self._contact
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
@@ -112,7 +112,7 @@
                     await asyncio.Event().wait()
                 await asyncio.sleep(ANSWER_S)
         except TimeoutError as error:
-            self._contact.note_failure(is_silent=True)
+            self._contact.record_failure(is_silent=True)
             raise StoreUnavailableError("a call", "TimeoutError") from error
-        self._contact.note_answer()
+        self._contact.record_answer()
         return answer
--- a/tests/lib/watching_site.py
+++ b/tests/lib/watching_site.py
@@ -5,10 +5,10 @@
 from collections.abc import AsyncGenerator
 from functools import partial
 
-from bayhinge._internal.decisions.watchers import WATCHERS_PER_HALL, WatchTurn, wait_until_turn
+from bayhinge._internal.decisions.watchers import WATCHERS_PER_HALL, WatchSlot, wait_until_slot
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
-from bayhinge._internal.services.key_follower import FollowListener, KeyFollower
+from bayhinge._internal.services.prefix_follower import ObjectListener, PrefixFollower
 from bayhinge._internal.wire.hosts.ttypes import ObjectsQuery
 from bayhinge.coordination.store import Change
 from tests.lib.silent_store import SilentStore, StoreTruth
@@ -16,7 +16,7 @@
 PREFIXES = ("config/", "servers/")
 
 
-class Nobody(FollowListener):
+class Nobody(ObjectListener):
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
         return
 
@@ -28,7 +28,7 @@
     """Every host reaches every other."""
 
     def __init__(self) -> None:
-        self.followers_by_address: dict[str, dict[str, KeyFollower]] = {}
+        self.followers_by_address: dict[str, dict[str, PrefixFollower]] = {}
 
     async def stream(
         self, address: str, method: str, payload: bytes
@@ -58,18 +58,18 @@
         address = f"{hall}/{place}"
 
         def wait_of(prefix: int) -> float:
-            turn = WatchTurn(hall, halls, place, prefix, len(PREFIXES), watchers)
-            return wait_until_turn(turn, asyncio.get_running_loop().time())
+            turn = WatchSlot(hall, halls, place, prefix, len(PREFIXES), watchers)
+            return wait_until_slot(turn, asyncio.get_running_loop().time())
 
         followers = {}
         for number, prefix in enumerate(PREFIXES):
-            follower = KeyFollower(store, prefix, partial(wait_of, number), Nobody(), self.ways)
-            follower.should_poll = lambda: place < WATCHERS_PER_HALL
+            follower = PrefixFollower(store, prefix, partial(wait_of, number), Nobody(), self.ways)
+            follower.should_watch = lambda: place < WATCHERS_PER_HALL
             follower.on_change = lambda: self._tell(address)
             followers[prefix] = follower
         self.ways.followers_by_address[address] = followers
 
-    def followers(self) -> list[KeyFollower]:
+    def followers(self) -> list[PrefixFollower]:
         hosts = self.ways.followers_by_address.values()
         return [follower for followers in hosts for follower in followers.values()]
 
--- a/tests/unit/test_account_keys.py
+++ b/tests/unit/test_account_keys.py
@@ -7,7 +7,7 @@
 
 from bayhinge._internal.models.account_keys import (
     AccountTable,
-    ClosedAccount,
+    InvalidAccount,
     Quota,
     RoutedAccount,
     hash_key,
@@ -24,7 +24,7 @@
     return PlatformObjectReader().read_configuration(value)
 
 
-def _found(table: RoutingTable, key: str) -> RoutedAccount | ClosedAccount | None:
+def _found(table: RoutingTable, key: str) -> RoutedAccount | InvalidAccount | None:
     assert table.accounts is not None
     return table.accounts.find(hash_key(key))
 
@@ -51,12 +51,12 @@
 @pytest.mark.parametrize(
     ("odd", "left"),
     [
-        ({"name": None}, ClosedAccount),
-        ({"name": "two words"}, ClosedAccount),
-        ({"name": "a\r\nb: c"}, ClosedAccount),
-        ({"rate_per_s": -1}, ClosedAccount),
-        ({"rate_per_s": "many"}, ClosedAccount),
-        ({"burst": True}, ClosedAccount),
+        ({"name": None}, InvalidAccount),
+        ({"name": "two words"}, InvalidAccount),
+        ({"name": "a\r\nb: c"}, InvalidAccount),
+        ({"rate_per_s": -1}, InvalidAccount),
+        ({"rate_per_s": "many"}, InvalidAccount),
+        ({"burst": True}, InvalidAccount),
         ({"priority": -2}, RoutedAccount),
         ({"priority": "high"}, RoutedAccount),
         ({"api_keys": [KEY_OF_DESK, 7, ""]}, RoutedAccount),
@@ -79,7 +79,7 @@
 def test_a_key_of_two_accounts_is_closed_and_their_other_keys_count() -> None:
     table = _read(DESK, OTHERS | {"api_keys": [KEY_OF_OTHERS, KEY_OF_DESK]})
     shared = _found(table, KEY_OF_DESK)
-    assert isinstance(shared, ClosedAccount) and "others" in shared.why
+    assert isinstance(shared, InvalidAccount) and "others" in shared.why
     assert isinstance(_found(table, DESK["api_keys"][1]), RoutedAccount)
     assert isinstance(_found(table, KEY_OF_OTHERS), RoutedAccount)
 
--- a/tests/unit/test_cell.py
+++ b/tests/unit/test_cell.py
@@ -16,7 +16,7 @@
     Transition,
 )
 from bayhinge._internal.decisions.policies import ORDERS, PLACEMENTS
-from bayhinge._internal.models.endpoints import Endpoint, EndpointState
+from bayhinge._internal.models.endpoints import Endpoint, ListedEndpointState
 from bayhinge._internal.models.refusals import RefusalCode
 from bayhinge._internal.models.settings import ORDER_NAMES, PLACEMENT_NAMES
 
@@ -24,7 +24,9 @@
 
 
 def listed(*names: str) -> list[Endpoint]:
-    return [Endpoint(name, "pool", "hall", f"at-{name}", EndpointState.LIVE) for name in names]
+    return [
+        Endpoint(name, "pool", "hall", f"at-{name}", ListedEndpointState.LIVE) for name in names
+    ]
 
 
 def make_offer(program: str, index: int = 0, tokens: int = 1000, **more: object) -> Offer:
@@ -161,7 +163,7 @@
     (endpoint,) = grants(cell.offer(first, 0.0)).values()
     other = "b" if endpoint == "a" else "a"
     states = [
-        attrs.evolve(item, state=EndpointState.LEAVING) if item.name == endpoint else item
+        attrs.evolve(item, state=ListedEndpointState.LEAVING) if item.name == endpoint else item
         for item in listed("a", "b")
     ]
     actions = cell.set_endpoints(states, 1.0)
--- a/tests/unit/test_configuration_proofs.py
+++ b/tests/unit/test_configuration_proofs.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.proof_age import ProofBounds, proof_bounds
+from bayhinge._internal.decisions.freshness_proofs import ProofBounds, proof_bounds
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
@@ -15,7 +15,7 @@
     ConfigurationProofs,
 )
 from bayhinge._internal.services.gossip import Gossip
-from bayhinge._internal.services.key_follower import KeyFollower
+from bayhinge._internal.services.prefix_follower import PrefixFollower
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.errors import StoreUnavailableError
 from bayhinge.coordination.store import StoredObject
@@ -76,7 +76,7 @@
         self.store = SlowStore()
         self.peers = OnePeer()
         self.gossip = Gossip(settings, wire.HostRole.ENTRY)
-        self.follower = KeyFollower(self.store, "config/", lambda: 5.0, Nobody(), self.peers)
+        self.follower = PrefixFollower(self.store, "config/", lambda: 5.0, Nobody(), self.peers)
         self.proofs = ConfigurationProofs(
             self.store, KEY, self.follower, self.gossip, self.peers, bounds
         )
--- a/tests/unit/test_connecting_play.py
+++ b/tests/unit/test_connecting_play.py
@@ -12,8 +12,8 @@
 
 from bayhinge._internal.decisions import caller_addresses
 from bayhinge._internal.decisions.caller_addresses import ReadyHost, addresses_for
-from bayhinge._internal.decisions.endpoint_book import EndpointBook, Wish
-from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointStart
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
+from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 
 HALL_HOSTS = 35
 KEPT_S = 8.0
@@ -48,8 +48,8 @@
     ]
 
 
-def book_of_a_hall() -> EndpointBook:
-    book = EndpointBook("north")
+def book_of_a_hall() -> EndpointTable:
+    book = EndpointTable("north")
     for service, count in (("llm", ENGINES), ("app", SERVICES)):
         for number in range(count):
             instance = f"{service}-{number}"
@@ -78,10 +78,12 @@
         if host in lost:
             refused += 1
             continue
-        wish = Wish()
+        wish = PlacementPreference()
         is_turn = generator.random() < 0.5
         if is_turn and generator.random() < OWN_ENGINE:
-            wish = Wish(EndpointStart(f"llm-{generator.randrange(ENGINES)}"), kept_tokens=3000)
+            wish = PlacementPreference(
+                EndpointIncarnation(f"llm-{generator.randrange(ENGINES)}"), kept_tokens=3000
+            )
         free = {key for (at, key), kept in idle.items() if at == host and kept and kept[-1] > now_s}
         if says_connected:
             wish = attrs.evolve(wish, connected=frozenset(free))
--- a/tests/unit/test_disk_fence.py
+++ b/tests/unit/test_disk_fence.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bayhinge._internal.decisions.disk_fence import KnownSet, Verdict, unread_members_allowed
-from bayhinge._internal.decisions.disk_placement import places_of
+from bayhinge._internal.decisions.disk_placement import replicas_of
 from bayhinge._internal.decisions.disk_quorum import committed_tokens, reservations_needed
 
 PROGRAM = "program"
@@ -84,7 +84,7 @@
 
     def begin_turn(self, entry: str) -> Reservation:
         version = self.version_by_entry[entry]
-        places = places_of(PROGRAM, self.sets[version], self.tolerated)
+        places = replicas_of(PROGRAM, self.sets[version], self.tolerated)
         needed = reservations_needed(len(places), self.tolerated)
         attempt = f"turn-{next(self.attempts)}"
         waiting = {member.host for member in places}
--- a/tests/unit/test_disk_reach.py
+++ b/tests/unit/test_disk_reach.py
@@ -1,16 +1,16 @@
 """When a host believes that it is cut off from the disks."""
 
-from bayhinge._internal.decisions.disk_reach import DiskReach
+from bayhinge._internal.decisions.disk_reachability import DiskReachability
 
 
 def test_more_silent_disks_than_may_be_lost_speak_of_a_cut_until_one_answers() -> None:
-    reach = DiskReach(tolerated=2)
+    reach = DiskReachability(tolerated=2)
     for disk in ("one", "two", "two", "one"):
-        reach.note_silence(disk)
+        reach.record_silence(disk)
     assert not reach.is_cut_off, "two disks may be lost by themselves"
-    reach.note_silence("three")
+    reach.record_silence("three")
     assert reach.is_cut_off
-    reach.note_answer()
+    reach.record_answer()
     assert not reach.is_cut_off
-    reach.note_silence("three")
+    reach.record_silence("three")
     assert not reach.is_cut_off
--- a/tests/unit/test_disk_rules.py
+++ b/tests/unit/test_disk_rules.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.disk_placement import missing_members_allowed, places_of
+from bayhinge._internal.decisions.disk_placement import missing_members_allowed, replicas_of
 from bayhinge._internal.decisions.disk_quorum import (
     committed_tokens,
     copies_needed,
@@ -118,11 +118,11 @@
     disks: int, halls: int, tolerated: int, program: str
 ) -> None:
     members = site_of(disks, halls)
-    places = places_of(program, members, tolerated)
+    places = replicas_of(program, members, tolerated)
     assert len(places) == min(disks, 2 * tolerated + 1)
     assert len(set(places)) == len(places)
     assert len({place.hall for place in places}) == min(halls, disks, len(places))
-    assert places_of(program, members[::-1], tolerated) == places or disks <= 2 * tolerated + 1
+    assert replicas_of(program, members[::-1], tolerated) == places or disks <= 2 * tolerated + 1
 
 
 @given(st.integers(6, 14), st.integers(0, 13))
@@ -130,8 +130,8 @@
     members = site_of(disks, 5)
     rest = [member for number, member in enumerate(members) if number != gone % disks]
     for number in range(30):
-        before = set(places_of(f"p{number}", members, 2))
-        after = set(places_of(f"p{number}", rest, 2))
+        before = set(replicas_of(f"p{number}", members, 2))
+        after = set(replicas_of(f"p{number}", rest, 2))
         assert len(before & after) >= 4
 
 
--- a/tests/unit/test_endpoint_book.py
+++ b/tests/unit/test_endpoint_book.py
@@ -1,13 +1,13 @@
 """Which endpoint a request goes to."""
 
-from bayhinge._internal.decisions.endpoint_book import (
+from bayhinge._internal.decisions.endpoint_table import (
     FIRST_EJECTION_S,
-    EndpointBelief,
-    EndpointBook,
-    EntryNews,
-    Wish,
+    EndpointState,
+    EndpointTable,
+    EntryChange,
+    PlacementPreference,
 )
-from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 
 
 def entry(
@@ -16,48 +16,50 @@
     return EndpointEntry(instance, "app", f"10.0.0.1:{len(instance)}", hall, slots, leaving)
 
 
-def book_of(*entries: EndpointEntry) -> EndpointBook:
-    book = EndpointBook("north")
+def book_of(*entries: EndpointEntry) -> EndpointTable:
+    book = EndpointTable("north")
     for one in entries:
         book.put(one)
     return book
 
 
-def at(instance: str, born_ms: int | None = None) -> EndpointStart:
-    return EndpointStart(instance, born_ms)
+def at(instance: str, born_ms: int | None = None) -> EndpointIncarnation:
+    return EndpointIncarnation(instance, born_ms)
 
 
-def believed(book: EndpointBook, instance: str) -> EndpointBelief:
+def believed(book: EndpointTable, instance: str) -> EndpointState:
     belief = book.find(instance)
     assert belief is not None
     return belief
 
 
-def chosen(book: EndpointBook, wish: Wish | None = None, tried: tuple[str, ...] = ()) -> str | None:
-    belief: EndpointBelief | None = book.choose("app", wish or Wish(), tried, 100.0)
+def chosen(
+    book: EndpointTable, wish: PlacementPreference | None = None, tried: tuple[str, ...] = ()
+) -> str | None:
+    belief: EndpointState | None = book.choose("app", wish or PlacementPreference(), tried, 100.0)
     return None if belief is None else belief.entry.instance
 
 
 def test_the_least_loaded_endpoint_is_chosen_and_the_own_hall_while_it_has_room() -> None:
     book = book_of(entry("a", "south"), entry("b"), entry("c"))
     assert chosen(book) == "b"
-    book.hear_loads({"b": 1, "c": 2})
+    book.apply_peer_loads({"b": 1, "c": 2})
     assert chosen(book) == "b", "one request of ten slots is less than the way between halls costs"
-    book.hear_loads({"b": 2, "c": 2})
+    book.apply_peer_loads({"b": 2, "c": 2})
     assert chosen(book) == "a"
-    book.hear_loads({"a": 1, "b": 2, "c": 2})
+    book.apply_peer_loads({"a": 1, "b": 2, "c": 2})
     assert chosen(book) == "b"
 
 
 def test_shared_parts_gather_in_each_hall_while_the_load_is_even() -> None:
     names = [f"{hall}-{number}" for hall in ("north", "south") for number in range(4)]
     book = book_of(*(entry(name, name[:5], 10) for name in names))
-    wish = Wish(shared_part="rules")
+    wish = PlacementPreference(shared_part="rules")
     first = chosen(book, wish)
     assert first is not None and first.startswith("north")
-    book.hear_loads({first: 1})
+    book.apply_peer_loads({first: 1})
     assert chosen(book, wish) == first, "a read part is worth one request of ten slots"
-    book.hear_loads({first: 2})
+    book.apply_peer_loads({first: 2})
     second = chosen(book, wish)
     assert second is not None and second.startswith("north") and second != first
 
@@ -70,15 +72,15 @@
 
 def test_a_failure_rests_an_endpoint_unless_there_is_no_other() -> None:
     book = book_of(entry("a"), entry("b"))
-    believed(book, "a").note_failure(100.0)
+    believed(book, "a").record_failure(100.0)
     assert chosen(book) == "b"
     assert chosen(book, tried=("b",)) == "a"
     belief = book.find("a")
     assert belief is not None
     assert belief.ejected_until_s == 100.0 + FIRST_EJECTION_S
-    believed(book, "a").note_failure(100.0)
+    believed(book, "a").record_failure(100.0)
     assert belief.ejected_until_s == 100.0 + 2 * FIRST_EJECTION_S
-    believed(book, "a").note_success()
+    believed(book, "a").record_success()
     assert chosen(book) == "a"
 
 
@@ -86,37 +88,40 @@
     book = book_of(entry("a"), entry("b"))
     belief = book.find("a")
     assert belief is not None
-    belief.is_doubtful = True
+    belief.is_suspected = True
     assert chosen(book) == "b"
     assert chosen(book, tried=("b",)) == "a"
-    assert book.put(entry("a")) is EntryNews.CHANGED
+    assert book.put(entry("a")) is EntryChange.CHANGED
     assert chosen(book) == "a"
 
 
 def test_a_turn_goes_back_to_its_engine_unless_that_is_much_busier() -> None:
     book = book_of(entry("a"), entry("b"))
-    book.hear_loads({"b": 1})
-    assert chosen(book, Wish(at("b"))) == "b"
-    book.hear_loads({"b": 5})
-    assert chosen(book, Wish(at("b"))) == "a"
+    book.apply_peer_loads({"b": 1})
+    assert chosen(book, PlacementPreference(at("b"))) == "b"
+    book.apply_peer_loads({"b": 5})
+    assert chosen(book, PlacementPreference(at("b"))) == "a"
 
 
 def test_requests_with_one_shared_part_meet_at_one_engine() -> None:
     book = book_of(*(entry(name) for name in "abcdef"))
-    first = chosen(book, Wish(shared_part="policy"))
-    assert {chosen(book, Wish(shared_part="policy")) for _ in range(5)} == {first}
-    assert len({chosen(book, Wish(shared_part=f"p{number}")) for number in range(40)}) > 2
+    first = chosen(book, PlacementPreference(shared_part="policy"))
+    assert {chosen(book, PlacementPreference(shared_part="policy")) for _ in range(5)} == {first}
+    assert (
+        len({chosen(book, PlacementPreference(shared_part=f"p{number}")) for number in range(40)})
+        > 2
+    )
 
 
 def test_successes_between_failures_do_not_end_the_rest_of_a_grey_endpoint() -> None:
     book = book_of(entry("a"), entry("b", "south"))
     for _ in range(4):
-        believed(book, "a").note_failure(100.0)
-        believed(book, "a").note_failure(100.0)
-        believed(book, "a").note_success()
+        believed(book, "a").record_failure(100.0)
+        believed(book, "a").record_failure(100.0)
+        believed(book, "a").record_success()
     assert chosen(book) == "b"
     for _ in range(19):
-        believed(book, "a").note_success()
+        believed(book, "a").record_success()
     assert chosen(book) == "a"
 
 
@@ -126,39 +131,39 @@
     assert belief is not None
     belief.complaints = 4
     assert chosen(book) == "b"
-    assert chosen(book, Wish(at("a"))) == "b", "not even for a warm cache"
-    book.hear_loads({"b": 8})
+    assert chosen(book, PlacementPreference(at("a"))) == "b", "not even for a warm cache"
+    book.apply_peer_loads({"b": 8})
     assert chosen(book) == "a"
 
 
 def test_a_long_history_is_not_read_again_for_a_few_requests_of_few_slots() -> None:
     book = book_of(entry("a", slots=6), entry("b", slots=6))
-    book.hear_loads({"b": 5})
-    assert chosen(book, Wish(at("b"), kept_tokens=6000)) == "b", (
+    book.apply_peer_loads({"b": 5})
+    assert chosen(book, PlacementPreference(at("b"), kept_tokens=6000)) == "b", (
         "reading it takes longer than waiting"
     )
-    assert chosen(book, Wish(at("b"), kept_tokens=1500)) == "a"
-    book.hear_loads({"b": 7})
-    assert chosen(book, Wish(at("b"), kept_tokens=6000)) == "a"
+    assert chosen(book, PlacementPreference(at("b"), kept_tokens=1500)) == "a"
+    book.apply_peer_loads({"b": 7})
+    assert chosen(book, PlacementPreference(at("b"), kept_tokens=6000)) == "a"
 
 
 def test_a_turn_whose_engine_is_too_busy_goes_where_its_shared_part_is() -> None:
     names = [f"{number}" for number in range(6)]
     book = book_of(*(entry(name, slots=6) for name in names))
-    gathering = chosen(book, Wish(shared_part="rules", shared_tokens=2500))
+    gathering = chosen(book, PlacementPreference(shared_part="rules", shared_tokens=2500))
     assert gathering is not None
     busy = next(name for name in names if name != gathering)
-    book.hear_loads({busy: 9, gathering: 2})
-    assert chosen(book, Wish(at(busy), "rules", 4000, 2500)) == gathering
+    book.apply_peer_loads({busy: 9, gathering: 2})
+    assert chosen(book, PlacementPreference(at(busy), "rules", 4000, 2500)) == gathering
 
 
 def test_figures_of_another_hall_move_work_only_where_they_differ_by_more_than_their_delay() -> (
     None
 ):
     book = book_of(entry("a", slots=6), entry("b", "south", slots=6))
-    book.hear_loads({"a": 2})
+    book.apply_peer_loads({"a": 2})
     assert chosen(book) == "a"
-    book.hear_loads({"a": 3})
+    book.apply_peer_loads({"a": 3})
     assert chosen(book) == "b"
 
 
@@ -169,16 +174,16 @@
     belief = book.find("a")
     assert belief is not None
     belief.complaints = 2
-    book.hear_loads({"b": 4, "c": 4})
+    book.apply_peer_loads({"b": 4, "c": 4})
     assert chosen(book) == "b"
-    assert chosen(book, Wish(at("a"), kept_tokens=9000)) == "b"
-    book.hear_loads({"b": 11, "c": 11})
+    assert chosen(book, PlacementPreference(at("a"), kept_tokens=9000)) == "b"
+    book.apply_peer_loads({"b": 11, "c": 11})
     assert chosen(book) == "a", "where no other has room, it is tried all the same"
 
 
 def test_a_connection_decides_only_between_endpoints_that_are_equal() -> None:
     book = book_of(entry("a"), entry("b"), entry("c"))
-    wish = Wish(connected=frozenset({"c"}))
+    wish = PlacementPreference(connected=frozenset({"c"}))
     assert chosen(book, wish) == "c"
     belief = book.find("c")
     assert belief is not None
--- a/tests/unit/test_endpoint_news.py
+++ b/tests/unit/test_endpoint_news.py
@@ -6,12 +6,12 @@
 import orjson
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.endpoint_book import EndpointBelief as Belief
-from bayhinge._internal.decisions.endpoint_book import EndpointBook
-from bayhinge._internal.decisions.endpoint_starts import NewStart
-from bayhinge._internal.decisions.start_revisions import StartRevisions
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation
+from bayhinge._internal.decisions.endpoint_table import EndpointState as Belief
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
+from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
-from bayhinge._internal.network.endpoint_link import EndpointLinks
+from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
@@ -26,7 +26,7 @@
     REMOVED_ENTRY_KEEP_S,
     EndpointTableUpdater,
 )
-from bayhinge._internal.services.key_follower import FollowListener, KeyFollower
+from bayhinge._internal.services.prefix_follower import ObjectListener, PrefixFollower
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.store import Change, Listing, StoredObject
 from tests.lib.silent_store import SilentStore, StoreTruth
@@ -53,8 +53,8 @@
     """What one host believes of endpoints."""
 
     def __init__(self) -> None:
-        self.book = EndpointBook("north")
-        self.links = EndpointLinks()
+        self.book = EndpointTable("north")
+        self.links = EndpointConnectionPool()
         self.runs = ActiveRuns()
         self.restarts = EndpointRestarts(self.book, self.links, self.runs, lambda: BORN_MS + 9_000)
         self.listener = EndpointTableUpdater(
@@ -84,7 +84,7 @@
         await asyncio.sleep(MISSING_ENTRY_GRACE_S / 2)
         host.hear(entry_value(BORN_MS + 1))
         await asyncio.sleep(MISSING_ENTRY_GRACE_S)
-        assert not host.believed().is_doubtful
+        assert not host.believed().is_suspected
 
     run_virtual(scenario())
 
@@ -175,12 +175,12 @@
 
 
 def test_what_a_former_start_said_last_is_no_word_of_the_next_one() -> None:
-    links = EndpointLinks()
+    links = EndpointConnectionPool()
     links._last_received_s_by_key["a"] = 10.0
-    links.start_again("a", NewStart("x", 9.0))
-    assert links.was_heard_since("a", 9.5), "that was the new start"
-    links.start_again("a", NewStart("x", 11.0))
-    assert not links.was_heard_since("a", 9.5)
+    links.start_again("a", NewIncarnation("x", 9.0))
+    assert links.has_received_since("a", 9.5), "that was the new start"
+    links.start_again("a", NewIncarnation("x", 11.0))
+    assert not links.has_received_since("a", 9.5)
 
 
 # ---- loads ----
@@ -243,7 +243,7 @@
 
 
 def test_hellos_of_hosts_that_are_behind_are_left_out_of_the_sum() -> None:
-    revisions = StartRevisions()
+    revisions = IncarnationRevisions()
     revisions.note("a", 50)
     hellos = [
         wire.Hello(host=str(known_to), running_by_endpoint={"a": 2, "b": 1})
@@ -308,7 +308,7 @@
 # ---- lists that cross ----
 
 
-class Known(FollowListener):
+class Known(ObjectListener):
     """Keeps what it was told last."""
 
     def __init__(self) -> None:
@@ -345,7 +345,7 @@
     async def scenario() -> None:
         listener = Known()
         store = SlowListStore(StoreTruth("config/main"))
-        follower = KeyFollower(store, "servers/", lambda: 5.0, listener, OnePeer())
+        follower = PrefixFollower(store, "servers/", lambda: 5.0, listener, OnePeer())
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(0.5)
         follower.hear(60, "peer")
--- a/tests/unit/test_endpoint_starts.py
+++ b/tests/unit/test_endpoint_starts.py
@@ -8,24 +8,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.endpoint_book import (
-    EndpointBelief,
-    EndpointBook,
-    EntryNews,
-    Wish,
-)
-from bayhinge._internal.decisions.endpoint_starts import (
+from bayhinge._internal.decisions.endpoint_incarnations import (
     CLOCK_SKEW_S,
     Contact,
-    NewStart,
+    NewIncarnation,
     began_s,
+    belongs_to,
     is_over,
-    is_surely_of,
 )
-from bayhinge._internal.decisions.load_board import HostReport, LoadBoard
-from bayhinge._internal.decisions.start_revisions import StartRevisions
+from bayhinge._internal.decisions.endpoint_table import (
+    EndpointState,
+    EndpointTable,
+    EntryChange,
+    PlacementPreference,
+)
+from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
+from bayhinge._internal.decisions.load_table import HostLoadReport, LoadTable
 from bayhinge._internal.exceptions import UnreadableObjectError
-from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
 
 BORN_MS = 1_700_000_000_000
@@ -38,21 +38,21 @@
     return EndpointEntry(instance, "app", address, "north", 10, False, born_ms)
 
 
-def book_of(*entries: EndpointEntry) -> EndpointBook:
-    book = EndpointBook("north")
+def book_of(*entries: EndpointEntry) -> EndpointTable:
+    book = EndpointTable("north")
     for one in entries:
         book.put(one)
     return book
 
 
-def believed(book: EndpointBook, instance: str = "a") -> EndpointBelief:
+def believed(book: EndpointTable, instance: str = "a") -> EndpointState:
     belief = book.find(instance)
     assert belief is not None
     return belief
 
 
-def chosen(book: EndpointBook, wish: Wish | None = None) -> str | None:
-    belief = book.choose("app", wish or Wish(), (), NOW_S)
+def chosen(book: EndpointTable, wish: PlacementPreference | None = None) -> str | None:
+    belief = book.choose("app", wish or PlacementPreference(), (), NOW_S)
     return None if belief is None else belief.entry.instance
 
 
@@ -85,38 +85,40 @@
 
 def test_an_entry_that_says_no_start_has_an_unknown_one() -> None:
     value = orjson.dumps(ENTRY)
-    assert PlatformObjectReader().read_endpoint("servers/a", value).start == EndpointStart("a")
+    assert PlatformObjectReader().read_endpoint("servers/a", value).start == EndpointIncarnation(
+        "a"
+    )
 
 
 # ---- the order of starts ----
 
 
 def test_an_unknown_start_is_neither_before_nor_after_another() -> None:
-    unknown, known = EndpointStart("a"), EndpointStart("a", BORN_MS)
+    unknown, known = EndpointIncarnation("a"), EndpointIncarnation("a", BORN_MS)
     assert not unknown.is_after(known)
     assert not known.is_after(unknown)
     assert unknown.may_be(known)
     assert known.may_be(unknown)
-    assert not known.may_be(EndpointStart("a", BORN_MS + 1))
-    assert not known.may_be(EndpointStart("b", BORN_MS))
+    assert not known.may_be(EndpointIncarnation("a", BORN_MS + 1))
+    assert not known.may_be(EndpointIncarnation("b", BORN_MS))
 
 
 def test_a_later_start_begins_with_nothing_of_the_former_one() -> None:
     book = book_of(entry(), entry("b", address="10.0.0.2:80"))
     former = believed(book)
     former.running_here, former.running_at_peers, former.complaints = 3, 4, 2
-    former.is_doubtful = True
+    former.is_suspected = True
     for _ in range(5):
-        former.note_failure(NOW_S)
+        former.record_failure(NOW_S)
     assert chosen(book) == "b"
-    assert book.put(entry(born_ms=BORN_MS + 1)) is EntryNews.STARTED_AGAIN
+    assert book.put(entry(born_ms=BORN_MS + 1)) is EntryChange.RESTARTED
     assert believed(book) is not former
     assert (believed(book).load, believed(book).effective_load, believed(book).failures) == (
         0,
         0,
         0,
     )
-    assert not believed(book).is_doubtful
+    assert not believed(book).is_suspected
     assert not book.resting(NOW_S)
     assert chosen(book) == "a"
 
@@ -125,7 +127,7 @@
     book = book_of(entry())
     former = believed(book)
     book.put(entry(born_ms=BORN_MS + 1))
-    former.note_failure(NOW_S)
+    former.record_failure(NOW_S)
     former.running_here -= 1
     assert not book.resting(NOW_S)
     assert believed(book).running_here == 0
@@ -134,42 +136,42 @@
 def test_a_start_that_is_seen_late_never_replaces_a_later_one() -> None:
     book = book_of(entry(born_ms=BORN_MS + 1, address="10.0.0.2:80"))
     newest = believed(book)
-    newest.is_doubtful = True
-    assert book.put(entry(address="10.0.0.1:80")) is EntryNews.OUTDATED
+    newest.is_suspected = True
+    assert book.put(entry(address="10.0.0.1:80")) is EntryChange.OUTDATED
     assert believed(book) is newest
     assert newest.entry.address == "10.0.0.2:80"
-    assert newest.is_doubtful, "the later start's own entry has not come back"
+    assert newest.is_suspected, "the later start's own entry has not come back"
 
 
 def test_a_start_that_is_seen_late_does_not_bring_a_gone_endpoint_back() -> None:
     book = book_of(entry(born_ms=BORN_MS + 1))
     assert book.remove("a")
-    assert book.put(entry()) is EntryNews.OUTDATED
+    assert book.put(entry()) is EntryChange.OUTDATED
     assert book.find("a") is None
-    assert book.put(entry(born_ms=BORN_MS + 1)) is EntryNews.FOUND
+    assert book.put(entry(born_ms=BORN_MS + 1)) is EntryChange.FOUND
     book.remove("a")
-    assert book.put(entry(born_ms=BORN_MS + 2)) is EntryNews.STARTED_AGAIN
+    assert book.put(entry(born_ms=BORN_MS + 2)) is EntryChange.RESTARTED
     book.remove("a")
-    book.forget_gone(EndpointStart("a", BORN_MS + 1))
-    assert book.put(entry()) is EntryNews.OUTDATED, "another start's time is not over"
-    book.forget_gone(EndpointStart("a", BORN_MS + 2))
-    assert book.put(entry()) is EntryNews.FOUND
+    book.forget_removed(EndpointIncarnation("a", BORN_MS + 1))
+    assert book.put(entry()) is EntryChange.OUTDATED, "another start's time is not over"
+    book.forget_removed(EndpointIncarnation("a", BORN_MS + 2))
+    assert book.put(entry()) is EntryChange.FOUND
 
 
 def test_an_entry_without_a_start_changes_no_start_and_is_taken_in() -> None:
     book = book_of(entry())
     belief = believed(book)
-    assert book.put(entry(born_ms=None, address="10.0.0.2:80")) is EntryNews.CHANGED
+    assert book.put(entry(born_ms=None, address="10.0.0.2:80")) is EntryChange.CHANGED
     assert believed(book) is belief
     assert belief.entry == entry(address="10.0.0.2:80")
-    assert book.put(entry(born_ms=BORN_MS - 1)) is EntryNews.OUTDATED
+    assert book.put(entry(born_ms=BORN_MS - 1)) is EntryChange.OUTDATED
 
 
 def test_a_start_that_becomes_known_is_the_one_that_was_unknown() -> None:
     book = book_of(entry(born_ms=None))
     belief = believed(book)
     belief.running_here = 2
-    assert book.put(entry()) is EntryNews.CHANGED
+    assert book.put(entry()) is EntryChange.CHANGED
     assert believed(book) is belief
     assert belief.running_here == 2
 
@@ -188,7 +190,7 @@
 
 
 def _start_after(births: Iterable[int | None]) -> int | None:
-    book = EndpointBook("north")
+    book = EndpointTable("north")
     for born_ms in births:
         book.put(entry(born_ms=born_ms))
     belief = book.find("a")
@@ -207,7 +209,7 @@
     newcomer = entry("b", BORN_MS + 1)
     for order in ((entry(), newcomer), (newcomer, entry())):
         book = book_of(*order)
-        assert [belief.entry.instance for belief in book.displaced_at("10.0.0.1:80")] == ["a"]
+        assert [belief.entry.instance for belief in book.replaced_at("10.0.0.1:80")] == ["a"]
         assert chosen(book) == "b"
         believed(book, "b").running_here = 1_000
         assert chosen(book) == "b"
@@ -218,13 +220,13 @@
 @pytest.mark.parametrize("born_ms", [None, BORN_MS])
 def test_an_entry_that_may_be_a_copy_displaces_nobody(born_ms: int | None) -> None:
     book = book_of(entry(), entry("b", born_ms))
-    assert book.displaced_at("10.0.0.1:80") == []
+    assert book.replaced_at("10.0.0.1:80") == []
 
 
 def test_an_endpoint_that_started_elsewhere_is_displaced_no_more() -> None:
     book = book_of(entry(), entry("b", BORN_MS + 1))
     book.put(entry(born_ms=BORN_MS + 2, address="10.0.0.9:80"))
-    assert book.displaced_at("10.0.0.1:80") == book.displaced_at("10.0.0.9:80") == []
+    assert book.replaced_at("10.0.0.1:80") == book.replaced_at("10.0.0.9:80") == []
     assert chosen(book) == "a"
 
 
@@ -233,10 +235,18 @@
 
 def test_a_history_that_a_former_start_has_read_draws_no_turn() -> None:
     book = book_of(entry("a", BORN_MS + 1), entry("b", address="10.0.0.2:80"))
-    book.hear_loads({"a": 2})
-    assert chosen(book, Wish(EndpointStart("a", BORN_MS + 1), kept_tokens=20_000)) == "a"
-    assert chosen(book, Wish(EndpointStart("a", BORN_MS), kept_tokens=20_000)) == "b"
-    assert chosen(book, Wish(EndpointStart("a"), kept_tokens=20_000)) == "a", "it may be this one"
+    book.apply_peer_loads({"a": 2})
+    assert (
+        chosen(book, PlacementPreference(EndpointIncarnation("a", BORN_MS + 1), kept_tokens=20_000))
+        == "a"
+    )
+    assert (
+        chosen(book, PlacementPreference(EndpointIncarnation("a", BORN_MS), kept_tokens=20_000))
+        == "b"
+    )
+    assert chosen(book, PlacementPreference(EndpointIncarnation("a"), kept_tokens=20_000)) == "a", (
+        "it may be this one"
+    )
 
 
 # ---- which runs and connections are over ----
@@ -254,45 +264,45 @@
 
 
 def test_a_connection_of_before_the_start_is_over_and_one_of_after_it_is_not() -> None:
-    start = NewStart("x", NOW_S)
+    start = NewIncarnation("x", NOW_S)
     assert is_over(contact(NOW_S - 1), start)
     assert not is_over(contact(NOW_S + 1), start)
-    assert is_surely_of(contact(NOW_S + 1), start)
-    assert not is_surely_of(contact(NOW_S - 1), start)
+    assert belongs_to(contact(NOW_S + 1), start)
+    assert not belongs_to(contact(NOW_S - 1), start)
 
 
 def test_a_connection_that_was_heard_since_leads_to_the_new_start_whatever_clocks_say() -> None:
-    start = NewStart("x", NOW_S)
+    start = NewIncarnation("x", NOW_S)
     assert not is_over(contact(NOW_S - 1, NOW_S + CLOCK_SKEW_S + 0.1), start)
     assert is_over(contact(NOW_S - 1, NOW_S + CLOCK_SKEW_S / 2), start), "that proves nothing"
 
 
 def test_where_clocks_leave_it_open_a_run_goes_on_and_an_idle_connection_is_not_used() -> None:
     for start, opened_s in (
-        (NewStart("x", NOW_S), NOW_S - CLOCK_SKEW_S),
-        (NewStart("x", None), NOW_S - 60),
+        (NewIncarnation("x", NOW_S), NOW_S - CLOCK_SKEW_S),
+        (NewIncarnation("x", None), NOW_S - 60),
     ):
         assert not is_over(contact(opened_s), start)
-        assert not is_surely_of(contact(opened_s), start)
+        assert not belongs_to(contact(opened_s), start)
 
 
 def test_a_connection_to_another_address_is_over_whatever_clocks_say() -> None:
-    assert is_over(contact(NOW_S + 1), NewStart("y", None))
-    assert not is_surely_of(contact(NOW_S + 1), NewStart("y", NOW_S))
+    assert is_over(contact(NOW_S + 1), NewIncarnation("y", None))
+    assert not belongs_to(contact(NOW_S + 1), NewIncarnation("y", NOW_S))
 
 
 # ---- what other hosts say ----
 
 
 def test_hosts_that_have_not_heard_of_a_start_are_known_by_their_revision() -> None:
-    revisions = StartRevisions()
-    assert not revisions.unheard_by(0)
+    revisions = IncarnationRevisions()
+    assert not revisions.not_known_by(0)
     revisions.note("a", 50)
-    assert set(revisions.unheard_by(49)) == {"a"}
-    assert not revisions.unheard_by(50)
-    assert not revisions.unheard_by(None), "an older host does not say, and counts as before"
+    assert set(revisions.not_known_by(49)) == {"a"}
+    assert not revisions.not_known_by(50)
+    assert not revisions.not_known_by(None), "an older host does not say, and counts as before"
     revisions.forget("a")
-    assert not revisions.unheard_by(49)
+    assert not revisions.not_known_by(49)
 
 
 def counted(count_by_endpoint: Mapping[str, int]) -> dict[str, int]:
@@ -300,16 +310,16 @@
 
 
 def test_a_home_forgets_loads_complaints_and_grants_of_the_former_start() -> None:
-    board = LoadBoard()
-    board.hear(HostReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S)
+    board = LoadTable()
+    board.hear(HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S)
     grant = board.grant("h", "a")
     board.grant("h", "b")
     board.forget_endpoint("a")
     assert counted(board.running_by_endpoint()) == {"b": 2}
-    assert counted(board.complaints_by_endpoint()) == {"b": 1}
+    assert counted(board.failure_reports_by_endpoint()) == {"b": 1}
     # What the host says from now on counts once, also where it counts in what was granted before.
-    board.hear(HostReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
+    board.hear(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
     assert counted(board.running_by_endpoint()) == {"a": 1, "b": 2}
     board.forget_silent(NOW_S + 60)
     assert not counted(board.running_by_endpoint())
-    assert not counted(board.complaints_by_endpoint())
+    assert not counted(board.failure_reports_by_endpoint())
--- a/tests/unit/test_hellos.py
+++ b/tests/unit/test_hellos.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.sightings import AGE_UNITS_PER_S, start_of
+from bayhinge._internal.decisions.last_seen import AGE_UNITS_PER_S, start_of
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services import gossip
@@ -65,7 +65,7 @@
         self.gossip._receive(encode_message(hello))
 
     def listed(self) -> set[str]:
-        return {hello.host for hello in self.gossip.taking_callers()}
+        return {hello.host for hello in self.gossip.ready_entry_hosts()}
 
 
 START = start_of((1 << 40) + len("b"))
@@ -96,10 +96,10 @@
 ) -> None:
     async def main() -> None:
         listener.hear("b", HostPhase.READY, is_cut_off=True)
-        assert [hello.is_cut_off for hello in listener.gossip.taking_callers()] == [True]
+        assert [hello.is_cut_off for hello in listener.gossip.ready_entry_hosts()] == [True]
         await asyncio.sleep(0.01)
         listener.hear("cc", HostPhase.STARTING, {START: 0})
-        assert [hello.is_cut_off for hello in listener.gossip.taking_callers()] == [False]
+        assert [hello.is_cut_off for hello in listener.gossip.ready_entry_hosts()] == [False]
         listener.hear("b", HostPhase.STARTING, beat=2)
         assert listener.listed() == set()
         await asyncio.sleep(0.01)
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -11,29 +11,29 @@
 from hypothesis import strategies as st
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.endpoint_book import EndpointBook
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
 from bayhinge._internal.decisions.watchers import (
     MIN_WATCH_S,
-    WatchTurn,
-    wait_until_turn,
+    WatchSlot,
+    wait_until_slot,
 )
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.platform.settings_file import read_settings
-from bayhinge._internal.services import key_follower
+from bayhinge._internal.services import prefix_follower
 from bayhinge._internal.services.gateway.disk_directory import SUSPECT_S, DiskDirectory
 from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
 from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as HOME_SUSPECT_S
 from bayhinge._internal.services.gossip import MIN_SILENCE_S, Gossip
-from bayhinge._internal.services.key_follower import KeyFollower
+from bayhinge._internal.services.prefix_follower import PrefixFollower
 from bayhinge._internal.wire.hosts.ttypes import DiskMember, Hello, HostLoads, HostPhase, HostRole
 from bayhinge.coordination.clock import SystemClock
 from bayhinge.coordination.config_feed import ConfigFeed, FeedTimes
 from bayhinge.coordination.lease import Lease
 from bayhinge.coordination.store import PollingStore
-from bayhinge.coordination.store_contact import StoreContact
+from bayhinge.coordination.store_availability import StoreAvailability
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 from tests.lib.jumping_clock import JUMPS_S, jump
 from tests.lib.platform_data import settings_text
@@ -132,12 +132,12 @@
         heard(gossip, "edge-2")
         await asyncio.sleep(MIN_SILENCE_S * 0.9)
         always(True, lambda: bool(gossip.fresh(HostRole.ENTRY)))
-        always(True, lambda: bool(gossip.taking_callers()))
+        always(True, lambda: bool(gossip.ready_entry_hosts()))
         gossip._forget_silent()
         assert gossip._observed_addresses()
         await asyncio.sleep(2.5)
         always(False, lambda: bool(gossip.fresh(HostRole.ENTRY)))
-        always(False, lambda: bool(gossip.taking_callers()))
+        always(False, lambda: bool(gossip.ready_entry_hosts()))
 
     run_virtual(scenario())
 
@@ -164,7 +164,7 @@
 def test_loads_of_a_host_count_for_their_time(site: SiteSettings) -> None:
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
-        book = EndpointBook("north")
+        book = EndpointTable("north")
         exchange = LoadExchange(gossip.me, book, HallCoordinators(gossip))
         loads = HostLoads("edge-2", 1, 1, 0, {ENDPOINT: 3}, [])
 
@@ -185,23 +185,23 @@
     """What a follower needs of a store that it never asks."""
 
     def __init__(self) -> None:
-        self.contact = StoreContact()
+        self.contact = StoreAvailability()
 
 
 def test_an_outage_is_over_for_its_time() -> None:
     async def scenario() -> None:
         store = SilentStore()
-        follower = KeyFollower(
+        follower = PrefixFollower(
             cast(PollingStore, store), "servers/", lambda: 5.0, cast(Any, None), cast(Peers, None)
         )
         always(False, follower._is_after_outage)
-        store.contact.note_failure(is_silent=True)
+        store.contact.record_failure(is_silent=True)
         await asyncio.sleep(5.0)
-        store.contact.note_answer()
-        assert store.contact.returned_s == asyncio.get_running_loop().time()
-        await asyncio.sleep(key_follower.AFTER_OUTAGE_S * 0.9)
+        store.contact.record_answer()
+        assert store.contact.recovered_s == asyncio.get_running_loop().time()
+        await asyncio.sleep(prefix_follower.AFTER_OUTAGE_S * 0.9)
         always(True, follower._is_after_outage)
-        await asyncio.sleep(key_follower.AFTER_OUTAGE_S * 0.2)
+        await asyncio.sleep(prefix_follower.AFTER_OUTAGE_S * 0.2)
         always(False, follower._is_after_outage)
 
     run_virtual(scenario())
@@ -217,6 +217,6 @@
 def test_a_watch_waits_no_longer_whatever_the_time_of_day(
     hall: int, halls: int, watcher: int, prefix: int, now_s: float
 ) -> None:
-    turn = WatchTurn(hall % halls, halls, watcher, prefix, 2)
-    wait_s = wait_until_turn(turn, now_s)
+    turn = WatchSlot(hall % halls, halls, watcher, prefix, 2)
+    wait_s = wait_until_slot(turn, now_s)
     assert MIN_WATCH_S <= wait_s <= turn.period_s + MIN_WATCH_S
--- a/tests/unit/test_left_behind_elsewhere.py
+++ b/tests/unit/test_left_behind_elsewhere.py
@@ -13,12 +13,12 @@
 from bayhinge._internal.bench.world.virtual_time import LoopClock, run_virtual
 from bayhinge._internal.decisions.offers import Done, Outcome
 from bayhinge._internal.exceptions import PeerUnreachableError
-from bayhinge._internal.network.endpoint_link import EndpointLinks
+from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.services.call_runner import _Progress
 from bayhinge._internal.services.grants import GrantedEndpoint
-from bayhinge._internal.services.key_follower import FollowListener, KeyFollower
+from bayhinge._internal.services.prefix_follower import ObjectListener, PrefixFollower
 from bayhinge._internal.services.queue_dispatcher import QueueDispatcher
 from bayhinge._internal.services.remote_grants import RemoteGrants
 from bayhinge._internal.utils.log_output import LogOutput
@@ -26,7 +26,7 @@
 from bayhinge.coordination.config_feed import ConfigFeed, FeedTimes
 from bayhinge.coordination.membership import Membership
 from bayhinge.coordination.store import Change, ChangePage, Listing, PollingStore, StoredObject
-from bayhinge.coordination.store_contact import StoreContact
+from bayhinge.coordination.store_availability import StoreAvailability
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 from tests.functional.test_endpoint_link import Wire, answer, ask, read_request, run
 from tests.lib.read_only_store import ReadOnlyStore
@@ -53,7 +53,7 @@
     """
     part = b"HTTP/1.1 200 OK\r\nBayhinge-Odd: 1\r\nX-Cut: "[:size]
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         connection, first = await ask(links, address)
         assert await first.read_body() == b"body"
         links.release(connection, None)
@@ -65,7 +65,7 @@
 def test_a_surplus_beginning_changes_no_head_of_the_next_answer() -> None:
     part = b"HTTP/1.1 503 Full\r\nBayhinge-Not-Executed: 1\r\nX-Cut: "
 
-    async def scenario(links: EndpointLinks, address: str) -> None:
+    async def scenario(links: EndpointConnectionPool, address: str) -> None:
         connection, first = await ask(links, address)
         await first.read_body()
         links.release(connection, None)
@@ -83,11 +83,11 @@
     """Answers a list late, with what it held when it was asked."""
 
     def __init__(self) -> None:
-        self._contact = StoreContact()
+        self._contact = StoreAvailability()
         self.may_answer = asyncio.Event()
 
     @property
-    def contact(self) -> StoreContact:
+    def contact(self) -> StoreAvailability:
         return self._contact
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
@@ -114,7 +114,7 @@
         return
 
 
-class Memory(FollowListener):
+class Memory(ObjectListener):
     def __init__(self) -> None:
         self.states: list[set[str]] = []
 
@@ -134,8 +134,8 @@
 
     async def main() -> None:
         store, memory = SlowList(), Memory()
-        follower = KeyFollower(store, "servers/", lambda: 0.05, memory, NewerPeer())
-        follower.should_poll = lambda: False
+        follower = PrefixFollower(store, "servers/", lambda: 0.05, memory, NewerPeer())
+        follower.should_watch = lambda: False
         running = asyncio.create_task(follower.run())
         await asyncio.sleep(0.02)
         follower.hear(5, "peer")
--- a/tests/unit/test_left_behind_streams.py
+++ b/tests/unit/test_left_behind_streams.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bayhinge._internal.models.routed_requests import RoutedRequest
-from bayhinge._internal.network.endpoint_answer import Answer, BrokenAnswerError
+from bayhinge._internal.network.endpoint_answer import Answer, IncompleteAnswerError
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
 from tests.lib.cut_answers import BOUNDS, SIGNED, Caller, CutAnswer, delivery_to, event
 
@@ -20,7 +20,7 @@
     for run in runs:
         try:
             await delivery.deliver(cast(Answer, run), SIGNED, True, BOUNDS)
-        except BrokenAnswerError as error:
+        except IncompleteAnswerError as error:
             whys.append(error.why)
         else:
             break
--- a/tests/unit/test_load_board.py
+++ b/tests/unit/test_load_board.py
@@ -6,21 +6,21 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from bayhinge._internal.decisions.load_board import REPORT_TIMEOUT_S, HostReport, LoadBoard
+from bayhinge._internal.decisions.load_table import REPORT_TIMEOUT_S, HostLoadReport, LoadTable
 
 
 def report(
     host: str, beat: int, running: dict[str, int], grant: int = 0, start: int = 1
-) -> HostReport:
-    return HostReport(host, start, beat, grant, running)
+) -> HostLoadReport:
+    return HostLoadReport(host, start, beat, grant, running)
 
 
-def known(board: LoadBoard) -> dict[str, int]:
+def known(board: LoadTable) -> dict[str, int]:
     return {name: count for name, count in board.running_by_endpoint().items() if count}
 
 
 def test_a_grant_counts_at_once_and_once_until_the_host_says_so_itself() -> None:
-    board = LoadBoard()
+    board = LoadTable()
     board.hear(report("a", 1, {"e": 1}), 0.0)
     grant = board.grant("a", "e")
     assert known(board) == {"e": 2}
@@ -31,14 +31,14 @@
 
 
 def test_an_overtaken_report_says_nothing() -> None:
-    board = LoadBoard()
+    board = LoadTable()
     board.hear(report("a", 2, {"e": 5}), 0.0)
     board.hear(report("a", 1, {"e": 9}), 0.1)
     assert known(board) == {"e": 5}
 
 
 def test_a_host_that_is_silent_or_starts_anew_leaves_nothing_behind() -> None:
-    board = LoadBoard()
+    board = LoadTable()
     board.hear(report("a", 7, {"e": 5}), 0.0)
     board.grant("a", "f")
     board.hear(report("b", 1, {"e": 1}), REPORT_TIMEOUT_S)
@@ -49,7 +49,7 @@
 
 
 def test_a_new_home_goes_on_from_the_grants_of_the_one_before() -> None:
-    board = LoadBoard()
+    board = LoadTable()
     board.hear(report("a", 9, {}, grant=40), 0.0)
     assert board.grant("a", "e") == 41
     board.hear(report("a", 10, {}, grant=40), 0.1)
@@ -57,14 +57,14 @@
 
 
 def test_complaints_count_hosts_and_end_with_the_report_that_has_none() -> None:
-    board = LoadBoard()
+    board = LoadTable()
     for host in ("a", "b"):
-        board.hear(HostReport(host, 1, 1, 0, {}, frozenset({"e"})), 0.0)
-    assert board.complaints_by_endpoint()["e"] == 2
+        board.hear(HostLoadReport(host, 1, 1, 0, {}, frozenset({"e"})), 0.0)
+    assert board.failure_reports_by_endpoint()["e"] == 2
     board.hear(report("a", 2, {}), 0.1)
-    assert board.complaints_by_endpoint()["e"] == 1
+    assert board.failure_reports_by_endpoint()["e"] == 1
     board.forget_silent(REPORT_TIMEOUT_S + 0.1)
-    assert board.complaints_by_endpoint()["e"] == 0
+    assert board.failure_reports_by_endpoint()["e"] == 0
 
 
 class Board(RuleBasedStateMachine):
@@ -74,13 +74,13 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.board = LoadBoard()
+        self.board = LoadTable()
         self.beats = Counter[str]()
         self.last_grant = Counter[str]()
         self.running = {host: Counter[str]() for host in self.HOSTS}
-        self.on_the_way: list[HostReport] = []
+        self.on_the_way: list[HostLoadReport] = []
 
-    def _report(self, host: str) -> HostReport:
+    def _report(self, host: str) -> HostLoadReport:
         self.beats[host] += 1
         return report(host, self.beats[host], dict(self.running[host]), self.last_grant[host])
 
--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -8,12 +8,12 @@
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
 from bayhinge._internal.decisions.watchers import MIN_WATCH_S, WATCH_PERIOD_S, WATCHERS_PER_HALL
-from bayhinge._internal.services.key_follower import (
+from bayhinge._internal.services.prefix_follower import (
     MAX_PAUSE_S,
     MIN_PAUSE_S,
     PEER_FETCH_DELAY_S,
 )
-from bayhinge.coordination.store_contact import StoreContact
+from bayhinge.coordination.store_availability import StoreAvailability
 from tests.lib.silent_store import ANSWER_S, CALL_S, WAIT_MARGIN_S
 from tests.lib.watching_site import PREFIXES, WatchingSite
 
@@ -27,13 +27,13 @@
 def test_only_the_first_answer_after_failures_is_a_return() -> None:
     async def scenario() -> None:
         returns: list[int] = []
-        contact = StoreContact(on_return=[lambda: returns.append(1)])
-        contact.note_answer()
+        contact = StoreAvailability(on_recovery=[lambda: returns.append(1)])
+        contact.record_answer()
         assert returns == []
-        contact.note_failure(is_silent=False)
-        contact.note_failure(is_silent=False)
-        contact.note_answer()
-        contact.note_answer()
+        contact.record_failure(is_silent=False)
+        contact.record_failure(is_silent=False)
+        contact.record_answer()
+        contact.record_answer()
         assert returns == [1]
 
     run_virtual(scenario())
@@ -45,11 +45,11 @@
 )
 def test_a_cut_watch_is_no_outage(is_silent: bool, lasts_s: float, was_outage: bool) -> None:
     async def scenario() -> bool:
-        contact = StoreContact()
-        contact.note_failure(is_silent)
+        contact = StoreAvailability()
+        contact.record_failure(is_silent)
         await asyncio.sleep(lasts_s)
-        contact.note_answer()
-        return contact.returned_s == asyncio.get_running_loop().time()
+        contact.record_answer()
+        return contact.recovered_s == asyncio.get_running_loop().time()
 
     assert run_virtual(scenario()) is was_outage
 
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.endpoint_book import EndpointBook, Wish
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
 from bayhinge._internal.exceptions import UnreadableObjectError
-from bayhinge._internal.models.routing import ClosedRoute, RequestLimits, Route, RouteKind
-from bayhinge._internal.network.endpoint_link import EndpointLinks
+from bayhinge._internal.models.routing import InvalidRoute, RequestLimits, Route, RouteKind
+from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform import objects_api
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
 from bayhinge._internal.services.gateway import unreadable_objects
@@ -67,8 +67,8 @@
     """A belief of endpoints with its book and its log lines."""
 
     def __init__(self) -> None:
-        self.book = EndpointBook("north")
-        links = EndpointLinks()
+        self.book = EndpointTable("north")
+        links = EndpointConnectionPool()
         restarts = EndpointRestarts(self.book, links, ActiveRuns(), lambda: 0)
         self.belief = EndpointTableUpdater(READER, self.book, links, restarts)
         self.lines: list[Line] = []
@@ -77,7 +77,7 @@
         return told(self.lines, kind)
 
     def chosen(self) -> str | None:
-        found = self.book.choose("app", Wish(), (), 0.0)
+        found = self.book.choose("app", PlacementPreference(), (), 0.0)
         return None if found is None else found.entry.instance
 
     def say(self, instance: str, value: bytes | None) -> None:
@@ -137,7 +137,7 @@
         watched.say("other/i-1", None)
         belief = watched.book.find("i-1")
         assert belief is not None
-        assert not belief.is_doubtful
+        assert not belief.is_suspected
         assert watched.chosen() == "i-1"
 
     watch(scenario)
@@ -247,7 +247,7 @@
                 watched.belief.apply(Change(key, value, 1, 1), False)
             known = watched.book.find("i-well")
             assert known is not None
-            assert not known.is_doubtful
+            assert not known.is_suspected
             assert not known.entry.is_leaving
         assert watched.book.find("i-new") is not None
 
@@ -323,7 +323,7 @@
     table = READER.read_configuration(odd_route(1, **CLOSING_ROUTE_FIELDS_BY_FORM[form]))
     # Not the service of the shorter prefix, which no configuration lets these requests go to.
     closed = table.find("desk.example", "/chat/special/1")
-    assert isinstance(closed, ClosedRoute)
+    assert isinstance(closed, InvalidRoute)
     assert closed.name == "r-special"
     assert any("r-special" in finding for finding in table.findings)
     for path in ("/chat/1", "/look/1", "/act/1", "/draft/1"):
@@ -337,8 +337,8 @@
     table = READER.read_configuration(odd_route(0, split=None, **nulls))
     route = table.find("desk.example", "/chat/1")
     assert isinstance(route, Route), table.findings
-    assert (route.urgency, route.keeps_turns, route.is_resumable) == (5, False, False)
-    assert (route.objective_s, route.max_endpoints, route.pause_s) == (5.0, 1, None)
+    assert (route.urgency, route.retains_turns, route.is_resumable) == (5, False, False)
+    assert (route.latency_objective_s, route.max_endpoints, route.pause_s) == (5.0, 1, None)
     services = [{"name": "llm", "max_conns": None, "engine_kind": None}, {"name": "app"}]
     table = READER.read_configuration(odd_configuration(services=services, limits=None))
     assert (table.findings, set(table.services_by_name)) == ((), {"llm", "app"})
@@ -366,7 +366,7 @@
 def test_an_odd_service_closes_the_routes_to_it_alone(service: dict[str, Any]) -> None:
     services = [service, {"name": "app", "max_conns": 110}]
     table = READER.read_configuration(odd_configuration(services=services))
-    assert isinstance(table.find("desk.example", "/chat/1"), ClosedRoute)
+    assert isinstance(table.find("desk.example", "/chat/1"), InvalidRoute)
     assert isinstance(table.find("desk.example", "/act/1"), Route)
     assert "app" in table.services_by_name
 
--- a/tests/unit/test_platform_formats.py
+++ b/tests/unit/test_platform_formats.py
@@ -142,7 +142,7 @@
     assert table.version == 7
     turns = table.find("desk.example", "/chat/1")
     assert isinstance(turns, Route)
-    assert (turns.kind, turns.keeps_turns, turns.max_endpoints) == (RouteKind.STREAMING, True, 2)
+    assert (turns.kind, turns.retains_turns, turns.max_endpoints) == (RouteKind.STREAMING, True, 2)
     special = table.find("desk.example", "/chat/special/1")
     assert special is not None
     assert special.name == "r-special"
--- a/tests/unit/test_running_time.py
+++ b/tests/unit/test_running_time.py
@@ -12,7 +12,11 @@
 
 import pytest
 
-from bayhinge._internal.utils.running_time import SLICES, RunningBound, running_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import (
+    SLICES,
+    StallTolerantDeadline,
+    stall_tolerant_timeout,
+)
 
 LIMIT_S = 0.04
 STANDS_STILL_S = 0.1
@@ -37,7 +41,7 @@
 
         passing_on = asyncio.ensure_future(pass_on())
         try:
-            async with running_timeout(LIMIT_S):
+            async with stall_tolerant_timeout(LIMIT_S):
                 return await answers.get()
         finally:
             passing_on.cancel()
@@ -53,7 +57,7 @@
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         with pytest.raises(TimeoutError):
-            async with running_timeout(LIMIT_S):
+            async with stall_tolerant_timeout(LIMIT_S):
                 await asyncio.Event().wait()
         return loop.time() - began_s
 
@@ -78,7 +82,7 @@
 def test_standing_still_uses_up_one_part_of_the_bound() -> None:
     async def wait() -> None:
         with pytest.raises(TimeoutError):
-            async with running_timeout(LIMIT_S):
+            async with stall_tolerant_timeout(LIMIT_S):
                 await asyncio.Event().wait()
 
     assert_standing_still_uses_up_one_part(wait)
@@ -86,7 +90,7 @@
 
 def test_what_ends_in_time_leaves_no_timer_behind() -> None:
     async def scenario() -> None:
-        async with running_timeout(LIMIT_S):
+        async with stall_tolerant_timeout(LIMIT_S):
             await asyncio.sleep(0)
         await asyncio.sleep(2 * LIMIT_S)
 
@@ -96,7 +100,7 @@
 def test_a_bound_on_several_waits_ends_once_for_all_of_them() -> None:
     async def scenario() -> tuple[int, float]:
         loop = asyncio.get_running_loop()
-        bound = RunningBound(LIMIT_S)
+        bound = StallTolerantDeadline(LIMIT_S)
         waiting = {asyncio.ensure_future(asyncio.sleep(LIMIT_S * part)) for part in (0.25, 0.5, 9)}
         began_s = loop.time()
         ended = 0
@@ -115,7 +119,7 @@
 def test_standing_still_uses_up_one_part_of_a_bound_on_several_waits() -> None:
     async def wait() -> None:
         never = asyncio.ensure_future(asyncio.Event().wait())
-        finished, waiting = await RunningBound(LIMIT_S).first_of({never})
+        finished, waiting = await StallTolerantDeadline(LIMIT_S).first_of({never})
         assert (finished, waiting) == (set(), {never})
         never.cancel()
 
@@ -124,7 +128,7 @@
 
 def test_no_bound_never_ends() -> None:
     async def scenario() -> None:
-        async with running_timeout(None):
+        async with stall_tolerant_timeout(None):
             await asyncio.sleep(LIMIT_S)
 
     asyncio.run(scenario())
--- a/tests/unit/test_runs_of_every_kind.py
+++ b/tests/unit/test_runs_of_every_kind.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.answer_bounds import AnswerBounds
-from bayhinge._internal.decisions.endpoint_book import EndpointBelief
-from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointStart
-from bayhinge._internal.models.routed_requests import AnswerMarks, RoutedRequest, TurnContext
-from bayhinge._internal.network.endpoint_answer import Answer, BrokenAnswerError
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
+from bayhinge._internal.decisions.endpoint_table import EndpointState
+from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
+from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest, TurnContext
+from bayhinge._internal.network.endpoint_answer import Answer, IncompleteAnswerError
 from bayhinge._internal.network.routed_front import Exchange
 from bayhinge._internal.platform.call_format import PlatformCallFormat
 from bayhinge._internal.services.gateway.active_runs import ActiveRun
@@ -23,9 +23,9 @@
 
 EVENTS = 4
 BEAT = b": beat\n\n"
-UNSIGNED = AnswerMarks("a", False, False, False, False, None)
-ENCODED = AnswerMarks("a", True, False, False, True, None)
-BOUNDS = AnswerBounds(1.0, True, 0.005)
+UNSIGNED = AnswerMetadata("a", False, False, False, False, None)
+ENCODED = AnswerMetadata("a", True, False, False, True, None)
+BOUNDS = AnswerTimeouts(1.0, True, 0.005)
 
 
 def data(number: int, run: int) -> bytes:
@@ -62,10 +62,10 @@
 
 class Keeper:
     def __init__(self) -> None:
-        self.closed: list[tuple[bytes, int, EndpointStart]] = []
+        self.closed: list[tuple[bytes, int, EndpointIncarnation]] = []
 
     async def close(
-        self, turn: OpenTurn, text: bytes, tokens: int, start: EndpointStart, keep_s: float
+        self, turn: OpenTurn, text: bytes, tokens: int, start: EndpointIncarnation, keep_s: float
     ) -> None:
         self.closed.append((text, tokens, start))
 
@@ -77,7 +77,7 @@
 async def play(has: int | None, ends: list[Run]) -> tuple[Caller, StreamDelivery, Keeper]:
     caller, keeper = Caller(), Keeper()
     request = RoutedRequest("POST", "/x", "host", (), "a", resume_after=has, body=b"new")
-    turn = OpenTurn("a", TurnContext("p", None, 0, None), b"", EndpointStart(), 0)
+    turn = OpenTurn("a", TurnContext("p", None, 0, None), b"", EndpointIncarnation(), 0)
     delivery = StreamDelivery(
         cast(Exchange, caller),
         PlatformCallFormat(),
@@ -89,7 +89,7 @@
     )
     for run, (kind, length, size, early) in enumerate([*ends, ("whole", 10_000, 5, 0)], start=1):
         entry = EndpointEntry(f"e-{run}", "llm", "127.0.0.1:1", "north", 4, False, run)
-        delivery.run = ActiveRun(EndpointBelief(entry))
+        delivery.run = ActiveRun(EndpointState(entry))
         first = max(1, (delivery.resume_after or 0) + 1 - early)
         text = b"".join(
             BEAT * (number % 2) + event(number, run) for number in range(first, EVENTS + 1)
@@ -101,7 +101,7 @@
         marks = {"unsigned": UNSIGNED, "encoded": ENCODED}.get(kind, SIGNED)
         try:
             await delivery.deliver(cast(Answer, answer), marks, True, BOUNDS)
-        except BrokenAnswerError:
+        except IncompleteAnswerError:
             assert delivery.may_continue
         else:
             break
--- a/tests/unit/test_sightings.py
+++ b/tests/unit/test_sightings.py
@@ -7,11 +7,11 @@
     ReadyHost,
     addresses_for,
 )
-from bayhinge._internal.decisions.sightings import (
+from bayhinge._internal.decisions.last_seen import (
     AGE_UNITS_PER_S,
     MAX_ADVERTISED_S,
     MAX_AGE_S,
-    Sightings,
+    LastSeen,
     listed_s,
     start_of,
 )
@@ -29,7 +29,7 @@
         self.tells_ages = tells_ages
         self.random = random.Random(5)
         self.period_s = PERIOD_S * SITE_HOSTS / PERIOD_HOSTS
-        self.sightings = [Sightings() for _ in range(HALL_HOSTS)]
+        self.sightings = [LastSeen() for _ in range(HALL_HOSTS)]
         self.turns = [
             self.random.sample(
                 [other for other in range(HALL_HOSTS) if other != host], HALL_HOSTS - 1
@@ -110,7 +110,7 @@
 
 
 def test_ages_only_grow_on_their_way() -> None:
-    first, second = Sightings(), Sightings()
+    first, second = LastSeen(), LastSeen()
     first.see(7, 10.0)
     second.hear(first.ages(11.0), 11.5)
     assert second.seen_s(7) == 10.5, "half a second on the way"
@@ -122,13 +122,13 @@
 
 
 def test_bad_ages_are_never_in_the_future() -> None:
-    sightings = Sightings()
+    sightings = LastSeen()
     sightings.hear({1: -32768}, 5.0)
     assert sightings.seen_s(1) == 5.0
 
 
 def test_a_host_that_takes_no_callers_is_forgotten() -> None:
-    sightings = Sightings()
+    sightings = LastSeen()
     sightings.see(1, 5.0)
     sightings.leave(1)
     assert sightings.ages(5.0) == {}
--- a/tests/unit/test_stalls_endpoints.py
+++ b/tests/unit/test_stalls_endpoints.py
@@ -9,14 +9,17 @@
 import attrs
 import pytest
 
-from bayhinge._internal.decisions.answer_bounds import AnswerBounds
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
 from bayhinge._internal.network.endpoint_answer import Answer, SilentEndpointError
-from bayhinge._internal.network.endpoint_link import CONNECT_TIMEOUT_S, EndpointLinks
+from bayhinge._internal.network.endpoint_connections import (
+    CONNECT_TIMEOUT_S,
+    EndpointConnectionPool,
+)
 from bayhinge._internal.services.gateway.stream_delivery import _read_pieces
 from tests.lib.disks_elsewhere import disks_elsewhere
 
 PAUSE_S = 0.04
-BOUNDS = AnswerBounds(unheard_s=1.0, may_leave=True, pause_s=PAUSE_S)
+BOUNDS = AnswerTimeouts(silence_s=1.0, may_fail_over=True, pause_s=PAUSE_S)
 
 
 @attrs.define
@@ -89,7 +92,7 @@
 
 def test_an_endpoint_is_reached_by_a_host_that_stood_still() -> None:
     async def scenario(address: str) -> None:
-        links = EndpointLinks()
+        links = EndpointConnectionPool()
         asyncio.get_running_loop().call_soon(time.sleep, CONNECT_TIMEOUT_S + 0.1)
         connection = await links.acquire("i-1", address)
         connection.abort("over")
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -24,16 +24,16 @@
 from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 from bayhinge._internal.services.gateway.turn_refusals import DISK_ANSWER_S
 from bayhinge._internal.services.gossip import Gossip
-from bayhinge._internal.services.key_follower import (
+from bayhinge._internal.services.prefix_follower import (
     PEER_CALL_TIMEOUT_S,
     UNWATCHED_FETCH_DELAY_S,
-    FollowListener,
-    KeyFollower,
+    ObjectListener,
+    PrefixFollower,
 )
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.clock import HybridClock, SystemClock
 from bayhinge.coordination.store import Change, ObjectStore, PollingStore
-from bayhinge.coordination.store_contact import StoreContact
+from bayhinge.coordination.store_availability import StoreAvailability
 from tests.lib.disks_elsewhere import TEXT, Disk, disks_elsewhere
 
 STALLS_AFTER_S = (0.0, 0.005)
@@ -78,10 +78,10 @@
 class Contacted:
     """Stands for a store that nobody asks."""
 
-    contact: StoreContact = attrs.field(factory=StoreContact)
+    contact: StoreAvailability = attrs.field(factory=StoreAvailability)
 
 
-class Ignoring(FollowListener):
+class Ignoring(ObjectListener):
     def replace_all(self, value_by_key: dict[str, bytes], is_after_outage: bool) -> None:
         return
 
@@ -274,7 +274,7 @@
     async def scenario(host: Host) -> int:
         address = host.directory.disk_set.members[0].address
         store = cast(PollingStore, Contacted())
-        follower = KeyFollower(store, "config/", float, Ignoring(), host.client)
+        follower = PrefixFollower(store, "config/", float, Ignoring(), host.client)
         # Behind the pause in which several changes come together.
         after_pause_s = UNWATCHED_FETCH_DELAY_S + after_s
         fetch = follower._fetch(5, address)
--- a/tests/unit/test_state_machines.py
+++ b/tests/unit/test_state_machines.py
@@ -248,7 +248,7 @@
         self.run(self._take(mine, changes))
 
     async def _take(self, feed: ConfigFeed, changes: list[bytes]) -> None:
-        feed.take_from_peer(feed.revision + 1, changes)
+        feed.apply_from_peer(feed.revision + 1, changes)
 
     @rule(host=st.integers(0, 2))
     def restart(self, host: int) -> None:
--- a/tests/unit/test_store_calls.py
+++ b/tests/unit/test_store_calls.py
@@ -7,7 +7,7 @@
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
 from bayhinge._internal.decisions.watchers import WATCH_PERIOD_S, WATCHERS_PER_HALL
-from bayhinge._internal.services.key_follower import FIRST_LIST_S, KeyFollower
+from bayhinge._internal.services.prefix_follower import FIRST_LIST_DELAY_S, PrefixFollower
 from tests.lib.watching_site import PREFIXES, WatchingSite
 
 
@@ -92,15 +92,15 @@
     site = WatchingSite(5, FLEET // 5)
     was_told_by_address: dict[str, bool] = {}
 
-    def look(address: str, follower: KeyFollower) -> None:
+    def look(address: str, follower: PrefixFollower) -> None:
         was_told_by_address[address] = follower.complete_to > 0
 
     hosts = list(site.ways.followers_by_address.items())
     for place, (address, followers) in enumerate(hosts):
         for follower in followers.values():
-            follower.should_poll = lambda: False
+            follower.should_watch = lambda: False
             if place >= ASK_AT_ONCE:
-                follower.first_list_s = generator.uniform(*FIRST_LIST_S)
+                follower.first_list_s = generator.uniform(*FIRST_LIST_DELAY_S)
         if place >= ASK_AT_ONCE:
             # There is nothing under it, so there will be no news of it.
             followers["servers/"].first_list_s = 60.0
@@ -109,7 +109,7 @@
     site.truth.put()
     greeting = asyncio.create_task(site.greet_always(HEARS_EVERY_S))
     found = FirstStart(took_s=await site.seconds_until_known())
-    await site.calls_within(FIRST_LIST_S[1])
+    await site.calls_within(FIRST_LIST_DELAY_S[1])
     greeting.cancel()
     for (address, _), store in zip(hosts, site.stores, strict=True):
         found.calls += store.calls
@@ -145,10 +145,10 @@
     async def scenario() -> float:
         site = WatchingSite(1, 2)
         for follower in site.followers():
-            follower.first_list_s = FIRST_LIST_S[1]
+            follower.first_list_s = FIRST_LIST_DELAY_S[1]
         site.truth.put()
         took_s = await site.seconds_until_known()
         site.stop()
         return took_s
 
-    assert run_virtual(scenario()) <= FIRST_LIST_S[1] + 0.1
+    assert run_virtual(scenario()) <= FIRST_LIST_DELAY_S[1] + 0.1
--- a/tests/unit/test_stream_delivery.py
+++ b/tests/unit/test_stream_delivery.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from bayhinge._internal.models.routed_requests import RoutedRequest
-from bayhinge._internal.network.endpoint_answer import Answer, BrokenAnswerError
+from bayhinge._internal.network.endpoint_answer import Answer, IncompleteAnswerError
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
 from tests.lib.cut_answers import (
     BOUNDS,
@@ -36,7 +36,7 @@
         request = RoutedRequest("POST", "/x", "host", (), "a")
         delivery = delivery_to(Caller(), request, attrs.evolve(ROUTE, is_resumable=False))
         answer = CutAnswer([event(1, 1), event(2, 1)[:-4]], breaks_off=breaks_off)
-        with pytest.raises(BrokenAnswerError):
+        with pytest.raises(IncompleteAnswerError):
             await delivery.deliver(cast(Answer, answer), SIGNED, False, BOUNDS)
         assert delivery.tokens_delivered == 2 * TOKENS
 
@@ -56,7 +56,7 @@
         answer = CutAnswer(pieces, breaks_off=length < len(text))
         try:
             await delivery.deliver(cast(Answer, answer), SIGNED, True, BOUNDS)
-        except BrokenAnswerError as error:
+        except IncompleteAnswerError as error:
             whole = kept.rpartition(b"\n\n")
             assert error.cut_bytes == len(whole[2])
             assert delivery.may_continue
--- a/tests/unit/test_turn_log.py
+++ b/tests/unit/test_turn_log.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.models.endpoint_entries import EndpointStart
+from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.services.disks import turn_index, turn_log
 from bayhinge._internal.services.disks.turn_index import entry_key
 from bayhinge._internal.services.disks.turn_log import Chain, TurnLog
@@ -27,7 +27,7 @@
 def test_a_chain_is_joined_from_the_oldest_turn_on(tmp_path: Path) -> None:
     log = TurnLog(tmp_path)
     log.append([turn("c", "b", b"three"), turn("a", None, b"one "), turn("b", "a", b"two ")])
-    assert log.chain("c") == Chain(b"one two three", EndpointStart("e-1"))
+    assert log.chain("c") == Chain(b"one two three", EndpointIncarnation("e-1"))
     assert log.chain("x") == Chain(missing="x")
     log.append([turn("z", "y", b"")])
     assert log.chain("z") == Chain(missing="y")
@@ -38,9 +38,9 @@
     last = turn("b", "a", b"two")
     last.endpoint_born_ms = 1_700_000_000_000
     log.append([turn("a", None, b"one "), last])
-    start = EndpointStart("e-1", 1_700_000_000_000)
+    start = EndpointIncarnation("e-1", 1_700_000_000_000)
     assert log.chain("b").run_at == start
-    assert log.chain("a").run_at == EndpointStart("e-1")
+    assert log.chain("a").run_at == EndpointIncarnation("e-1")
     log.close()
     assert TurnLog(tmp_path).chain("b").run_at == start
 
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -12,8 +12,8 @@
     WATCH_PERIOD_S,
     WATCHERS_PER_HALL,
     HallHost,
-    WatchTurn,
-    wait_until_turn,
+    WatchSlot,
+    wait_until_slot,
     watchers_of,
 )
 from bayhinge._internal.utils.http_session import call_timeout
@@ -57,7 +57,7 @@
 def test_ends_are_spread_evenly_over_a_site(halls: int, watchers: int) -> None:
     phases_by_prefix = {
         prefix: [
-            WatchTurn(hall, halls, watcher, prefix, 2, watchers).phase
+            WatchSlot(hall, halls, watcher, prefix, 2, watchers).phase
             for hall, watcher in itertools.product(range(halls), range(watchers))
         ]
         for prefix in range(2)
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("halls", [2, 3, 8])
 def test_ends_of_one_host_stand_apart(halls: int) -> None:
     for hall, watcher in itertools.product(range(halls), range(2)):
-        phases = [WatchTurn(hall, halls, watcher, prefix, 2).phase for prefix in range(2)]
+        phases = [WatchSlot(hall, halls, watcher, prefix, 2).phase for prefix in range(2)]
         assert longest_gap(phases) <= 0.75
 
 
@@ -81,8 +81,8 @@
 
 @given(st.floats(0, 2e9), st.integers(0, 2), st.integers(0, 1), st.integers(0, 1))
 def test_a_watch_ends_at_its_turn(now_s: float, hall: int, watcher: int, prefix: int) -> None:
-    turn = WatchTurn(hall, 3, watcher, prefix, 2)
-    wait_s = wait_until_turn(turn, now_s)
+    turn = WatchSlot(hall, 3, watcher, prefix, 2)
+    wait_s = wait_until_slot(turn, now_s)
     assert MIN_WATCH_S <= wait_s <= WATCH_PERIOD_S + MIN_WATCH_S
     distance = ((now_s + wait_s) / WATCH_PERIOD_S - turn.phase) % 1
     assert min(distance, 1 - distance) < 1e-4
@@ -99,7 +99,7 @@
     for hall, watcher, prefix in itertools.product(range(halls), range(2), range(2)):
         now_s = 1000.0
         while now_s < 1060.0:
-            now_s += wait_until_turn(WatchTurn(hall, halls, watcher, prefix, 2), now_s)
+            now_s += wait_until_slot(WatchSlot(hall, halls, watcher, prefix, 2), now_s)
             moments.append(now_s)
     moments.sort()
     assert len(moments) <= 60 / 0.5 + 2 * 4 * halls, "two a second, and the last ones"
