--- a/src/bayhinge/_internal/bench/config_feed.py
+++ b/src/bayhinge/_internal/bench/config_feed.py
@@ -156,8 +156,8 @@
     await asyncio.sleep(source.random() * NEWS_EVERY_S)
     while True:
         peer = source.choice(hosts)
-        peer.feed.hear(host.feed.revision)
-        host.feed.hear(peer.feed.revision)
+        peer.feed.observe_revision(host.feed.revision)
+        host.feed.observe_revision(peer.feed.revision)
         changes = peer.feed.changes_after(host.feed.revision)
         host.peer_bytes += FRAME_BYTES + sum(len(change) for change in changes)
         try:
--- a/src/bayhinge/_internal/bench/decisions/cost.py
+++ b/src/bayhinge/_internal/bench/decisions/cost.py
@@ -7,7 +7,7 @@
 
 from bayhinge._internal.decisions.cell import CellScheduler, CellSettings
 from bayhinge._internal.decisions.cells import cell_count, cell_of
-from bayhinge._internal.decisions.offers import Done, Offer, Outcome
+from bayhinge._internal.decisions.offers import CallCompletion, Offer, Outcome
 from bayhinge._internal.models.endpoints import Endpoint, ListedEndpointState
 
 PROGRAMS_PER_ENGINE = 60
@@ -90,7 +90,7 @@
         grant = self._open.pop(number, None)
         if grant is not None:
             self._now += 1e-4
-            done = Done(grant, Outcome.FINISHED, 8000, 7000, 300, 0.2, 4.0)
+            done = CallCompletion(grant, Outcome.FINISHED, 8000, 7000, 300, 0.2, 4.0)
             self._scheduler(number).done(done, self._now)
 
     def _scheduler(self, number: int) -> CellScheduler:
--- a/src/bayhinge/_internal/bench/decisions/quota_ways.py
+++ b/src/bayhinge/_internal/bench/decisions/quota_ways.py
@@ -47,7 +47,7 @@
     def lets_in(self, host: int, begins: bool, now_s: float) -> bool:
         """See :class:`Way`."""
         self._buckets[host].fill(now_s, 1.0)
-        return self._buckets[host].take(False) is None
+        return self._buckets[host].acquire(False) is None
 
 
 class Home(Way):
@@ -61,7 +61,7 @@
         """See :class:`Way`."""
         self.messages += 2
         self._bucket.fill(now_s, 1.0)
-        return self._bucket.take(begins) is None
+        return self._bucket.acquire(begins) is None
 
 
 class ToldDemand(Way):
--- a/src/bayhinge/_internal/bench/decisions/simulation.py
+++ b/src/bayhinge/_internal/bench/decisions/simulation.py
@@ -10,7 +10,15 @@
 
 from bayhinge._internal.bench.decisions.workload import ProgramPlan
 from bayhinge._internal.decisions.cell import CellScheduler, CellSettings
-from bayhinge._internal.decisions.offers import Action, Done, Grant, Offer, Outcome, Reject, Release
+from bayhinge._internal.decisions.offers import (
+    Action,
+    CallCompletion,
+    Grant,
+    Offer,
+    Outcome,
+    Reject,
+    Release,
+)
 from bayhinge._internal.models.endpoints import Endpoint, ListedEndpointState
 from bayhinge_standins.engine_model import EngineModel, ModelRequest, ModelSpeed
 
@@ -251,7 +259,7 @@
         program.refusals = 0
         self._outcome.messages += 1
         self._outcome.first_tokens_s.append(request.first_token_at - request.submitted_at)
-        done = Done(
+        done = CallCompletion(
             request.request_id,
             Outcome.FINISHED,
             request.prompt_tokens,
@@ -316,7 +324,7 @@
         """An engine died under a call: its owner tries another one."""
         program, endpoint = self._requests.pop(request.request_id)
         _, offer = self._grants.pop(request.request_id)
-        done = Done(request.request_id, Outcome.FAILED)
+        done = CallCompletion(request.request_id, Outcome.FAILED)
         self._decide(lambda: self._scheduler.done(done, now), now)
         again = attrs.evolve(
             offer,
--- a/src/bayhinge/_internal/bench/world/world.py
+++ b/src/bayhinge/_internal/bench/world/world.py
@@ -41,7 +41,7 @@
 )
 from bayhinge._internal.network.front_handler import ConfigEdit
 from bayhinge._internal.services.host import Host
-from bayhinge._internal.services.host_parts import Outside
+from bayhinge._internal.services.host_parts import ExternalDependencies
 from bayhinge.coordination.errors import StoreUnavailableError
 from bayhinge.coordination.store import Change, Listing, ObjectStore, StoredObject
 from bayhinge_standins.engine import answer_text
@@ -181,7 +181,7 @@
         gate = Gate()
         store = MemoryObjectStore(self.objects, self.store_faults)
         number = len(self.all_hosts)
-        outside = Outside(
+        outside = ExternalDependencies(
             GatedStore(store, gate),
             WorldEndpointList(self.endpoints),
             WorldEndpointClient(self.endpoints, gate),
--- a/src/bayhinge/_internal/decisions/answer_timeouts.py
+++ b/src/bayhinge/_internal/decisions/answer_timeouts.py
@@ -48,7 +48,7 @@
     return before_s + SMOOTHING * (newest_s - before_s)
 
 
-def bounds_of(route: Route, may_fail_over: bool, usual_s: float = 0.0) -> AnswerTimeouts:
+def answer_timeouts_for(route: Route, may_fail_over: bool, usual_s: float = 0.0) -> AnswerTimeouts:
     """Returns the timeouts of a run.
 
     ``usual_s`` is the service's average time to the first byte. An endpoint is suspected also where
--- a/src/bayhinge/_internal/decisions/caller_addresses.py
+++ b/src/bayhinge/_internal/decisions/caller_addresses.py
@@ -59,7 +59,7 @@
     if len(local) < MIN_LOCAL_HOSTS:
         return [host.address for host in ordered]
     others = [host for host in ordered if host.hall != hall]
-    return sending(local, hall) + _spares(others, region, generator)
+    return hosts_to_advertise(local, hall) + _spares(others, region, generator)
 
 
 def _spares(others: Sequence[ReadyHost], region: str, generator: random.Random) -> list[str]:
@@ -76,7 +76,7 @@
     return connected if 2 * len(connected) >= len(hosts) else hosts
 
 
-def sending(local: Sequence[ReadyHost], hall: str) -> list[str]:
+def hosts_to_advertise(local: Sequence[ReadyHost], hall: str) -> list[str]:
     """Returns the hosts of a hall to advertise for its load; every host returns the same ones."""
     rate = sum(host.requests_per_s for host in local)
     count = max(MIN_ADVERTISED_HOSTS, math.ceil(rate / REQUESTS_PER_HOST))
--- a/src/bayhinge/_internal/decisions/cell.py
+++ b/src/bayhinge/_internal/decisions/cell.py
@@ -20,7 +20,7 @@
 from bayhinge._internal.decisions.estimates import AdmissionRate, RetryBudget, initial_estimates
 from bayhinge._internal.decisions.offers import (
     Action,
-    Done,
+    CallCompletion,
     Grant,
     Offer,
     Outcome,
@@ -175,7 +175,7 @@
         heapq.heappush(self._deadlines, (waiting.deadline, offer.grant))
         return self._dispatch(now)
 
-    def done(self, done: Done, now: float) -> list[Action]:
+    def done(self, done: CallCompletion, now: float) -> list[Action]:
         """Handles the end of a granted call, or the withdrawal of a queued one."""
         queued = self._queued_by_grant.pop(done.grant, None)
         if queued is not None:
@@ -223,7 +223,7 @@
         ]
         actions: list[Action] = []
         for grant in [*granted, *waiting]:
-            actions.extend(self.done(Done(grant, Outcome.CANCELLED), now))
+            actions.extend(self.done(CallCompletion(grant, Outcome.CANCELLED), now))
         return actions
 
     def tick(self, now: float) -> list[Action]:
@@ -363,7 +363,7 @@
         self._new_programs_waiting -= queued.waiting.offer.index == 0
         del self._queued_by_grant[queued.waiting.offer.grant]
 
-    def _adapt_limit(self, view: EndpointView, done: Done) -> None:
+    def _adapt_limit(self, view: EndpointView, done: CallCompletion) -> None:
         """Adapts the concurrency limit to keep the time per token below the target.
 
         Additive increase, multiplicative decrease. The limit grows only while it is reached,
@@ -377,14 +377,14 @@
         elif len(view.running_by_grant) + 1 >= view.limit:
             view.exact_limit = min(float(settings.max_running), view.exact_limit + LIMIT_INCREASE)
 
-    def _record_recomputation(self, program: _ProgramState, done: Done) -> None:
+    def _record_recomputation(self, program: _ProgramState, done: CallCompletion) -> None:
         if done.outcome is not Outcome.FINISHED:
             return
         recomputed_tokens = min(program.tokens, done.prompt_tokens) - done.cached_tokens
         self.estimates.hold.record(self.estimates.prefill_s(max(0, recomputed_tokens)))
         program.tokens = done.prompt_tokens + done.completion_tokens
 
-    def _update_estimates(self, done: Done, seconds: float, batch: int) -> None:
+    def _update_estimates(self, done: CallCompletion, seconds: float, batch: int) -> None:
         if done.outcome is not Outcome.FINISHED:
             return
         self.estimates.call_s.add(seconds)
@@ -395,7 +395,9 @@
         if uncached >= MIN_PREFILL_SAMPLE_TOKENS and done.first_token_s > 0:
             self.estimates.learn_prefill(uncached, done.first_token_s)
 
-    def _update_health(self, view: EndpointView, done: Done, now: float) -> Iterator[Action]:
+    def _update_health(
+        self, view: EndpointView, done: CallCompletion, now: float
+    ) -> Iterator[Action]:
         """Ejects an endpoint after consecutive failures, and readmits it after a success."""
         if done.outcome is Outcome.DRAINING and view.standing is not Standing.LEAVING:
             yield self._mark_leaving(view, "it reported that it is draining")
--- a/src/bayhinge/_internal/decisions/endpoint_incarnations.py
+++ b/src/bayhinge/_internal/decisions/endpoint_incarnations.py
@@ -13,16 +13,16 @@
 
 
 @attrs.frozen
-class Contact:
+class ConnectionTimes:
     """Times of a connection to an endpoint, in seconds of this host's monotonic clock.
 
     Attributes:
-        heard_s: when data was last received; ``opened_s`` where none was.
+        last_received_s: when data was last received; ``opened_s`` where none was.
     """
 
     address: str
     opened_s: float
-    heard_s: float
+    last_received_s: float
 
 
 @attrs.frozen
@@ -48,22 +48,22 @@
     return now_s - ago_s if ago_s >= -CLOCK_SKEW_S else None
 
 
-def is_over(contact: Contact, start: NewIncarnation) -> bool:
+def is_stale(connection_times: ConnectionTimes, incarnation: NewIncarnation) -> bool:
     """Whether a connection certainly leads to an earlier incarnation."""
-    if contact.address != start.address:
+    if connection_times.address != incarnation.address:
         return True
-    if start.began_s is None:
+    if incarnation.began_s is None:
         return False
-    if contact.heard_s > start.began_s + CLOCK_SKEW_S:
+    if connection_times.last_received_s > incarnation.began_s + CLOCK_SKEW_S:
         # Received data since, so it leads to the new incarnation despite a larger clock skew.
         return False
-    return contact.opened_s < start.began_s - CLOCK_SKEW_S
+    return connection_times.opened_s < incarnation.began_s - CLOCK_SKEW_S
 
 
-def belongs_to(contact: Contact, start: NewIncarnation) -> bool:
+def belongs_to(connection_times: ConnectionTimes, incarnation: NewIncarnation) -> bool:
     """Whether a connection certainly leads to this incarnation."""
     return (
-        contact.address == start.address
-        and start.began_s is not None
-        and contact.opened_s >= start.began_s + CLOCK_SKEW_S
+        connection_times.address == incarnation.address
+        and incarnation.began_s is not None
+        and connection_times.opened_s >= incarnation.began_s + CLOCK_SKEW_S
     )
--- a/src/bayhinge/_internal/decisions/endpoint_table.py
+++ b/src/bayhinge/_internal/decisions/endpoint_table.py
@@ -51,7 +51,7 @@
     running_here: int = 0
     running_at_peers: int = 0
     failures: float = 0.0
-    complaints: int = 0
+    failure_reports: int = 0
     ejected_until_s: float = 0.0
     is_suspected: bool = False
     is_replaced: bool = False
@@ -64,7 +64,7 @@
     @property
     def effective_load(self) -> float:
         """The load plus a penalty for failure reports, in the same unit."""
-        return self.load + weights.failure_report(self.entry.slots) * self.complaints
+        return self.load + weights.failure_report(self.entry.slots) * self.failure_reports
 
     def record_success(self) -> None:
         """Records a complete answer."""
@@ -90,7 +90,7 @@
         connected: endpoints to which the requesting host has an idle connection.
     """
 
-    start: EndpointIncarnation = EndpointIncarnation()
+    incarnation: EndpointIncarnation = EndpointIncarnation()
     shared_part: str = ""
     kept_tokens: int = 0
     shared_tokens: int = 0
@@ -114,10 +114,14 @@
         """Returns the state of an endpoint, or None where it is unknown."""
         return self._state_by_instance.get(instance)
 
-    def find_incarnation(self, start: EndpointIncarnation) -> EndpointState | None:
+    def find_incarnation(self, incarnation: EndpointIncarnation) -> EndpointState | None:
         """Returns the state of an incarnation, or None where it has ended or is unknown."""
-        state = self._state_by_instance.get(start.endpoint)
-        return state if state is not None and start.may_be(state.entry.start) else None
+        state = self._state_by_instance.get(incarnation.endpoint)
+        return (
+            state
+            if state is not None and incarnation.may_be_same_as(state.entry.incarnation)
+            else None
+        )
 
     def is_current(self, state: EndpointState) -> bool:
         """Whether a state is of the newest known incarnation of its endpoint."""
@@ -128,20 +132,20 @@
         state = self._state_by_instance.get(instance)
         return self._removed_by_instance.get(instance) if state is None else state.entry
 
-    def forget_removed(self, start: EndpointIncarnation) -> None:
+    def forget_removed(self, incarnation: EndpointIncarnation) -> None:
         """Forgets a removed endpoint, once no delayed entry of it can arrive any more."""
-        entry = self._removed_by_instance.get(start.endpoint)
-        if entry is not None and entry.start == start:
-            del self._removed_by_instance[start.endpoint]
+        entry = self._removed_by_instance.get(incarnation.endpoint)
+        if entry is not None and entry.incarnation == incarnation:
+            del self._removed_by_instance[incarnation.endpoint]
 
     def put(self, entry: EndpointEntry) -> EntryChange:
         """Applies an entry, unless it is of an incarnation before the known one."""
         instance = entry.instance
         state = self._state_by_instance.get(instance)
         known = self.last_entry(instance)
-        if known is not None and known.start.is_after(entry.start):
+        if known is not None and known.incarnation.is_later_than(entry.incarnation):
             return EntryChange.OUTDATED
-        is_later = known is not None and entry.start.is_after(known.start)
+        is_later = known is not None and entry.incarnation.is_later_than(known.incarnation)
         if state is None or is_later:
             self._removed_by_instance.pop(instance, None)
             self._state_by_instance[instance] = EndpointState(entry)
@@ -160,7 +164,7 @@
             self._update_replaced(old_address)
         return EntryChange.CHANGED if is_changed else EntryChange.NOTHING
 
-    def withdraw(self, instance: str) -> bool:
+    def mark_leaving(self, instance: str) -> bool:
         """Marks an endpoint as leaving until its next entry; returns whether it was not before."""
         state = self._state_by_instance.get(instance)
         if state is None or state.entry.is_leaving:
@@ -208,7 +212,7 @@
             if state.running_here
         }
 
-    def resting(self, now_s: float) -> set[str]:
+    def ejected(self, now_s: float) -> set[str]:
         """Returns the endpoints that this host has ejected."""
         return {
             instance
@@ -232,7 +236,9 @@
             state for state in candidates if not (state.is_suspected or state.is_replaced)
         ] or candidates
         healthy = [state for state in unsuspected if state.ejected_until_s <= now_s]
-        trusted = [state for state in healthy if state.complaints < weights.MIN_FAILURE_REPORTS]
+        trusted = [
+            state for state in healthy if state.failure_reports < weights.MIN_FAILURE_REPORTS
+        ]
         if any(state.load < weights.ROOM_LOAD for state in trusted):
             healthy = trusted
         # Where all are ejected, trying one is better than refusing the request.
@@ -252,7 +258,7 @@
                 state.entry.instance,
             ),
         )
-        holder = self.find_incarnation(preference.start)
+        holder = self.find_incarnation(preference.incarnation)
         for state in candidates:
             if state is holder:
                 slack = weights.own_cache(state.entry.slots, preference.kept_tokens)
--- a/src/bayhinge/_internal/decisions/freshness_proofs.py
+++ b/src/bayhinge/_internal/decisions/freshness_proofs.py
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen
-class Proof:
+class FreshnessProof:
     """Confirmation that the configuration's ``revision`` was the newest.
 
     Attributes:
@@ -45,13 +45,13 @@
     asked_s: float
 
 
-def confirmed_by_peer(revision: int, age_s: float, asked_s: float) -> Proof:
+def confirmed_by_peer(revision: int, age_s: float, asked_s: float) -> FreshnessProof:
     """Converts a peer's proof to this host's clock.
 
     ``age_s`` is its age on the peer's clock at the answer, which was after ``asked_s``, so the
     result is never younger than the peer's proof.
     """
-    return Proof(revision, asked_s - age_s)
+    return FreshnessProof(revision, asked_s - age_s)
 
 
 @attrs.frozen
@@ -76,15 +76,15 @@
     """A host's newest proof, and one for a revision that it does not have yet."""
 
     def __init__(self) -> None:
-        self._proof: Proof | None = None
-        self._pending: Proof | None = None
+        self._proof: FreshnessProof | None = None
+        self._pending: FreshnessProof | None = None
 
-    def take(self, proof: Proof) -> None:
+    def record(self, proof: FreshnessProof) -> None:
         """Records a proof; it becomes valid once the host has its revision."""
         if self._pending is None or proof.asked_s > self._pending.asked_s:
             self._pending = proof
 
-    def newest(self, known_revision: int) -> Proof | None:
+    def newest(self, known_revision: int) -> FreshnessProof | None:
         """Returns the newest proof that is valid for the host's revision.
 
         A later revision includes all revocations up to the proof.
--- a/src/bayhinge/_internal/decisions/incarnation_revisions.py
+++ b/src/bayhinge/_internal/decisions/incarnation_revisions.py
@@ -13,7 +13,7 @@
     def __init__(self) -> None:
         self._revision_by_endpoint: dict[str, int] = {}
 
-    def note(self, endpoint: str, revision: int) -> None:
+    def record(self, endpoint: str, revision: int) -> None:
         """Records that an endpoint has restarted, as stored since ``revision``."""
         self._revision_by_endpoint[endpoint] = revision
 
@@ -21,15 +21,15 @@
         """Forgets a removed endpoint."""
         self._revision_by_endpoint.pop(endpoint, None)
 
-    def not_known_by(self, known_to: int | None) -> Collection[str]:
+    def not_known_by(self, known_revision: int | None) -> Collection[str]:
         """Returns the endpoints whose newest incarnation a host does not know.
 
-        ``known_to`` is None for a host that does not report it; its figures are then accepted.
+        ``known_revision`` is None if the host does not report it; its figures are then accepted.
         """
-        if known_to is None or not self._revision_by_endpoint:
+        if known_revision is None or not self._revision_by_endpoint:
             return ()
         return {
             endpoint
             for endpoint, revision in self._revision_by_endpoint.items()
-            if revision > known_to
+            if revision > known_revision
         }
--- a/src/bayhinge/_internal/decisions/last_seen.py
+++ b/src/bayhinge/_internal/decisions/last_seen.py
@@ -26,13 +26,13 @@
 _SHORT_INCARNATION_BITS = 32
 
 
-def start_of(incarnation: int) -> int:
+def short_incarnation(incarnation: int) -> int:
     """Returns the identifier of an incarnation in heartbeats: its low 32 bits, signed."""
     low = incarnation & (1 << _SHORT_INCARNATION_BITS) - 1
     return low - (1 << _SHORT_INCARNATION_BITS) if low >> _SHORT_INCARNATION_BITS - 1 else low
 
 
-def listed_s(period_s: float) -> float:
+def advertised_s(period_s: float) -> float:
     """Returns how long a silent host is advertised, given the time between two rounds."""
     return min(MAX_ADVERTISED_S, max(MIN_ADVERTISED_S, ADVERTISED_PERIODS * period_s))
 
@@ -40,28 +40,28 @@
 class LastSeen:
     """When each incarnation of a host was last seen by any host.
 
-    Incarnations are identified by :func:`start_of`.
+    Incarnations are identified by :func:`short_incarnation`.
     """
 
     def __init__(self) -> None:
         self._last_seen_s_by_incarnation: dict[int, float] = {}
 
-    def see(self, incarnation_id: int, now_s: float) -> None:
+    def mark_seen(self, incarnation_id: int, now_s: float) -> None:
         """Records a heartbeat of a host that accepts callers."""
         self._last_seen_s_by_incarnation[incarnation_id] = now_s
 
-    def leave(self, incarnation_id: int) -> None:
+    def forget(self, incarnation_id: int) -> None:
         """Removes a host whose heartbeat says that it accepts no callers."""
         self._last_seen_s_by_incarnation.pop(incarnation_id, None)
 
-    def hear(self, age_by_id: Mapping[int, int], now_s: float) -> None:
+    def merge_ages(self, age_by_id: Mapping[int, int], now_s: float) -> None:
         """Merges the ages of another host; the network delay is not counted."""
         for incarnation_id, age in age_by_id.items():
-            seen_s = now_s - max(0, age) / AGE_UNITS_PER_S
-            if seen_s > self._last_seen_s_by_incarnation.get(incarnation_id, 0.0):
-                self._last_seen_s_by_incarnation[incarnation_id] = seen_s
+            last_seen_s = now_s - max(0, age) / AGE_UNITS_PER_S
+            if last_seen_s > self._last_seen_s_by_incarnation.get(incarnation_id, 0.0):
+                self._last_seen_s_by_incarnation[incarnation_id] = last_seen_s
 
-    def seen_s(self, incarnation_id: int) -> float:
+    def last_seen_s(self, incarnation_id: int) -> float:
         """Returns when an incarnation was last seen, on the clock of ``now_s``; 0 if never."""
         return self._last_seen_s_by_incarnation.get(incarnation_id, 0.0)
 
@@ -69,11 +69,11 @@
         """Returns the ages to send, and removes those that are too old."""
         oldest_s = now_s - MAX_AGE_S
         self._last_seen_s_by_incarnation = {
-            incarnation_id: seen_s
-            for incarnation_id, seen_s in self._last_seen_s_by_incarnation.items()
-            if seen_s >= oldest_s
+            incarnation_id: last_seen_s
+            for incarnation_id, last_seen_s in self._last_seen_s_by_incarnation.items()
+            if last_seen_s >= oldest_s
         }
         return {
-            incarnation_id: round((now_s - seen_s) * AGE_UNITS_PER_S)
-            for incarnation_id, seen_s in self._last_seen_s_by_incarnation.items()
+            incarnation_id: round((now_s - last_seen_s) * AGE_UNITS_PER_S)
+            for incarnation_id, last_seen_s in self._last_seen_s_by_incarnation.items()
         }
--- a/src/bayhinge/_internal/decisions/load_table.py
+++ b/src/bayhinge/_internal/decisions/load_table.py
@@ -26,21 +26,21 @@
 
     host: str
     incarnation: int
-    beat: int
+    sequence: int
     last_grant: int
     running_by_endpoint: Mapping[str, int]
-    resting: frozenset[str] = frozenset()
+    ejected: frozenset[str] = frozenset()
 
 
 @attrs.define
 class _HostLoads:
     incarnation: int
-    beat: int = 0
+    sequence: int = 0
     newest_grant: int = 0
     received_s: float = 0.0
     running_by_endpoint: Mapping[str, int] = attrs.field(factory=dict)
     endpoint_by_grant: dict[int, str] = attrs.field(factory=dict)
-    resting: frozenset[str] = frozenset()
+    ejected: frozenset[str] = frozenset()
 
 
 class LoadTable:
@@ -51,7 +51,7 @@
         self._running_by_endpoint: Counter[str] = Counter()
         self._failure_reports_by_endpoint: Counter[str] = Counter()
 
-    def hear(self, report: HostLoadReport, now_s: float) -> None:
+    def record_report(self, report: HostLoadReport, now_s: float) -> None:
         """Applies a report, unless a newer one of the same incarnation is known."""
         loads = self._loads_by_host.get(report.host)
         if loads is not None and loads.incarnation != report.incarnation:
@@ -59,15 +59,15 @@
             loads = None
         if loads is None:
             loads = self._loads_by_host[report.host] = _HostLoads(report.incarnation)
-        if report.beat <= loads.beat:
+        if report.sequence <= loads.sequence:
             return
         self._running_by_endpoint.subtract(loads.running_by_endpoint)
         self._running_by_endpoint.update(report.running_by_endpoint)
         loads.running_by_endpoint = report.running_by_endpoint
-        self._failure_reports_by_endpoint.subtract(loads.resting)
-        self._failure_reports_by_endpoint.update(report.resting)
-        loads.resting = report.resting
-        loads.beat, loads.received_s = report.beat, now_s
+        self._failure_reports_by_endpoint.subtract(loads.ejected)
+        self._failure_reports_by_endpoint.update(report.ejected)
+        loads.ejected = report.ejected
+        loads.sequence, loads.received_s = report.sequence, now_s
         for grant in [grant for grant in loads.endpoint_by_grant if grant <= report.last_grant]:
             self._running_by_endpoint[loads.endpoint_by_grant.pop(grant)] -= 1
         # A new coordinator continues the grant numbers of the previous one.
@@ -87,7 +87,7 @@
             running = dict(loads.running_by_endpoint)
             running.pop(endpoint, None)
             loads.running_by_endpoint = running
-            loads.resting -= {endpoint}
+            loads.ejected -= {endpoint}
             loads.endpoint_by_grant = {
                 grant: granted
                 for grant, granted in loads.endpoint_by_grant.items()
@@ -114,4 +114,4 @@
         loads = self._loads_by_host.pop(host)
         self._running_by_endpoint.subtract(loads.running_by_endpoint)
         self._running_by_endpoint.subtract(loads.endpoint_by_grant.values())
-        self._failure_reports_by_endpoint.subtract(loads.resting)
+        self._failure_reports_by_endpoint.subtract(loads.ejected)
--- a/src/bayhinge/_internal/decisions/offers.py
+++ b/src/bayhinge/_internal/decisions/offers.py
@@ -119,7 +119,7 @@
 
 
 @attrs.frozen
-class Done:
+class CallCompletion:
     """The end of a granted call, as reported by its owner.
 
     Attributes:
--- a/src/bayhinge/_internal/decisions/quota_bucket.py
+++ b/src/bayhinge/_internal/decisions/quota_bucket.py
@@ -71,7 +71,7 @@
         self._filled_s = now_s
         self._slow_until_s = -math.inf
         self._level = self.capacity
-        self.begin_anew(now_s, settled_s)
+        self.limit_after_takeover(now_s, settled_s)
 
     @property
     def capacity(self) -> float:
@@ -87,7 +87,7 @@
         most = TAKEOVER_SHARE * self._margin.requests(self._quota)
         return max(1.0, min(most, TAKEOVER_RATE_S * self._quota.rate_per_s))
 
-    def begin_anew(self, now_s: float, settled_s: float) -> None:
+    def limit_after_takeover(self, now_s: float, settled_s: float) -> None:
         """Limits the level, as another coordinator may have granted until ``settled_s`` ago."""
         self._level = min(self._level, self._takeover_level + self._quota.rate_per_s * settled_s)
         self._slow_until_s = now_s + TAKEOVER_S - settled_s
@@ -113,7 +113,7 @@
         self._level = min(self.capacity, self._level + added)
         self._filled_s = now_s
 
-    def take(self, begins_program: bool) -> float | None:
+    def acquire(self, begins_program: bool) -> float | None:
         """Takes one token; returns None, or after how many seconds to retry."""
         reserve = NEW_PROGRAM_RESERVE * (self.capacity - 1.0) if begins_program else 0.0
         lacking = 1.0 + reserve - self._level
@@ -123,6 +123,6 @@
         rate_per_s = max(MIN_RATE, self._quota.rate_per_s)
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, lacking / rate_per_s))
 
-    def give_back(self, count: int) -> None:
+    def refund(self, count: int) -> None:
         """Returns the tokens of granted requests that reached no endpoint."""
         self._level = min(self.capacity, self._level + count)
--- a/src/bayhinge/_internal/decisions/request_rate.py
+++ b/src/bayhinge/_internal/decisions/request_rate.py
@@ -13,7 +13,7 @@
     per_s: float = 0.0
     _count: int = 0
 
-    def note(self, count: int, passed_s: float) -> None:
+    def observe(self, count: int, passed_s: float) -> None:
         """Records the count ``passed_s`` seconds after the last one."""
         newest = (count - self._count) / passed_s
         self._count = count
--- a/src/bayhinge/_internal/models/endpoint_entries.py
+++ b/src/bayhinge/_internal/models/endpoint_entries.py
@@ -16,13 +16,13 @@
     endpoint: str = ""
     born_ms: int | None = None
 
-    def may_be(self, other: "EndpointIncarnation") -> bool:
+    def may_be_same_as(self, other: "EndpointIncarnation") -> bool:
         """Whether the two can be the same incarnation."""
         if self.endpoint != other.endpoint:
             return False
         return self.born_ms is None or other.born_ms is None or self.born_ms == other.born_ms
 
-    def is_after(self, other: "EndpointIncarnation") -> bool:
+    def is_later_than(self, other: "EndpointIncarnation") -> bool:
         """Whether this is known to be a later incarnation of the same endpoint."""
         return self.endpoint == other.endpoint and _is_later(self.born_ms, other.born_ms)
 
@@ -47,7 +47,7 @@
     born_ms: int | None = None
 
     @property
-    def start(self) -> EndpointIncarnation:
+    def incarnation(self) -> EndpointIncarnation:
         """The incarnation that the entry describes."""
         return EndpointIncarnation(self.instance, self.born_ms)
 
--- a/src/bayhinge/_internal/models/messages.py
+++ b/src/bayhinge/_internal/models/messages.py
@@ -47,7 +47,7 @@
     return sum(1 + len(message) // BYTES_PER_TOKEN for message in messages)
 
 
-def splice(fields: dict[str, Any], messages: Iterable[bytes]) -> bytes:
+def build_request_body(fields: dict[str, Any], messages: Iterable[bytes]) -> bytes:
     """Builds a request body from already encoded messages and the other fields."""
     head = orjson.dumps(fields)
     joined = b",".join(messages)
--- a/src/bayhinge/_internal/network/endpoint_connections.py
+++ b/src/bayhinge/_internal/network/endpoint_connections.py
@@ -15,7 +15,7 @@
 from aiohttp.streams import StreamReader
 
 from bayhinge._internal.decisions.endpoint_incarnations import (
-    Contact,
+    ConnectionTimes,
     NewIncarnation,
     belongs_to,
 )
@@ -189,9 +189,9 @@
         self._wake()
 
     @property
-    def contact(self) -> Contact:
+    def connection_times(self) -> ConnectionTimes:
         """When the connection was opened and last received anything from the endpoint."""
-        return Contact(self.address, self._opened_s, self._last_received_s)
+        return ConnectionTimes(self.address, self._opened_s, self._last_received_s)
 
     @property
     def has_unread_answer(self) -> bool:
@@ -297,7 +297,7 @@
         connection.reusable_until_s = asyncio.get_running_loop().time() + keep_s
         self._idle_by_key.setdefault(connection.key, []).append(connection)
 
-    def connected(self) -> frozenset[str]:
+    def connected_endpoints(self) -> frozenset[str]:
         """Returns the endpoints for which there is a reusable idle connection."""
         now = asyncio.get_running_loop().time()
         return frozenset(
@@ -316,18 +316,22 @@
         for connection in self._idle_by_key.pop(key, []):
             connection.abort("the endpoint was removed or timed out")
 
-    def start_again(self, key: str, start: NewIncarnation) -> int:
+    def close_previous_incarnations(self, key: str, incarnation: NewIncarnation) -> int:
         """Closes idle connections that may belong to a previous incarnation; returns how many."""
         idle = self._idle_by_key.pop(key, [])
-        kept = [connection for connection in idle if belongs_to(connection.contact, start)]
+        kept = [
+            connection
+            for connection in idle
+            if belongs_to(connection.connection_times, incarnation)
+        ]
         for connection in idle:
             if connection not in kept:
                 connection.abort("the endpoint has restarted")
         if kept:
             self._idle_by_key[key] = kept
         # Data received from a previous incarnation does not count for this one.
-        heard_s = self._last_received_s_by_key.get(key, 0.0)
-        if start.began_s is None or heard_s < start.began_s:
+        last_received_s = self._last_received_s_by_key.get(key, 0.0)
+        if incarnation.began_s is None or last_received_s < incarnation.began_s:
             self._last_received_s_by_key.pop(key, None)
         return len(idle) - len(kept)
 
--- a/src/bayhinge/_internal/network/peer_client.py
+++ b/src/bayhinge/_internal/network/peer_client.py
@@ -58,12 +58,12 @@
         finally:
             link.close_stream(stream)
 
-    def doubt(self, address: str, began_s: float) -> bool:
+    def suspect_connection(self, address: str, began_s: float) -> bool:
         """See :class:`Peers`."""
         link = self._links_by_address.get(address)
         if link is None or not link.is_open:
             return True
-        link.doubt()
+        link.suspect_connection()
         # Another call may have replaced the connection already.
         return link.is_suspected or link.connected_at_s > began_s
 
@@ -138,7 +138,7 @@
     def is_usable(self) -> bool:
         return self.is_open and not self.is_suspected
 
-    def doubt(self) -> None:
+    def suspect_connection(self) -> None:
         """Suspects the connection if it has worked before and a call has waited too long."""
         for stream in self._stream_by_number.values():
             self._suspect_if_silent(stream)
--- a/src/bayhinge/_internal/network/peers.py
+++ b/src/bayhinge/_internal/network/peers.py
@@ -56,7 +56,7 @@
     async def close(self) -> None:
         """Closes every connection."""
 
-    def doubt(self, address: str, began_s: float) -> bool:
+    def suspect_connection(self, address: str, began_s: float) -> bool:
         """Reports that a call has waited too long; its connection is replaced if unresponsive.
 
         Calls in flight keep waiting on the old connection. A connection that never received
--- a/src/bayhinge/_internal/network/routed_front.py
+++ b/src/bayhinge/_internal/network/routed_front.py
@@ -60,7 +60,7 @@
         return self._request.raw_headers
 
     @property
-    def has_begun(self) -> bool:
+    def headers_sent(self) -> bool:
         """Whether part of the answer has been sent."""
         return self._response is not None
 
@@ -105,7 +105,7 @@
         assert self._response is not None
         await self._response.write_eof()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Aborts the connection, so that the caller sees that the answer is incomplete."""
         if self._request.transport is not None:
             self._request.transport.abort()
@@ -210,7 +210,7 @@
             await self._handler.handle(exchange)
         except ConnectionError:
             # The caller disconnected while its answer was being written.
-            exchange.break_off()
+            exchange.abort()
         finally:
             self._busy.discard(connection)
             self.running -= 1
--- a/src/bayhinge/_internal/network/stream_splice.py
+++ b/src/bayhinge/_internal/network/stream_splice.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class Spliced:
+class SplicedEvents:
     """The events to forward for one piece of a run, and their raw bytes.
 
     Attributes:
@@ -74,7 +74,7 @@
         """Bytes received of an incomplete event."""
         return self._reader.cut_bytes
 
-    def feed(self, piece: bytes) -> Spliced:
+    def feed(self, piece: bytes) -> SplicedEvents:
         """Processes a piece of the run, split anywhere; returns what to forward to the caller."""
         forwarded: list[tuple[bytes, StreamEvent | None]] = []
         gap = None
@@ -83,18 +83,18 @@
             if gap is not None:
                 break
         # Events before a gap are recorded as forwarded, so they must be returned.
-        return Spliced(
+        return SplicedEvents(
             tuple(event for _, event in forwarded if event is not None),
             b"".join(text for text, _ in forwarded),
             gap,
         )
 
-    def end(self) -> Spliced:
+    def end(self) -> SplicedEvents:
         """Processes the complete end of the run; a deferred event then counts as a gap."""
         deferred = self._deferred_event()
         if deferred is None:
-            return Spliced()
-        return Spliced(gap=f"event {deferred.number} alone follows event {self._splice.last}")
+            return SplicedEvents()
+        return SplicedEvents(gap=f"event {deferred.number} alone follows event {self._splice.last}")
 
     def _process_block(
         self,
--- a/src/bayhinge/_internal/platform/object_reader.py
+++ b/src/bayhinge/_internal/platform/object_reader.py
@@ -27,7 +27,7 @@
 from bayhinge._internal.platform import object_forms as forms
 from bayhinge._internal.platform.objects_api import CONFIGURATION_KEY
 from bayhinge._internal.services.gateway.platform_interface import ObjectReader
-from bayhinge._internal.utils.checked_fields import SHOWN, InvalidTableError, parse_form
+from bayhinge._internal.utils.checked_fields import MAX_SHOWN_CHARS, InvalidTableError, parse_form
 
 KIND_BY_NAME = {
     "idempotent": RouteKind.IDEMPOTENT,
@@ -121,7 +121,7 @@
         An invalid urgency alone is ignored, and the route's urgency applies.
         """
         table = item if isinstance(item, dict) else {}
-        name = str(table.get("name", "?"))[:SHOWN]
+        name = str(table.get("name", "?"))[:MAX_SHOWN_CHARS]
         digests = self._decode_digests(name, table.get("api_keys"))
         try:
             form = parse_form(forms.AccountForm, item)
@@ -158,11 +158,11 @@
         try:
             self._services_by_name[name] = _decode_service(name, item)
         except InvalidTableError as error:
-            self._findings.append(f"service '{name[:SHOWN]}': {error}")
+            self._findings.append(f"service '{name[:MAX_SHOWN_CHARS]}': {error}")
             self._invalid_services.add(name)
 
     def _decode_route(self, item: Any) -> Route | InvalidRoute:
-        name = str(item.get("name", "?"))[:SHOWN] if isinstance(item, dict) else "?"
+        name = str(item.get("name", "?"))[:MAX_SHOWN_CHARS] if isinstance(item, dict) else "?"
         try:
             place = parse_form(forms.RouteKeyForm, item)
         except InvalidTableError as error:
@@ -182,7 +182,7 @@
             # Running at most once is safe for every kind.
             kind = RouteKind.AT_MOST_ONCE
             self._findings.append(
-                f"route '{name}': unknown kind '{form.route_kind[:SHOWN]}', using {kind}"
+                f"route '{name}': unknown kind '{form.route_kind[:MAX_SHOWN_CHARS]}', using {kind}"
             )
         slo_ms = form.timeout_ms if form.slo_ms is None else form.slo_ms
         return Route(
--- a/src/bayhinge/_internal/platform/objects_api.py
+++ b/src/bayhinge/_internal/platform/objects_api.py
@@ -73,13 +73,13 @@
         """Makes a client of the store at ``ip:port``."""
         self._base_url = f"http://{address}/-/objects"
         self._session: aiohttp.ClientSession | None = None
-        self._contact = StoreAvailability()
+        self._availability = StoreAvailability()
         self.calls = 0
 
     @property
-    def contact(self) -> StoreAvailability:
+    def availability(self) -> StoreAvailability:
         """See :class:`PollingStore`."""
-        return self._contact
+        return self._availability
 
     async def close(self) -> None:
         """Closes the connections."""
@@ -191,7 +191,7 @@
                 text = await response.read()
             content = _decode_json(text) if text else {}
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
-            self._contact.record_failure(is_silent=isinstance(error, TimeoutError))
+            self._availability.record_failure(timed_out=isinstance(error, TimeoutError))
             raise StoreUnavailableError(what, str(error) or type(error).__name__) from error
         except (ValueError, RecursionError) as error:
             raise _invalid_answer_error(what, error) from error
@@ -201,9 +201,9 @@
     def _record_status(self, status: int) -> None:
         is_rate_limited = status == status_codes.HTTP_TOO_MANY_REQUESTS
         if is_rate_limited or status >= status_codes.HTTP_SERVER_ERROR:
-            self._contact.record_failure(is_silent=False)
+            self._availability.record_failure(timed_out=False)
         else:
-            self._contact.record_answer()
+            self._availability.record_answer()
 
 
 def _check_status(what: str, status: int, content: Any) -> _Answer:
--- a/src/bayhinge/_internal/platform/settings_file.py
+++ b/src/bayhinge/_internal/platform/settings_file.py
@@ -13,7 +13,7 @@
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.utils.checked_fields import (
     MAX_PORT,
-    SHOWN,
+    MAX_SHOWN_CHARS,
     Check,
     ipv4_with_port,
     is_ipv4,
@@ -57,7 +57,7 @@
         try:
             check(None, _FieldName(key), value)
         except (TypeError, ValueError) as error:
-            shown = repr(value)[:SHOWN]
+            shown = repr(value)[:MAX_SHOWN_CHARS]
             self.findings.append(Finding(place, f"{shown} is invalid: {error.args[0]}"))
             return fallback
         return value
--- a/src/bayhinge/_internal/services/call_runner.py
+++ b/src/bayhinge/_internal/services/call_runner.py
@@ -9,12 +9,12 @@
 import xxhash
 
 from bayhinge._internal import status_codes
-from bayhinge._internal.decisions.offers import Done, Offer, Outcome
+from bayhinge._internal.decisions.offers import CallCompletion, Offer, Outcome
 from bayhinge._internal.exceptions import EndpointError
 from bayhinge._internal.models.accounts import ClientAccount
 from bayhinge._internal.models.calls import AnswerEnd, Call, ModelCall, ServiceCall, Usage
 from bayhinge._internal.models.events import Mechanism
-from bayhinge._internal.models.messages import estimate_tokens, merge_tool_calls, splice
+from bayhinge._internal.models.messages import build_request_body, estimate_tokens, merge_tool_calls
 from bayhinge._internal.models.programs import ProgramState
 from bayhinge._internal.models.refusals import CallAttempt, Figure, RefusalCode, RefusedError
 from bayhinge._internal.models.settings import Settings
@@ -231,7 +231,7 @@
                 self._spawn(self._endpoints.cancel(granted.address, request.request_id))
             seconds = loop.time() - started
             usage = progress.usage
-            done = Done(
+            done = CallCompletion(
                 granted.grant,
                 outcome,
                 usage.prompt_tokens,
@@ -276,7 +276,7 @@
         }
         if offset:
             fields["resume_offset"] = offset
-        return EngineRequest(request_id, splice(fields, prepared.prompt))
+        return EngineRequest(request_id, build_request_body(fields, prepared.prompt))
 
     def _apply_piece(self, piece: EngineChunk, live: LiveAnswer, progress: _Progress) -> None:
         live.add(piece.text)
@@ -318,7 +318,7 @@
             outcome = Outcome.CANCELLED
             raise
         finally:
-            self._grants.done(granted, Done(granted.grant, outcome))
+            self._grants.done(granted, CallCompletion(granted.grant, outcome))
         progress.attempt.answered = True
         end = AnswerEnd(
             prepared.index,
--- a/src/bayhinge/_internal/services/disk_sets.py
+++ b/src/bayhinge/_internal/services/disk_sets.py
@@ -8,7 +8,7 @@
 
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.network.frames import decode_message, encode_message
-from bayhinge._internal.utils.checked_fields import SHOWN, is_ipv4_with_port
+from bayhinge._internal.utils.checked_fields import MAX_SHOWN_CHARS, is_ipv4_with_port
 from bayhinge._internal.wire.hosts.ttypes import DiskMember, DiskSet
 from bayhinge.coordination.errors import (
     AlreadyExistsError,
@@ -55,7 +55,7 @@
         raise StoreUnavailableError(what, f"can't decode it: {error.__cause__}") from error
     invalid = [one.address for one in disk_set.members if not is_ipv4_with_port(one.address)]
     if invalid:
-        raise StoreUnavailableError(what, f"'{invalid[0][:SHOWN]}' is not a disk address")
+        raise StoreUnavailableError(what, f"'{invalid[0][:MAX_SHOWN_CHARS]}' is not a disk address")
     return disk_set
 
 
--- a/src/bayhinge/_internal/services/disks/disk_host.py
+++ b/src/bayhinge/_internal/services/disks/disk_host.py
@@ -60,10 +60,10 @@
             self.fence.apply(self.disk_set, self.me)
         await self._listener.start()
         await self.gossip.start()
-        self.gossip.me.phase = wire.HostPhase.READY
-        self.gossip.me.disk_set_version = self.disk_set.version
+        self.gossip.own_heartbeat.phase = wire.HostPhase.READY
+        self.gossip.own_heartbeat.disk_set_version = self.disk_set.version
         self.gossip.on_heartbeat = self._on_heartbeat
-        self.gossip.describe = self._describe
+        self.gossip.fill_heartbeat = self._describe
         eliot.log_message(
             "disk.started",
             host=self.settings.host,
@@ -203,7 +203,7 @@
         while True:
             after = self._position_by_generation.get(member.generation, 0)
             query = wire.KeysQuery(member.generation, after, self.me)
-            answer = await self.call(member.address, methods.KEYS, encode_message(query))
+            answer = await self.call(member.address, methods.ENTRY_KEYS, encode_message(query))
             if answer is None:
                 return False
             reply = decode_message(wire.KeysReply(), answer)
--- a/src/bayhinge/_internal/services/disks/disk_request_handler.py
+++ b/src/bayhinge/_internal/services/disks/disk_request_handler.py
@@ -31,9 +31,9 @@
         self._handlers: dict[str, Callable[[bytes], Coroutine[Any, Any, bytes]]] = {
             methods.RESERVE: self._reserve,
             methods.APPEND: self._append,
-            methods.KEYS: self._keys,
+            methods.ENTRY_KEYS: self._keys,
             methods.ENTRIES: self._entries,
-            methods.LACKING: self._lacking,
+            methods.MISSING_KEYS: self._lacking,
             methods.DISK_SET: self._disk_set,
             methods.OBJECTS: self._objects,
         }
@@ -123,7 +123,7 @@
 
     async def _objects(self, payload: bytes) -> bytes:
         prefix = decode_message(wire.ObjectsQuery(), payload).prefix
-        return encode_message(self._disk.objects.known(prefix))
+        return encode_message(self._disk.objects.snapshot(prefix))
 
     def _refuse_if_retired(self) -> None:
         if self._disk.is_retired:
--- a/src/bayhinge/_internal/services/disks/disk_retirement.py
+++ b/src/bayhinge/_internal/services/disks/disk_retirement.py
@@ -78,7 +78,9 @@
         )
         for start in range(0, len(keys), KEYS_PER_CALL):
             query = wire.EntriesQuery(keys[start : start + KEYS_PER_CALL])
-            answer = await self._disk.call(member.address, methods.LACKING, encode_message(query))
+            answer = await self._disk.call(
+                member.address, methods.MISSING_KEYS, encode_message(query)
+            )
             if answer is None:
                 return False
             lacking = decode_message(wire.LackingReply(), answer).keys
--- a/src/bayhinge/_internal/services/disks/disk_state.py
+++ b/src/bayhinge/_internal/services/disks/disk_state.py
@@ -92,8 +92,8 @@
             self._position_by_generation.clear()
             self._hosts_by_program.clear()
             self._store_disk_set()
-            self.gossip.me.disk_set_version = disk_set.version
-            self.gossip.say_now()
+            self.gossip.own_heartbeat.disk_set_version = disk_set.version
+            self.gossip.send_now()
             eliot.log_message(
                 "disk_set.changed",
                 version=disk_set.version,
--- a/src/bayhinge/_internal/services/disks/object_backup.py
+++ b/src/bayhinge/_internal/services/disks/object_backup.py
@@ -47,7 +47,7 @@
         """The stored revision of each prefix, for this disk's heartbeats."""
         return {prefix: known.revision for prefix, known in self._known_by_prefix.items()}
 
-    def known(self, prefix: str) -> KnownObjects:
+    def snapshot(self, prefix: str) -> KnownObjects:
         """Returns the objects under a prefix; empty at revision 0 where it is unknown."""
         return self._known_by_prefix.get(prefix, KnownObjects(0, {}, 0))
 
@@ -56,7 +56,7 @@
         wanted = [
             prefix
             for prefix, revision in heartbeat.revision_by_prefix.items()
-            if prefix not in self._fetching and revision > self.known(prefix).revision
+            if prefix not in self._fetching and revision > self.snapshot(prefix).revision
         ]
         self._fetching.update(wanted)
         return [self._fetch(prefix, heartbeat.peer_address) for prefix in wanted]
@@ -68,7 +68,7 @@
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 answer = await self._peers.call(address, methods.OBJECTS, query)
             known = decode_message(KnownObjects(), answer)
-            if known.complete_to > self.known(prefix).complete_to:
+            if known.complete_to > self.snapshot(prefix).complete_to:
                 replace_synced(self._folder / f"{prefix.rstrip('/')}{SUFFIX}", answer)
                 self._known_by_prefix[prefix] = known
         except (
--- a/src/bayhinge/_internal/services/gateway/active_runs.py
+++ b/src/bayhinge/_internal/services/gateway/active_runs.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation, is_over
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation, is_stale
 from bayhinge._internal.decisions.endpoint_table import EndpointState
 from bayhinge._internal.network.endpoint_connections import EndpointConnection
 
@@ -73,7 +73,7 @@
         ended = 0
         for run in self._runs_by_endpoint.get(endpoint, set()):
             connection = run.connection
-            if connection is not None and is_over(connection.contact, incarnation):
+            if connection is not None and is_stale(connection.connection_times, incarnation):
                 _end(run)
                 ended += 1
         return ended
@@ -82,7 +82,7 @@
 def _is_stale(run: ActiveRun, incarnation: NewIncarnation) -> bool:
     if run.connection is None:
         return run.state.entry.address != incarnation.address
-    return is_over(run.connection.contact, incarnation)
+    return is_stale(run.connection.connection_times, incarnation)
 
 
 def _end(run: ActiveRun) -> None:
--- a/src/bayhinge/_internal/services/gateway/configuration_proofs.py
+++ b/src/bayhinge/_internal/services/gateway/configuration_proofs.py
@@ -15,8 +15,8 @@
 import eliot
 
 from bayhinge._internal.decisions.freshness_proofs import (
+    FreshnessProof,
     FreshnessProofs,
-    Proof,
     ProofBounds,
     confirmed_by_peer,
     may_ask_store,
@@ -102,7 +102,7 @@
     @property
     def age_s(self) -> float:
         """The age of the current proof; infinite without one."""
-        return self._proofs.age_s(self._follower.known_to, asyncio.get_running_loop().time())
+        return self._proofs.age_s(self._follower.known_revision, asyncio.get_running_loop().time())
 
     @property
     def may_admit(self) -> bool:
@@ -126,7 +126,7 @@
 
     def answer(self) -> wire.ProofReply:
         """Answers a peer's request for a proof."""
-        proof = self._proofs.newest(self._follower.known_to)
+        proof = self._proofs.newest(self._follower.known_revision)
         if proof is None:
             return wire.ProofReply()
         age_s = asyncio.get_running_loop().time() - proof.asked_s
@@ -195,8 +195,8 @@
         age_by_address = {
             heartbeat.peer_address: heartbeat.proof_age_ms / 1000
             + now
-            - self._gossip.heard_s(heartbeat.host)
-            for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY)
+            - self._gossip.last_seen_s(heartbeat.host)
+            for heartbeat in self._gossip.recent_heartbeats(wire.HostRole.ENTRY)
             if heartbeat.proof_age_ms is not None
         }
         best_s = min(age_by_address.values(), default=math.inf)
@@ -211,10 +211,10 @@
         )
 
     def _should_ask_store(self, age_s: float, bounds: ProofBounds) -> bool:
-        me = self._gossip.me
+        me = self._gossip.own_heartbeat
         others = [
             heartbeat
-            for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY)
+            for heartbeat in self._gossip.recent_heartbeats(wire.HostRole.ENTRY)
             if heartbeat.phase == wire.HostPhase.READY
         ]
         fails_by_host = {heartbeat.host: heartbeat.store_fails for heartbeat in others} | {
@@ -231,8 +231,8 @@
         asked_s = asyncio.get_running_loop().time()
         try:
             async with stall_tolerant_timeout(PEER_ANSWER_S):
-                call = encode_message(wire.ProofCall(self._gossip.me.host))
-                answer = await self._peers.call(address, methods.PROOF, call)
+                call = encode_message(wire.ProofCall(self._gossip.own_heartbeat.host))
+                answer = await self._peers.call(address, methods.FRESHNESS_PROOF, call)
             reply = decode_message(wire.ProofReply(), answer)
         except (TimeoutError, PeerUnreachableError, PeerFailureError, FrameError) as error:
             self.counts.failed += 1
@@ -242,7 +242,7 @@
             return
         self.counts.from_peers += 1
         self._accept(confirmed_by_peer(reply.revision, reply.age_ms / 1000, asked_s))
-        self._follower.hear(reply.revision, address)
+        self._follower.observe_revision(reply.revision, address)
 
     async def _ask_store(self) -> None:
         asked_s = asyncio.get_running_loop().time()
@@ -259,11 +259,11 @@
         if stored is None:
             return
         self.counts.from_store += 1
-        self._follower.take(stored)
-        self._accept(Proof(stored.version, asked_s))
+        self._follower.apply_object(stored)
+        self._accept(FreshnessProof(stored.version, asked_s))
 
-    def _accept(self, proof: Proof) -> None:
-        self._proofs.take(proof)
+    def _accept(self, proof: FreshnessProof) -> None:
+        self._proofs.record(proof)
         self.wake_waiters()
 
     def wake_waiters(self) -> None:
--- a/src/bayhinge/_internal/services/gateway/delivery.py
+++ b/src/bayhinge/_internal/services/gateway/delivery.py
@@ -27,7 +27,7 @@
     @property
     def incarnation(self) -> EndpointIncarnation:
         """The incarnation of the answering endpoint, as far as is known."""
-        return EndpointIncarnation() if self.run is None else self.run.state.entry.start
+        return EndpointIncarnation() if self.run is None else self.run.state.entry.incarnation
 
     @property
     def resume_after(self) -> int | None:
--- a/src/bayhinge/_internal/services/gateway/disk_link.py
+++ b/src/bayhinge/_internal/services/gateway/disk_link.py
@@ -76,7 +76,7 @@
     ) -> None:
         """Adds calls when the first one has failed or not answered within ``HEDGE_S``."""
         was_interrupted = any(_was_interrupted(task) for task in paths.direct)
-        if was_interrupted or self._peers.doubt(member.address, paths.started_s):
+        if was_interrupted or self._peers.suspect_connection(member.address, paths.started_s):
             # The connection may be dead although the disk is well: try a new one.
             paths.direct.append(self._call_direct(member, method, message))
         if not paths.via_relay:
@@ -99,11 +99,13 @@
         """Returns a host to relay through, preferably one that reaches disks, of this hall."""
         ready = [
             heartbeat
-            for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY)
+            for heartbeat in self._gossip.recent_heartbeats(wire.HostRole.ENTRY)
             if heartbeat.phase == wire.HostPhase.READY
         ]
         peers = [heartbeat for heartbeat in ready if not heartbeat.is_cut_off] or ready
-        near = [heartbeat for heartbeat in peers if heartbeat.hall == self._gossip.me.hall]
+        near = [
+            heartbeat for heartbeat in peers if heartbeat.hall == self._gossip.own_heartbeat.hall
+        ]
         return random.choice(near or peers) if peers else None
 
     async def _call_via(
@@ -130,8 +132,8 @@
         """Returns the first answer; None on a timeout, or if every attempt has failed."""
         bound = StallTolerantDeadline(limit_s)
         waiting = {*self.direct, *self.via_relay}
-        while waiting and bound.left_s > 0:
-            finished, waiting = await bound.first_of(waiting)
+        while waiting and bound.remaining_s > 0:
+            finished, waiting = await bound.wait_for_first(waiting)
             for task in finished:
                 if _has_result(task):
                     return task.result()
--- a/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
+++ b/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
@@ -23,12 +23,12 @@
     def __init__(
         self,
         endpoint_table: EndpointTable,
-        links: EndpointConnectionPool,
+        connections: EndpointConnectionPool,
         runs: ActiveRuns,
         wall_ms: Callable[[], int],
     ) -> None:
         self._endpoint_table = endpoint_table
-        self._links = links
+        self._connections = connections
         self._runs = runs
         self._wall_ms = wall_ms
         self.known_revision: Callable[[], int] = lambda: 0
@@ -37,10 +37,10 @@
     def handle_restart(self, newest: EndpointState, former: EndpointEntry) -> None:
         """Handles a later incarnation of a known endpoint."""
         entry = newest.entry
-        self._endpoint_table.incarnation_revisions.note(entry.instance, self.known_revision())
+        self._endpoint_table.incarnation_revisions.record(entry.instance, self.known_revision())
         self.forget_loads(entry.instance)
         incarnation = self._new_incarnation(entry)
-        closed = self._links.start_again(entry.instance, incarnation)
+        closed = self._connections.close_previous_incarnations(entry.instance, incarnation)
         ended, continued = self._runs.handle_restart(newest, incarnation)
         eliot.log_message(
             "endpoint.restarted",
@@ -75,7 +75,7 @@
         for state in self._endpoint_table.replaced_at(entry.address):
             instance = state.entry.instance
             ended = self._runs.handle_replacement(instance, self._new_incarnation(entry))
-            self._links.drop_idle(instance)
+            self._connections.drop_idle(instance)
             eliot.log_message(
                 "endpoint.displaced",
                 endpoint=instance,
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -8,7 +8,11 @@
 import eliot
 from mode import Service
 
-from bayhinge._internal.decisions.caller_addresses import ReadyHost, addresses_for, sending
+from bayhinge._internal.decisions.caller_addresses import (
+    ReadyHost,
+    addresses_for,
+    hosts_to_advertise,
+)
 from bayhinge._internal.decisions.endpoint_table import EndpointTable
 from bayhinge._internal.decisions.freshness_proofs import proof_bounds
 from bayhinge._internal.decisions.quota_bucket import QuotaMargin
@@ -98,8 +102,8 @@
         }
         for follower in self.followers_by_prefix.values():
             follower.should_watch = self._is_watcher
-            follower.first_list_s = self._first_list_delay_s()
-            follower.on_change = self.gossip.say_now
+            follower.first_list_delay_s = self._first_list_delay_s()
+            follower.on_change = self.gossip.send_now
         self.proofs = ConfigurationProofs(
             platform.store,
             platform.configuration_key,
@@ -118,17 +122,19 @@
             settings,
             platform.store,
             self.peers,
-            lambda: self.gossip.fresh(wire.HostRole.DISK),
+            lambda: self.gossip.recent_heartbeats(wire.HostRole.DISK),
         )
         self.disks.initial_store_delay_s += self._first_list_delay_s()
         self.disk_link = DiskLink(self.disks, self.gossip, self.peers)
         self.turn_recorder = TurnRecorder(self.disks, self.disk_link, settings.tolerated_disks)
         self.coordinators = HallCoordinators(self.gossip, settings.region_by_hall)
-        self.exchange = LoadExchange(self.gossip.me, self.endpoint_table, self.coordinators)
+        self.exchange = LoadExchange(
+            self.gossip.own_heartbeat, self.endpoint_table, self.coordinators
+        )
         objects = self.followers_by_prefix[platform.endpoints_prefix]
         restarts.known_revision = lambda: objects.revision
         restarts.forget_loads = self.exchange.forget_endpoint
-        self.exchange.endpoints_known_to = lambda: objects.known_to
+        self.exchange.endpoints_known_to = lambda: objects.known_revision
         self.placer = CoordinatorPlacer(
             self.endpoint_table, self.coordinators, self.exchange, self.peers, settings.hall
         )
@@ -170,7 +176,7 @@
         """Opens the listeners and starts gossip, load exchange, and the background tasks."""
         await self._listener.start()
         await self.front.start()
-        self.gossip.describe = self._fill_heartbeat
+        self.gossip.fill_heartbeat = self._fill_heartbeat
         self.gossip.on_heartbeat = self._handle_heartbeat
         self.gossip.on_round = self._handle_gossip_round
         self.disks.on_change = self._disks_changed
@@ -197,7 +203,7 @@
         began_s = loop.time()
         self.is_leaving = True
         self.front.closes_connections = True
-        self.gossip.say_now()
+        self.gossip.send_now()
         eliot.log_message("host.leaving", host=self.settings.host, running=self.front.running)
         # Some callers cache addresses for up to three times their TTL.
         await asyncio.sleep(3 * self.address_keep_s)
@@ -239,7 +245,7 @@
     def _ready_hosts(self) -> list[ReadyHost]:
         ready = self.gossip.ready_entry_hosts()
         if self.is_ready:
-            ready.append(self.gossip.me)
+            ready.append(self.gossip.own_heartbeat)
         regions = self.settings.region_by_hall
         return [
             ReadyHost(
@@ -257,21 +263,21 @@
 
     def _is_watcher(self) -> bool:
         """Whether this host is one of its hall's store watchers."""
-        return self.gossip.me.host in self._watchers()
+        return self.gossip.own_heartbeat.host in self._watchers()
 
     def _watchers(self) -> list[str]:
         """Returns the hosts of this hall that watch the store, computed from heartbeats."""
-        me = self.gossip.me
+        me = self.gossip.own_heartbeat
         hosts = [
             HallHost(heartbeat.host, heartbeat.store_fails)
-            for heartbeat in self.gossip.fresh(wire.HostRole.ENTRY)
+            for heartbeat in self.gossip.recent_heartbeats(wire.HostRole.ENTRY)
             if heartbeat.hall == me.hall and heartbeat.phase == wire.HostPhase.READY
         ]
         return watchers_of(me.hall, [*hosts, HallHost(me.host, self._store_fails())])
 
     def _watch_timeout_s(self, prefix_index: int) -> float:
         """Returns the timeout, in seconds, of a watch of a prefix that starts now."""
-        me = self.gossip.me
+        me = self.gossip.own_heartbeat
         halls = sorted({me.hall, *self.settings.region_by_hall})
         watchers = self._watchers()
         turn = WatchSlot(
@@ -322,20 +328,20 @@
         for prefix, revision in heartbeat.revision_by_prefix.items():
             follower = self.followers_by_prefix.get(prefix)
             if follower is not None:
-                follower.hear(revision, heartbeat.peer_address)
+                follower.observe_revision(revision, heartbeat.peer_address)
 
     def _refresh_advertised(self) -> None:
         """Recomputes whether this host is advertised to callers of its own hall.
 
         Once per gossip round, since doing it for each heartbeat is expensive on large sites.
         """
-        me = self.gossip.me
+        me = self.gossip.own_heartbeat
         near = [host for host in self._ready_hosts() if host.hall == me.hall]
-        self._is_advertised = me.public_address in sending(near, me.hall)
+        self._is_advertised = me.public_address in hosts_to_advertise(near, me.hall)
 
     def _handle_gossip_round(self) -> None:
         self._refresh_advertised()
-        heartbeats = self.gossip.fresh(wire.HostRole.ENTRY)
+        heartbeats = self.gossip.recent_heartbeats(wire.HostRole.ENTRY)
         self.endpoint_table.apply_peer_loads(
             sum_loads(heartbeats, self.endpoint_table.incarnation_revisions)
         )
@@ -346,10 +352,10 @@
             self.exchange.refresh_endpoint_table()
 
     def _disks_changed(self, disk_set: wire.DiskSet) -> None:
-        self.gossip.me.disk_set_version = disk_set.version
+        self.gossip.own_heartbeat.disk_set_version = disk_set.version
 
     async def _sweep(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(SWEEP_S)
             self.links.sweep()
-            self._rate.note(self.requests.counts.received, SWEEP_S)
+            self._rate.observe(self.requests.counts.received, SWEEP_S)
--- a/src/bayhinge/_internal/services/gateway/hall_coordinators.py
+++ b/src/bayhinge/_internal/services/gateway/hall_coordinators.py
@@ -38,11 +38,11 @@
 
     def __init__(self, gossip: Gossip, halls: Iterable[str] = ()) -> None:
         self._gossip = gossip
-        self._halls = sorted(set(halls) - {gossip.me.hall})
+        self._halls = sorted(set(halls) - {gossip.own_heartbeat.hall})
         self._last_seen_s_by_hall: dict[str, float] = {}
         self._empty_halls: set[str] = set()
         self._coordinator_by_hall: dict[str, HallCoordinator] = {}
-        self._suspected = SuspectHosts(gossip.heard_s)
+        self._suspected = SuspectHosts(gossip.last_seen_s)
 
     def coordinator_of(self, hall: str) -> HallCoordinator | None:
         """Returns a hall's coordinator, or None if no ready host of the hall is known."""
@@ -51,7 +51,7 @@
     @property
     def coordinated_hall(self) -> str:
         """The hall that this host coordinates, or an empty string."""
-        me = self._gossip.me
+        me = self._gossip.own_heartbeat
         coordinator = self._coordinator_by_hall.get(me.hall)
         return me.hall if coordinator is not None and coordinator.host == me.host else ""
 
@@ -60,13 +60,13 @@
         return [
             coordinator
             for coordinator in self._coordinator_by_hall.values()
-            if coordinator.host != self._gossip.me.host
+            if coordinator.host != self._gossip.own_heartbeat.host
         ]
 
     def refresh(self) -> None:
         """Selects all coordinators again from the live hosts."""
-        me = self._gossip.me
-        live = self._gossip.fresh(wire.HostRole.ENTRY)
+        me = self._gossip.own_heartbeat
+        live = self._gossip.recent_heartbeats(wire.HostRole.ENTRY)
         self._log_empty_halls({heartbeat.hall for heartbeat in live})
         heartbeat_by_host = {
             heartbeat.host: heartbeat
@@ -120,7 +120,7 @@
         """Adopts the coordinator that another host reported; returns None if it is not live."""
         if self._suspected.has(host):
             return None
-        for heartbeat in self._gossip.fresh(wire.HostRole.ENTRY):
+        for heartbeat in self._gossip.recent_heartbeats(wire.HostRole.ENTRY):
             if heartbeat.host == host:
                 coordinator = self._coordinator_by_hall[hall] = HallCoordinator(
                     hall, host, heartbeat.peer_address
--- a/src/bayhinge/_internal/services/gateway/load_exchange.py
+++ b/src/bayhinge/_internal/services/gateway/load_exchange.py
@@ -39,7 +39,7 @@
         self, me: wire.Hello, endpoint_table: EndpointTable, coordinators: HallCoordinators
     ) -> None:
         super().__init__()
-        self._me = me
+        self._own_heartbeat = me
         self._endpoint_table = endpoint_table
         self._coordinators = coordinators
         self._load_table = LoadTable()
@@ -54,7 +54,7 @@
 
     async def on_start(self) -> None:
         """Opens a UDP socket on the peer address and starts reporting."""
-        host, port = split_address(self._me.peer_address)
+        host, port = split_address(self._own_heartbeat.peer_address)
         self._transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: DatagramReceiver(self._receive), local_addr=(host, port)
         )
@@ -73,8 +73,8 @@
         self._sequence += 1
         now = asyncio.get_running_loop().time()
         return wire.HostLoads(
-            self._me.host,
-            self._me.incarnation,
+            self._own_heartbeat.host,
+            self._own_heartbeat.incarnation,
             self._sequence,
             self.last_grant_by_hall.get(hall, 0),
             {
@@ -112,7 +112,7 @@
 
     def _report(self, hall: str) -> None:
         coordinator = self._coordinators.coordinator_of(hall)
-        if coordinator is not None and coordinator.host != self._me.host:
+        if coordinator is not None and coordinator.host != self._own_heartbeat.host:
             self._send(wire.LoadNews(host=self.own_loads(hall)), coordinator.address)
 
     # ---- as a coordinator ----
@@ -120,7 +120,7 @@
     def receive_loads(self, loads: wire.HostLoads) -> None:
         """Applies a host's load report, except for endpoints whose restart it has not seen."""
         stale = self._endpoint_table.incarnation_revisions.not_known_by(loads.endpoints_known_to)
-        self._load_table.hear(
+        self._load_table.record_report(
             HostLoadReport(
                 loads.host,
                 loads.incarnation,
@@ -134,7 +134,7 @@
 
     def grant(self, host: str, state: EndpointState) -> int:
         """Counts a request that a host will send; returns 0 for an endpoint of another hall."""
-        if state.entry.hall == self._me.hall:
+        if state.entry.hall == self._own_heartbeat.hall:
             return self._load_table.grant(host, state.entry.instance)
         self.record_remote_grant(state)
         return 0
@@ -156,8 +156,8 @@
         now = asyncio.get_running_loop().time()
         self._load_table.forget_silent(now)
         running = dict(self._load_table.running_by_endpoint())
-        complaints = self._load_table.failure_reports_by_endpoint()
-        fresh_halls = {self._me.hall}
+        failure_reports = self._load_table.failure_reports_by_endpoint()
+        fresh_halls = {self._own_heartbeat.hall}
         for hall, (table, received_s) in self._tables_by_hall.items():
             if received_s < now - HALL_TABLE_KEEP_S:
                 continue
@@ -166,9 +166,9 @@
                 running[instance] = count + self._remote_grants.get(instance, 0)
         for state in self._endpoint_table.all():
             instance = state.entry.instance
-            if state.entry.hall == self._me.hall:
+            if state.entry.hall == self._own_heartbeat.hall:
                 state.running_at_peers = running.get(instance, 0)
-                state.complaints = complaints.get(instance, 0)
+                state.failure_reports = failure_reports.get(instance, 0)
             elif state.entry.hall in fresh_halls:
                 # The other coordinator's total includes this host's own requests.
                 total = running.get(instance, self._remote_grants.get(instance, 0))
@@ -186,14 +186,14 @@
         self.refresh_endpoint_table()
         self._sequence += 1
         table = wire.HallLoads(
-            self._me.hall,
-            self._me.host,
-            self._me.incarnation,
+            self._own_heartbeat.hall,
+            self._own_heartbeat.host,
+            self._own_heartbeat.incarnation,
             self._sequence,
             {
                 state.entry.instance: state.running_here + state.running_at_peers
                 for state in self._endpoint_table.all()
-                if state.entry.hall == self._me.hall
+                if state.entry.hall == self._own_heartbeat.hall
             },
             self.endpoints_known_to(),
         )
--- a/src/bayhinge/_internal/services/gateway/metrics.py
+++ b/src/bayhinge/_internal/services/gateway/metrics.py
@@ -41,8 +41,8 @@
         "disk_set_version": gateway.disks.disk_set.version,
         "disks_in_set": len(gateway.disks.disk_set.members),
         "disk_calls_relayed_total": gateway.disk_link.relayed,
-        "hosts_heard": len(gateway.gossip.fresh(HostRole.ENTRY)),
-        "disks_heard": len(gateway.gossip.fresh(HostRole.DISK)),
+        "hosts_heard": len(gateway.gossip.recent_heartbeats(HostRole.ENTRY)),
+        "disks_heard": len(gateway.gossip.recent_heartbeats(HostRole.DISK)),
         "configuration_findings": 0 if table is None else len(table.findings),
         "configurations_unreadable_total": gateway.configuration.unreadable.total,
         "endpoints_known": len(gateway.endpoint_table.all()),
@@ -70,7 +70,7 @@
     for prefix, follower in gateway.followers_by_prefix.items():
         name = prefix.rstrip("/")
         gauges[f"store_revision_{name}"] = follower.revision
-        gauges[f"store_age_seconds_{name}"] = now - follower.heard_s
+        gauges[f"store_age_seconds_{name}"] = now - follower.last_answer_s
         gauges[f"store_call_seconds_{name}"] = follower.waiting_s()
         gauges[f"store_fails_{name}"] = follower.is_failing
     return gauges
--- a/src/bayhinge/_internal/services/gateway/peer_requests.py
+++ b/src/bayhinge/_internal/services/gateway/peer_requests.py
@@ -37,7 +37,7 @@
             methods.OBJECTS: self._objects,
             methods.RELAY: self._relay,
             methods.PLACE: self._place,
-            methods.PROOF: self._proof,
+            methods.FRESHNESS_PROOF: self._proof,
             methods.QUOTA: self._quota,
             methods.DISK_SET: self._disk_set,
         }
@@ -54,7 +54,7 @@
         follower = self._followers_by_prefix.get(prefix)
         if follower is None:
             raise FrameError(f"this host does not follow the prefix '{prefix}'")
-        return encode_message(follower.known())
+        return encode_message(follower.snapshot())
 
     async def _place(self, payload: bytes) -> bytes:
         return encode_message(self._placer.answer(decode_message(wire.PlaceCall(), payload)))
--- a/src/bayhinge/_internal/services/gateway/placement.py
+++ b/src/bayhinge/_internal/services/gateway/placement.py
@@ -97,7 +97,7 @@
     ) -> EndpointState | None:
         """See :class:`Placer`."""
         excluded = set(tried)
-        preferred = self._endpoint_table.find_incarnation(preference.start)
+        preferred = self._endpoint_table.find_incarnation(preference.incarnation)
         hall = self._hall if preferred is None else preferred.entry.hall
         coordinator = self._coordinators.coordinator_of(hall)
         if coordinator is not None and hall != self._coordinators.coordinated_hall:
@@ -162,17 +162,17 @@
         preference: PlacementPreference,
         excluded: set[str],
     ) -> EndpointState | None:
-        excluded_now = excluded | self._endpoint_table.resting(asyncio.get_running_loop().time())
+        excluded_now = excluded | self._endpoint_table.ejected(asyncio.get_running_loop().time())
         for _ in range(2):
             call = wire.PlaceCall(
                 self._exchange.own_loads(coordinator.hall),
                 service,
-                preference.start.endpoint,
+                preference.incarnation.endpoint,
                 preference.shared_part,
                 sorted(excluded_now),
                 preference.kept_tokens,
                 preference.shared_tokens,
-                preference.start.born_ms,
+                preference.incarnation.born_ms,
                 self._connected(coordinator, service, preference),
             )
             reply = await self._call_coordinator(coordinator, call)
--- a/src/bayhinge/_internal/services/gateway/quotas.py
+++ b/src/bayhinge/_internal/services/gateway/quotas.py
@@ -84,7 +84,7 @@
         self._gossip = gossip
         self._peers = peers
         self._margin = margin
-        self._suspected = SuspectHosts(gossip.heard_s)
+        self._suspected = SuspectHosts(gossip.last_seen_s)
         self._address_by_host: dict[str, str] = {}
         self._coordinator_by_account: dict[str, str] = {}
         self._bucket_by_account: dict[str, _AccountBucket] = {}
@@ -133,7 +133,7 @@
     ) -> float | None:
         """Returns None if a token was granted, otherwise the retry delay in seconds."""
         call = wire.QuotaCall(
-            self._gossip.me.host,
+            self._gossip.own_heartbeat.host,
             account,
             self.version(),
             quota.rate_per_s,
@@ -145,7 +145,7 @@
         redirected = ""
         for _ in range(MAX_CALLS):
             coordinator = redirected or self._coordinator_of(account)
-            if coordinator == self._gossip.me.host:
+            if coordinator == self._gossip.own_heartbeat.host:
                 return self._grant(call)
             reply = await self._call_coordinator(coordinator, call)
             redirected = ""
@@ -189,7 +189,7 @@
     def answer(self, call: wire.QuotaCall) -> wire.QuotaReply:
         """Answers another host's request for a token."""
         coordinator = self._coordinator_of(call.account, call.silent)
-        if coordinator != self._gossip.me.host:
+        if coordinator != self._gossip.own_heartbeat.host:
             return wire.QuotaReply(False, None, coordinator)
         self.counts.answered += 1
         wait_s = self._grant(call)
@@ -198,7 +198,7 @@
     def _grant(self, call: wire.QuotaCall) -> float | None:
         now = asyncio.get_running_loop().time()
         quota = Quota(call.rate_per_s, call.burst)
-        is_substitute = self._coordinator_of(call.account) != self._gossip.me.host
+        is_substitute = self._coordinator_of(call.account) != self._gossip.own_heartbeat.host
         settled_s = 0.0 if is_substitute else now - self._changed_s
         entry = self._bucket_by_account.get(call.account)
         if entry is None:
@@ -207,23 +207,23 @@
                 bucket, call.version, now, True
             )
         elif not entry.is_own:
-            entry.bucket.begin_anew(now, settled_s)
+            entry.bucket.limit_after_takeover(now, settled_s)
         if call.version > entry.version:
             entry.bucket.set_quota(quota)
             entry.version = call.version
         entry.last_used_s = now
         entry.is_own = True
         entry.bucket.fill(now, self._share, is_substitute)
-        entry.bucket.give_back(call.unused)
-        return entry.bucket.take(call.begins_program)
+        entry.bucket.refund(call.unused)
+        return entry.bucket.acquire(call.begins_program)
 
     # ---- coordinator selection ----
 
     def refresh(self) -> None:
         """Updates the hosts that may be coordinators; called in each gossip round."""
         now = asyncio.get_running_loop().time()
-        me = self._gossip.me
-        live = self._gossip.fresh(wire.HostRole.ENTRY)
+        me = self._gossip.own_heartbeat
+        live = self._gossip.recent_heartbeats(wire.HostRole.ENTRY)
         ready = {
             heartbeat.host: heartbeat.peer_address
             for heartbeat in (*live, me)
@@ -237,7 +237,7 @@
             self._coordinator_by_account = {}
             self._changed_s = now
             self._clear_ownership(has_stalled)
-        known = 1 + self._gossip.heard_within(wire.HostRole.ENTRY, SITE_MEMBER_S)
+        known = 1 + self._gossip.count_seen_within(wire.HostRole.ENTRY, SITE_MEMBER_S)
         self._share = min(1.0, (1 + len(live)) / known)
         for account, entry in list(self._bucket_by_account.items()):
             if entry.last_used_s < now - IDLE_BUCKET_KEEP_S:
@@ -246,7 +246,7 @@
     def _clear_ownership(self, has_stalled: bool) -> None:
         """Marks buckets whose tokens another host may have granted, or may grant from now on."""
         for account, entry in self._bucket_by_account.items():
-            if has_stalled or self._coordinator_of(account) != self._gossip.me.host:
+            if has_stalled or self._coordinator_of(account) != self._gossip.own_heartbeat.host:
                 entry.is_own = False
 
     def _coordinator_of(self, account: str, silent: Collection[str] = ()) -> str:
@@ -258,7 +258,7 @@
                 for host in self._address_by_host
                 if host not in silent and not self._suspected.has(host)
             ]
-            coordinator = choose(f"quota of {account}", hosts) or self._gossip.me.host
+            coordinator = choose(f"quota of {account}", hosts) or self._gossip.own_heartbeat.host
             if not silent:
                 self._coordinator_by_account[account] = coordinator
         return coordinator
--- a/src/bayhinge/_internal/services/gateway/request_sender.py
+++ b/src/bayhinge/_internal/services/gateway/request_sender.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.decisions.answer_timeouts import (
     MAX_SILENCE_PERIODS,
     AnswerTimeouts,
-    bounds_of,
+    answer_timeouts_for,
     smoothed_answer_s,
 )
 from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
@@ -175,7 +175,9 @@
         state = None
         if send_state.rejected < MAX_REJECTED_SENDS:
             tried = self._tried_endpoints(send_state)
-            preference = attrs.evolve(send_state.preference, connected=self._links.connected())
+            preference = attrs.evolve(
+                send_state.preference, connected=self._links.connected_endpoints()
+            )
             state = await self._placer.place(send_state.service, preference, tried)
         if state is None:
             code = RefusalCode.OUTCOME_UNKNOWN if send_state.ran else RefusalCode.NO_ENDPOINT
@@ -191,7 +193,7 @@
         return [
             run.endpoint
             for run in send_state.tried
-            if self._endpoint_table.find_incarnation(run.state.entry.start) is not None
+            if self._endpoint_table.find_incarnation(run.state.entry.incarnation) is not None
         ]
 
     async def _send_to(self, run: ActiveRun, send_state: _SendState) -> None:
@@ -222,7 +224,7 @@
         request, route = send_state.request, send_state.route
         loop = asyncio.get_running_loop()
         may_repeat = route.may_repeat and send_state.ran + 1 < route.max_endpoints
-        bounds = bounds_of(
+        bounds = answer_timeouts_for(
             route,
             may_repeat and send_state.delivery.may_continue,
             self._usual_answer_s_by_service.get(send_state.service, 0.0),
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -96,9 +96,9 @@
             table = await self._require_table(request, exchange)
             await self._serve(exchange, table, request)
         except RefusedError as error:
-            if exchange.has_begun:
+            if exchange.headers_sent:
                 # Abort the connection, so that the caller does not take the answer for complete.
-                exchange.break_off()
+                exchange.abort()
                 self._record_end(request, "broken_off", "", exchange, error.refusal.why)
                 return
             await self._refuse(exchange, request, error.refusal)
--- a/src/bayhinge/_internal/services/gateway/store_listeners.py
+++ b/src/bayhinge/_internal/services/gateway/store_listeners.py
@@ -176,7 +176,7 @@
 
         Unlike an endpoint with a missing entry, it is not even used as a last resort.
         """
-        if self._endpoint_table.withdraw(instance):
+        if self._endpoint_table.mark_leaving(instance):
             self._links.drop_idle(instance)
             eliot.log_message("endpoint.withdrawn", endpoint=instance)
 
@@ -202,7 +202,7 @@
         if previous is not None and self._endpoint_table.remove(instance):
             self._links.forget(instance)
             asyncio.get_running_loop().call_later(
-                REMOVED_ENTRY_KEEP_S, self._endpoint_table.forget_removed, previous.start
+                REMOVED_ENTRY_KEEP_S, self._endpoint_table.forget_removed, previous.incarnation
             )
             eliot.log_message("endpoint.gone", endpoint=instance, why=why)
 
--- a/src/bayhinge/_internal/services/gateway/stream_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/stream_delivery.py
@@ -17,7 +17,7 @@
 )
 from bayhinge._internal.network.event_stream import EventReader, StreamEvent
 from bayhinge._internal.network.routed_front import Exchange
-from bayhinge._internal.network.stream_splice import Spliced, StreamSplice
+from bayhinge._internal.network.stream_splice import SplicedEvents, StreamSplice
 from bayhinge._internal.services.gateway.delivery import Delivery, is_success
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.platform_interface import CallFormat
@@ -79,7 +79,7 @@
     async def _deliver_failure(self, answer: Answer, may_repeat: bool) -> None:
         body = await answer.read_body()
         is_retryable = may_repeat and answer.status >= status_codes.HTTP_SERVER_ERROR
-        if is_retryable or self._exchange.has_begun:
+        if is_retryable or self._exchange.headers_sent:
             raise IncompleteAnswerError(f"status {answer.status}")
         self.outcome = f"status_{answer.status}"
         await self._exchange.respond(
@@ -119,12 +119,12 @@
         except IncompleteAnswerError as error:
             error.cut_bytes = run.cut_bytes
             raise
-        if not self._exchange.has_begun:
+        if not self._exchange.headers_sent:
             await self._begin(answer)
 
-    async def _deliver_piece(self, answer: Answer, spliced: Spliced) -> None:
+    async def _deliver_piece(self, answer: Answer, spliced: SplicedEvents) -> None:
         if spliced.text:
-            if not self._exchange.has_begun:
+            if not self._exchange.headers_sent:
                 await self._begin(answer)
             self._count(spliced.events)
             await self._exchange.write(spliced.text)
--- a/src/bayhinge/_internal/services/gateway/turn_reservations.py
+++ b/src/bayhinge/_internal/services/gateway/turn_reservations.py
@@ -149,8 +149,8 @@
         waiting = set(tasks)
         replies: list[wire.ReserveReply] = []
         has_enough = False
-        while waiting and bound.left_s > 0:
-            finished, waiting = await bound.first_of(waiting)
+        while waiting and bound.remaining_s > 0:
+            finished, waiting = await bound.wait_for_first(waiting)
             replies += [reply for task in finished if (reply := task.result()) is not None]
             if self._directory.disk_set.version != version and len(replies) < needed:
                 break
@@ -158,7 +158,7 @@
                 if context.previous is None or tasks[0].done():
                     break
                 if not has_enough:
-                    bound = StallTolerantDeadline(min(bound.left_s, HISTORY_HEDGE_S))
+                    bound = StallTolerantDeadline(min(bound.remaining_s, HISTORY_HEDGE_S))
                 has_enough = True
         return replies
 
--- a/src/bayhinge/_internal/services/gateway/unreadable_objects.py
+++ b/src/bayhinge/_internal/services/gateway/unreadable_objects.py
@@ -39,13 +39,13 @@
             return
         if error.key in self._findings_by_key or len(self._findings_by_key) < MAX_TRACKED_KEYS:
             self._findings_by_key[error.key] = error.findings
-        if self._budget.takes(asyncio.get_running_loop().time()):
+        if self._budget.try_acquire(asyncio.get_running_loop().time()):
             eliot.log_message(
                 self._event,
                 key=error.key[:MAX_LOGGED_KEY_LENGTH],
                 findings=list(error.findings[:MAX_LOGGED_FINDINGS]),
                 further_findings=max(0, len(error.findings) - MAX_LOGGED_FINDINGS),
-                untold=self._budget.thinned,
+                untold=self._budget.suppressed,
             )
 
     def resolve(self, key: str) -> None:
--- a/src/bayhinge/_internal/services/gossip.py
+++ b/src/bayhinge/_internal/services/gossip.py
@@ -14,7 +14,7 @@
 import eliot
 from mode import Service
 
-from bayhinge._internal.decisions.last_seen import LastSeen, listed_s, start_of
+from bayhinge._internal.decisions.last_seen import LastSeen, advertised_s, short_incarnation
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.addresses import split_address
@@ -87,7 +87,7 @@
     def __init__(self, settings: SiteSettings, role: HostRole) -> None:
         super().__init__()
         self._settings = settings
-        self.me = Hello(
+        self.own_heartbeat = Hello(
             settings.host,
             random.SystemRandom().getrandbits(62),
             0,
@@ -105,15 +105,15 @@
         )
         self._observed_by_host: dict[str, ObservedHost] = {}
         self._last_seen_by_address: dict[str, float] = {}
-        self._sent_beat_by_address: dict[str, int] = {}
+        self._last_sent_beat_by_address: dict[str, int] = {}
         self._invalid_address_lines = LineBudget(INVALID_ADDRESS_LINES_PER_S)
         self._near_silence_limit_s = self._far_silence_limit_s = MIN_SILENCE_S
-        self._sightings = LastSeen()
+        self._last_seen = LastSeen()
         self._stalled_until_s = 0.0
         self._transport: asyncio.DatagramTransport | None = None
         self.on_heartbeat: Callable[[Hello], None] = lambda heartbeat: None
         self.on_round: Callable[[], None] = lambda: None
-        self.describe: Callable[[Hello], None] = lambda heartbeat: None
+        self.fill_heartbeat: Callable[[Hello], None] = lambda heartbeat: None
 
     async def on_start(self) -> None:
         """Opens the socket and starts the rounds of heartbeats."""
@@ -141,12 +141,12 @@
         ]
         # An invalid address would make every round fail and would spread to other hosts.
         valid = [address for address in new if is_ipv4_with_port(address)]
-        if len(valid) < len(new) and self._invalid_address_lines.takes(now):
+        if len(valid) < len(new) and self._invalid_address_lines.try_acquire(now):
             invalid_count = len(new) - len(valid)
             eliot.log_message(
                 "hosts.odd_addresses",
                 count=invalid_count,
-                untold=self._invalid_address_lines.thinned,
+                untold=self._invalid_address_lines.suppressed,
             )
         for address in valid:
             self._last_seen_by_address[address] = now
@@ -154,7 +154,7 @@
             # At once, so that a host that has just started knows the others before it serves.
             self._send_to(valid)
 
-    def fresh(self, role: HostRole) -> list[Hello]:
+    def recent_heartbeats(self, role: HostRole) -> list[Hello]:
         """Returns the newest heartbeats of hosts that are not silent."""
         now = asyncio.get_running_loop().time()
         own_hall = self._settings.hall
@@ -175,7 +175,7 @@
 
         Hosts of the own hall count if any host of the hall received their heartbeats.
         """
-        since_s = asyncio.get_running_loop().time() - listed_s(self._period_s())
+        since_s = asyncio.get_running_loop().time() - advertised_s(self._period_s())
         newest = [
             self._newest(observed)
             for observed in self._observed_by_host.values()
@@ -189,22 +189,22 @@
 
     def _newest(self, observed: ObservedHost) -> ObservedHost:
         """Returns a host's state, updated by later heartbeats that other hosts received."""
-        seen_s = self._sightings.seen_s(start_of(observed.heartbeat.incarnation))
+        last_seen_s = self._last_seen.last_seen_s(short_incarnation(observed.heartbeat.incarnation))
         # LEAVING is final for an incarnation, whatever others received before.
-        if seen_s <= observed.received_s or observed.heartbeat.phase == HostPhase.LEAVING:
+        if last_seen_s <= observed.received_s or observed.heartbeat.phase == HostPhase.LEAVING:
             return observed
         if observed.heartbeat.phase == HostPhase.READY and not observed.heartbeat.is_cut_off:
-            return ObservedHost(observed.heartbeat, seen_s)
+            return ObservedHost(observed.heartbeat, last_seen_s)
         heartbeat = copy.copy(observed.heartbeat)
         heartbeat.phase, heartbeat.is_cut_off = HostPhase.READY, False
-        return ObservedHost(heartbeat, seen_s)
+        return ObservedHost(heartbeat, last_seen_s)
 
-    def heard_s(self, host: str) -> float:
+    def last_seen_s(self, host: str) -> float:
         """Returns when a host was last seen, on the loop's clock; 0 if never."""
         observed = self._observed_by_host.get(host)
         return 0.0 if observed is None else observed.received_s
 
-    def heard_within(self, role: HostRole, time_s: float) -> int:
+    def count_seen_within(self, role: HostRole, time_s: float) -> int:
         """Returns how many hosts, leaving ones included, were seen within ``time_s`` seconds."""
         since_s = asyncio.get_running_loop().time() - time_s
         return sum(
@@ -228,7 +228,7 @@
         observed = {host.heartbeat.gossip_address for host in self._observed_by_host.values()}
         return observed & self._last_seen_by_address.keys()
 
-    def say_now(self) -> None:
+    def send_now(self) -> None:
         """Sends a heartbeat out of turn to the whole hall and some other hosts."""
         near, far = self._split_by_hall()
         self._send_to(near + self._least_recently_sent(far, ALL_TARGETS))
@@ -254,7 +254,7 @@
 
     def _check_stall(self, late_s: float) -> None:
         if late_s > STALL_S:
-            self._sightings = LastSeen()
+            self._last_seen = LastSeen()
             self._stalled_until_s = asyncio.get_running_loop().time() + AFTER_STALL_S
 
     def _send_round(self) -> None:
@@ -262,7 +262,7 @@
         near, far = self._split_by_hall()
         self._update_silence_limits(len(near), len(far))
         near_count = min(len(near), max(NEAR_TARGETS, ALL_TARGETS - len(far)))
-        ages = self._sightings.ages(asyncio.get_running_loop().time())
+        ages = self._last_seen.ages(asyncio.get_running_loop().time())
         self._send_to(self._least_recently_sent(near, near_count), ages)
         self._send_to(
             self._least_recently_sent(far, ALL_TARGETS - near_count)
@@ -291,11 +291,11 @@
 
     def _least_recently_sent(self, addresses: list[str], count: int) -> list[str]:
         """Returns the addresses to which heartbeats were sent longest ago."""
-        chosen = sorted(addresses, key=lambda address: self._sent_beat_by_address.get(address, 0))[
-            :count
-        ]
+        chosen = sorted(
+            addresses, key=lambda address: self._last_sent_beat_by_address.get(address, 0)
+        )[:count]
         for address in chosen:
-            self._sent_beat_by_address[address] = self.me.beat
+            self._last_sent_beat_by_address[address] = self.own_heartbeat.beat
         return chosen
 
     def _send_to(
@@ -303,13 +303,15 @@
     ) -> None:
         if not addresses or self._transport is None or self._transport.is_closing():
             return
-        self.me.beat += 1
-        self.describe(self.me)
+        self.own_heartbeat.beat += 1
+        self.fill_heartbeat(self.own_heartbeat)
         known = list(self._last_seen_by_address)
-        self.me.known_addresses = random.sample(known, min(MAX_KNOWN_ADDRESSES, len(known)))
+        self.own_heartbeat.known_addresses = random.sample(
+            known, min(MAX_KNOWN_ADDRESSES, len(known))
+        )
         # Ages are only used within the hall, and traffic between halls is paid for.
-        self.me.age_by_start = age_by_start
-        data = encode_message(self.me)
+        self.own_heartbeat.age_by_start = age_by_start
+        data = encode_message(self.own_heartbeat)
         for address in addresses:
             self._transport.sendto(data, split_address(address))
 
@@ -318,7 +320,7 @@
         for address, seen_at_s in list(self._last_seen_by_address.items()):
             if seen_at_s < oldest:
                 del self._last_seen_by_address[address]
-                self._sent_beat_by_address.pop(address, None)
+                self._last_sent_beat_by_address.pop(address, None)
 
     def _receive(self, data: bytes) -> None:
         try:
@@ -341,22 +343,22 @@
             return
         self._observed_by_host[heartbeat.host] = ObservedHost(heartbeat, now)
         self._last_seen_by_address[heartbeat.gossip_address] = now
-        self._record_sightings(heartbeat, now)
+        self._record_last_seen(heartbeat, now)
         self.add_addresses(heartbeat.known_addresses)
         if not is_same_incarnation:
             self._send_to([heartbeat.gossip_address])
         self.on_heartbeat(heartbeat)
 
-    def _record_sightings(self, heartbeat: Hello, now_s: float) -> None:
+    def _record_last_seen(self, heartbeat: Hello, now_s: float) -> None:
         """Records which entry hosts of this hall the sender saw, and whether it is ready itself."""
         if heartbeat.hall != self._settings.hall or now_s < self._stalled_until_s:
             return
         if heartbeat.age_by_start is not None:
-            self._sightings.hear(heartbeat.age_by_start, now_s)
+            self._last_seen.merge_ages(heartbeat.age_by_start, now_s)
         if heartbeat.role != HostRole.ENTRY:
             return
-        start = start_of(heartbeat.incarnation)
+        start = short_incarnation(heartbeat.incarnation)
         if heartbeat.phase == HostPhase.READY and not heartbeat.is_cut_off:
-            self._sightings.see(start, now_s)
+            self._last_seen.mark_seen(start, now_s)
         else:
-            self._sightings.leave(start)
+            self._last_seen.forget(start)
--- a/src/bayhinge/_internal/services/grants.py
+++ b/src/bayhinge/_internal/services/grants.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from bayhinge._internal.decisions.offers import Done, Offer
+from bayhinge._internal.decisions.offers import CallCompletion, Offer
 
 
 @attrs.frozen
@@ -31,7 +31,7 @@
         """
 
     @abstractmethod
-    def done(self, granted: GrantedEndpoint, done: Done) -> None:
+    def done(self, granted: GrantedEndpoint, done: CallCompletion) -> None:
         """Releases a grant."""
 
     @abstractmethod
--- a/src/bayhinge/_internal/services/host.py
+++ b/src/bayhinge/_internal/services/host.py
@@ -15,8 +15,8 @@
 from bayhinge._internal.services.cache_sweep import CacheSweep
 from bayhinge._internal.services.front_service import FrontService
 from bayhinge._internal.services.host_parts import (
+    ExternalDependencies,
     HostParts,
-    Outside,
     build_host_parts,
     external_from_settings,
 )
@@ -41,7 +41,7 @@
 class Host(Service):
     """One incarnation of a host's daemon."""
 
-    def __init__(self, settings: Settings, external: Outside | None = None) -> None:
+    def __init__(self, settings: Settings, external: ExternalDependencies | None = None) -> None:
         """Builds the host.
 
         Args:
@@ -71,8 +71,8 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._has_crashed = False
         self.parts.membership.on_death = self._take_over
-        self.parts.membership.on_gone = self._take_over
-        self.parts.membership.on_removed = self._check_own_seal
+        self.parts.membership.on_departed = self._take_over
+        self.parts.membership.on_self_removed = self._check_own_seal
         self.parts.journal.on_fenced = self._on_fenced
         self.fenced = asyncio.Event()
 
@@ -244,7 +244,7 @@
         except (PeerUnreachableError, PeerFailureError):
             return
         reply = decode_message(wire.NewsReply(), answer)
-        feed.hear(reply.revision)
+        feed.observe_revision(reply.revision)
         feed.apply_from_peer(reply.first_revision, reply.changes)
 
     def _take_over(self, dead: HostInfo) -> None:
--- a/src/bayhinge/_internal/services/host_parts.py
+++ b/src/bayhinge/_internal/services/host_parts.py
@@ -44,7 +44,7 @@
 
 
 @attrs.define
-class Outside:
+class ExternalDependencies:
     """The store, network, clients and clock of a host; tests replace them."""
 
     store: ObjectStore
@@ -56,13 +56,13 @@
     serves_http: bool = True
 
 
-def external_from_settings(settings: Settings, clock: Clock) -> Outside:
+def external_from_settings(settings: Settings, clock: Clock) -> ExternalDependencies:
     """Builds the clients that the settings name."""
     limits = settings.limits
     times = EndpointTimeouts(
         limits.connect_seconds, limits.first_byte_seconds, limits.between_bytes_seconds
     )
-    return Outside(
+    return ExternalDependencies(
         HttpObjectStore(settings.store.url, settings.store.timeout_seconds),
         HttpEndpointList(settings.endpoints.list_url, settings.store.timeout_seconds),
         HttpEndpointClient(times),
@@ -78,7 +78,7 @@
     """Every part of one host."""
 
     settings: Settings
-    external: Outside
+    external: ExternalDependencies
     hybrid_clock: HybridClock
     timeline: Timeline
     latencies: Latencies
@@ -98,7 +98,7 @@
     router: CallRouter
 
 
-def build_host_parts(settings: Settings, external: Outside) -> HostParts:
+def build_host_parts(settings: Settings, external: ExternalDependencies) -> HostParts:
     """Builds the parts of a host for one incarnation of its daemon."""
     store = external.store
     prefix = settings.store.prefix
@@ -173,7 +173,9 @@
     )
 
 
-def _build_membership(settings: Settings, external: Outside, incarnation: str) -> Membership:
+def _build_membership(
+    settings: Settings, external: ExternalDependencies, incarnation: str
+) -> Membership:
     me = HostInfo(
         incarnation=incarnation,
         host=settings.host.name,
--- a/src/bayhinge/_internal/services/peer_service.py
+++ b/src/bayhinge/_internal/services/peer_service.py
@@ -115,7 +115,7 @@
     async def _exchange_revisions(self, payload: bytes) -> bytes:
         news = decode_message(wire.News(), payload)
         feed = self._parts.feed
-        feed.hear(news.revision)
+        feed.observe_revision(news.revision)
         changes = feed.changes_after(news.revision, MAX_CHANGES_PER_REPLY)
         reply = wire.NewsReply(
             self._parts.journal.incarnation, feed.revision, news.revision + 1, changes
--- a/src/bayhinge/_internal/services/prefix_follower.py
+++ b/src/bayhinge/_internal/services/prefix_follower.py
@@ -127,13 +127,13 @@
         self.complete_to = 0
         self.value_by_key: dict[str, bytes] = {}
         self.health = StoreHealth()
-        self.first_list_s = 0.0
+        self.first_list_delay_s = 0.0
         self._has_state = asyncio.Event()
-        self.heard_s = 0.0
+        self.last_answer_s = 0.0
         self.should_watch: Callable[[], bool] = lambda: True
         self.on_change: Callable[[], None] = lambda: None
-        store.contact.on_recovery.append(self._renew)
-        store.contact.on_watch_answer.append(self._renew_if_outdated)
+        store.availability.on_recovery.append(self._renew)
+        store.availability.on_watch_answer.append(self._renew_if_outdated)
 
     async def run(self) -> None:
         """Follows the prefix until it is stopped or cancelled."""
@@ -162,17 +162,17 @@
                     self._poll.cancel()
 
     async def _wait_for_peers(self) -> None:
-        """Waits for ``first_list_s`` seconds, or until a peer has sent the objects."""
+        """Waits for ``first_list_delay_s`` seconds, or until a peer has sent the objects."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(self.first_list_s):
+            async with asyncio.timeout(self.first_list_delay_s):
                 await self._has_state.wait()
 
     async def _pause_before_next_try(self) -> None:
-        contact = self._store.contact
-        if contact.may_probe(self):
+        availability = self._store.availability
+        if availability.may_probe(self):
             await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.5))
         else:
-            await contact.wait_for_recovery(MAX_RETURN_WAIT_S)
+            await availability.wait_for_recovery(MAX_RETURN_WAIT_S)
 
     def stop(self) -> None:
         """Cancels the pending call; failures after this are not recorded."""
@@ -186,23 +186,23 @@
         return self.health.failing_since_s is not None
 
     @property
-    def known_to(self) -> int:
+    def known_revision(self) -> int:
         """The store's revision up to which this host knows the objects."""
         return max(self.revision, self.complete_to)
 
-    def known(self) -> KnownObjects:
+    def snapshot(self) -> KnownObjects:
         """Returns the objects and their revision, for a peer."""
         return KnownObjects(
             self.revision, self.value_by_key, self.complete_to, self._is_after_outage()
         )
 
-    def hear(self, revision: int, peer_address: str) -> None:
+    def observe_revision(self, revision: int, peer_address: str) -> None:
         """Observes a revision that a peer has seen; fetches from it if the watch is behind."""
         if self._is_behind(revision) and not self._is_fetching:
             self._is_fetching = True
             self._fetching = asyncio.ensure_future(self._fetch(revision, peer_address))
 
-    def take(self, stored: StoredObject) -> None:
+    def apply_object(self, stored: StoredObject) -> None:
         """Applies an object that was read by itself, if it is newer than the known state.
 
         Earlier changes of other objects still come from the watch.
@@ -233,15 +233,15 @@
         self._poll_pause_s = 0.0
         poll.cancel()
 
-    def _renew_if_outdated(self, has_news: bool) -> None:
+    def _renew_if_outdated(self, has_changes: bool) -> None:
         """Renews the pending call if the store has advanced since it was sent."""
-        least_s = RENEW_AFTER_S if has_news else 0.0
-        is_behind = self._call_known_revision < self._store.contact.revision
+        least_s = RENEW_AFTER_S if has_changes else 0.0
+        is_behind = self._call_known_revision < self._store.availability.revision
         if is_behind and self.waiting_s() >= least_s:
             self._renew()
 
     def _is_after_outage(self) -> bool:
-        recovered_s = max(self._reported_return_s, self._store.contact.recovered_s)
+        recovered_s = max(self._reported_return_s, self._store.availability.recovered_s)
         return asyncio.get_running_loop().time() - recovered_s <= AFTER_OUTAGE_S
 
     def _check_duty(self) -> bool:
@@ -253,7 +253,7 @@
         return has_duty
 
     def _is_behind(self, revision: int) -> bool:
-        return revision > self.known_to
+        return revision > self.known_revision
 
     async def _list(self) -> None:
         self._call_started_s = asyncio.get_running_loop().time()
@@ -276,12 +276,12 @@
         if not is_probe:
             await asyncio.sleep(self._poll_pause_s)
         self._call_started_s = asyncio.get_running_loop().time()
-        self._call_known_revision = self._store.contact.revision
+        self._call_known_revision = self._store.availability.revision
         wait_s = 0.0 if is_probe else self._watch_timeout_s()
         page = await self._store.poll(self.prefix, self._cursor, wait_s)
         self._record_success()
-        self._store.contact.record_watch_answer(page.revision, has_news=bool(page.changes))
-        self.heard_s = asyncio.get_running_loop().time()
+        self._store.availability.record_watch_answer(page.revision, has_changes=bool(page.changes))
+        self.last_answer_s = asyncio.get_running_loop().time()
         doubled_s = min(MAX_PAUSE_S, max(MIN_PAUSE_S, 2 * self._poll_pause_s))
         self._poll_pause_s = doubled_s if page.changes else 0.0
         self._cursor = max(self._cursor, page.revision)
@@ -304,12 +304,12 @@
         self.revision = max(self.revision, state.revision)
         self.complete_to = max(self.complete_to, state.complete_to)
         self.value_by_key = dict(state.value_by_key)
-        self.heard_s = asyncio.get_running_loop().time()
+        self.last_answer_s = asyncio.get_running_loop().time()
         self._has_state.set()
         if state.is_after_outage:
             # Passed on to peers that fetch from here, but for half the time, so that it dies out.
             self._reported_return_s = max(
-                self._reported_return_s, self.heard_s - AFTER_OUTAGE_S / 2
+                self._reported_return_s, self.last_answer_s - AFTER_OUTAGE_S / 2
             )
         self._listener.replace_all(self.value_by_key, bool(state.is_after_outage))
 
--- a/src/bayhinge/_internal/services/queue_dispatcher.py
+++ b/src/bayhinge/_internal/services/queue_dispatcher.py
@@ -15,7 +15,7 @@
 from bayhinge._internal.decisions.endpoint_view import EndpointView
 from bayhinge._internal.decisions.offers import (
     Action,
-    Done,
+    CallCompletion,
     Grant,
     Offer,
     Outcome,
@@ -95,12 +95,12 @@
             return await future
         except asyncio.CancelledError:
             # The owner disconnected or cancelled the request: release a slot already granted.
-            self._execute(scheduler.done(Done(offer.grant, Outcome.CANCELLED), _now()))
+            self._execute(scheduler.done(CallCompletion(offer.grant, Outcome.CANCELLED), _now()))
             raise
         finally:
             self._futures_by_grant.pop(offer.grant, None)
 
-    def done(self, cell: str, done: Done) -> None:
+    def done(self, cell: str, done: CallCompletion) -> None:
         """Releases a grant."""
         scheduler = self._schedulers_by_cell.get(cell)
         if scheduler is not None:
--- a/src/bayhinge/_internal/services/remote_grants.py
+++ b/src/bayhinge/_internal/services/remote_grants.py
@@ -11,7 +11,7 @@
     wait_random_exponential,
 )
 
-from bayhinge._internal.decisions.offers import Done, Offer, Outcome
+from bayhinge._internal.decisions.offers import CallCompletion, Offer, Outcome
 from bayhinge._internal.exceptions import PeerFailureError, PeerUnreachableError
 from bayhinge._internal.models.refusals import (
     RefusalCode,
@@ -68,7 +68,7 @@
         why = "no queue dispatcher of the call's cell answered"
         raise RefusedError(refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=1.0))
 
-    def done(self, granted: GrantedEndpoint, done: Done) -> None:
+    def done(self, granted: GrantedEndpoint, done: CallCompletion) -> None:
         """See :class:`GrantSource`."""
         if granted.dispatcher_address == self._membership.me.peer_address:
             self._dispatcher.done(granted.cell, done)
@@ -176,9 +176,9 @@
     )
 
 
-def done_from_wire(message: wire.GrantDone) -> Done:
+def done_from_wire(message: wire.GrantDone) -> CallCompletion:
     """Returns the end of a grant from its wire form."""
-    return Done(
+    return CallCompletion(
         message.grant,
         Outcome(message.outcome),
         message.prompt_tokens,
--- a/src/bayhinge/_internal/utils/checked_fields.py
+++ b/src/bayhinge/_internal/utils/checked_fields.py
@@ -20,7 +20,7 @@
 MAX_TEXT_CHARS = 4096
 """Longest text of one field, in characters."""
 
-SHOWN = 80
+MAX_SHOWN_CHARS = 80
 """Characters of an invalid value that a finding shows."""
 
 MAX_PORT = 65_535
@@ -112,5 +112,5 @@
         # The further arguments of attrs' errors are the attribute and the value.
         why = str(error.args[0] if error.args else error)
         raise InvalidTableError(
-            why if len(why) <= SHOWN * 2 else f"{why[: SHOWN * 2]}..."
+            why if len(why) <= MAX_SHOWN_CHARS * 2 else f"{why[: MAX_SHOWN_CHARS * 2]}..."
         ) from error
--- a/src/bayhinge/_internal/utils/log_output.py
+++ b/src/bayhinge/_internal/utils/log_output.py
@@ -34,15 +34,15 @@
         self._per_second = per_second
         self._second = 0
         self._left = per_second
-        self.thinned = 0
+        self.suppressed = 0
 
-    def takes(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Counts a line and returns whether it may be written."""
         if int(now_s) != self._second:
             self._second = int(now_s)
             self._left = self._per_second
         if self._left <= 0:
-            self.thinned += 1
+            self.suppressed += 1
             return False
         self._left -= 1
         return True
@@ -89,10 +89,10 @@
     def _admits_ordinary(self) -> bool:
         # Half of the buffer is reserved for other lines.
         has_room = self._buffered_bytes < BUFFER_BYTES // 2
-        if has_room and self.ordinary.takes(time.monotonic()):
+        if has_room and self.ordinary.try_acquire(time.monotonic()):
             return True
         if not has_room:
-            self.ordinary.thinned += 1
+            self.ordinary.suppressed += 1
         return False
 
     def flush(self) -> None:
--- a/src/bayhinge/_internal/utils/stall_tolerant_timeouts.py
+++ b/src/bayhinge/_internal/utils/stall_tolerant_timeouts.py
@@ -62,26 +62,26 @@
     """A time limit over several successive waits; see :func:`stall_tolerant_timeout`.
 
     Attributes:
-        left_s: the remaining time in seconds, not counting stalls of the loop.
+        remaining_s: the remaining time in seconds, not counting stalls of the loop.
     """
 
     def __init__(self, limit_s: float) -> None:
-        self.left_s = limit_s
+        self.remaining_s = limit_s
         self._slice_s = limit_s / SLICES
 
-    async def first_of(
+    async def wait_for_first(
         self, waiting: Iterable[asyncio.Task[Result]]
     ) -> tuple[set[asyncio.Task[Result]], set[asyncio.Task[Result]]]:
         """Waits until a task finishes or the time is up; returns the done and the pending tasks."""
         loop = asyncio.get_running_loop()
         done: set[asyncio.Task[Result]] = set()
         pending = set(waiting)
-        while self.left_s > 0 and not done:
+        while self.remaining_s > 0 and not done:
             began_s = loop.time()
             done, pending = await asyncio.wait(
                 pending,
-                timeout=min(self._slice_s, self.left_s),
+                timeout=min(self._slice_s, self.remaining_s),
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            self.left_s -= min(loop.time() - began_s, self._slice_s)
+            self.remaining_s -= min(loop.time() - began_s, self._slice_s)
         return done, pending
--- a/src/bayhinge/coordination/config_feed.py
+++ b/src/bayhinge/coordination/config_feed.py
@@ -125,7 +125,7 @@
         upto = min(self._revision, revision + limit)
         return [self._changes_by_revision[rev] for rev in range(revision + 1, upto + 1)]
 
-    def hear(self, revision: int) -> None:
+    def observe_revision(self, revision: int) -> None:
         """Records that a peer has applied ``revision``; triggers a read if it is newer."""
         if revision > self.observed_revision:
             self._observed_revision = revision
--- a/src/bayhinge/coordination/membership.py
+++ b/src/bayhinge/coordination/membership.py
@@ -85,8 +85,8 @@
     Attributes:
         corrupt_by_key: heartbeat objects that can't be read.
         on_death: called with a host that was declared dead.
-        on_gone: called with a host whose heartbeat object was removed.
-        on_removed: called when this host's heartbeat object was removed by another host.
+        on_departed: called with a host whose heartbeat object was removed.
+        on_self_removed: called when this host's heartbeat object was removed by another host.
         on_change: called when the set of live hosts has changed.
     """
 
@@ -105,8 +105,8 @@
         self._last_listed_at: float | None = None
         self.corrupt_by_key: dict[str, CorruptObjectError] = {}
         self.on_death: Callable[[HostInfo], None] = lambda info: None
-        self.on_gone: Callable[[HostInfo], None] = lambda info: None
-        self.on_removed: Callable[[], None] = lambda: None
+        self.on_departed: Callable[[HostInfo], None] = lambda info: None
+        self.on_self_removed: Callable[[], None] = lambda: None
         self.on_change: Callable[[], None] = lambda: None
 
     @property
@@ -202,7 +202,7 @@
             stored = await self._store.get(key)
             if stored is None:
                 # Another host declared this one dead and took over its programs.
-                self.on_removed()
+                self.on_self_removed()
             self._version = None if stored is None else stored.version
 
     def _apply_listing(self, objects: tuple[StoredObject, ...]) -> None:
@@ -241,7 +241,7 @@
         removed = self._observed_by_incarnation.keys() - found.keys()
         for incarnation in sorted(removed):
             # The host stopped as planned, or another host has already taken over.
-            self.on_gone(self._observed_by_incarnation.pop(incarnation).info)
+            self.on_departed(self._observed_by_incarnation.pop(incarnation).info)
         for incarnation, (info, version) in found.items():
             if incarnation == self._me.incarnation:
                 continue
--- a/src/bayhinge/coordination/store.py
+++ b/src/bayhinge/coordination/store.py
@@ -115,7 +115,7 @@
 
     @property
     @abstractmethod
-    def contact(self) -> StoreAvailability:
+    def availability(self) -> StoreAvailability:
         """Whether the store answers this client's calls."""
 
     @abstractmethod
--- a/src/bayhinge/coordination/store_availability.py
+++ b/src/bayhinge/coordination/store_availability.py
@@ -35,9 +35,9 @@
     _prober: object = None
     _has_recovered: asyncio.Event = attrs.field(factory=asyncio.Event)
 
-    def record_failure(self, is_silent: bool) -> None:
-        """Records a failed call; ``is_silent``: it timed out without an answer."""
-        self._has_timed_out = self._has_timed_out or is_silent
+    def record_failure(self, timed_out: bool) -> None:
+        """Records a failed call; ``timed_out``: it timed out without an answer."""
+        self._has_timed_out = self._has_timed_out or timed_out
         if self._failing_since_s is None:
             self._failing_since_s = asyncio.get_running_loop().time()
 
@@ -76,7 +76,7 @@
         for listener in self.on_recovery:
             listener()
 
-    def record_watch_answer(self, revision: int, has_news: bool) -> None:
+    def record_watch_answer(self, revision: int, has_changes: bool) -> None:
         """Records a watch's answer; ``revision`` is store-wide, over all prefixes.
 
         Other watches sent before this revision was known may hang, since they may predate an
@@ -84,4 +84,4 @@
         """
         self.revision = max(self.revision, revision)
         for listener in self.on_watch_answer:
-            listener(has_news)
+            listener(has_changes)
--- a/tests/functional/test_endpoint_restarts.py
+++ b/tests/functional/test_endpoint_restarts.py
@@ -117,7 +117,7 @@
         announce(site, engine)
         assert_may_have_run(await ended(waiting))
         book = site.entry_by_name["entry-0"]._gateway.endpoint_table
-        assert not book.resting(asyncio.get_running_loop().time()), "that was the former start"
+        assert not book.ejected(asyncio.get_running_loop().time()), "that was the former start"
         assert await turns_at_once(site, 4) == [200] * 4
 
     play(tmp_path, scenario)
--- a/tests/functional/test_homes.py
+++ b/tests/functional/test_homes.py
@@ -34,7 +34,10 @@
         return {home.host if home else "" for home in found}
 
     def heard() -> set[int]:
-        hellos = [site.entry_by_name[name]._gateway.gossip.fresh(HostRole.ENTRY) for name in names]
+        hellos = [
+            site.entry_by_name[name]._gateway.gossip.recent_heartbeats(HostRole.ENTRY)
+            for name in names
+        ]
         return {len([one for one in found if one.host in names]) for found in hellos}
 
     await site.until(lambda: coordinators() == {home_of_both} and heard() == {1})
@@ -115,7 +118,7 @@
         gateway = site.entry_by_name["entry-0"]._gateway
         await site.until(lambda: gateway.coordinators.coordinated_hall == "north")
         gateway.is_leaving = True
-        gateway.gossip.say_now()
+        gateway.gossip.send_now()
         gateway.coordinators.refresh()
         assert gateway.coordinators.coordinated_hall == ""
         gateway.is_leaving = False
--- a/tests/lib/cut_answers.py
+++ b/tests/lib/cut_answers.py
@@ -58,12 +58,12 @@
     """Stands for the exchange with a caller."""
 
     body: bytes = b""
-    has_begun: bool = False
+    headers_sent: bool = False
     is_whole: bool = False
 
     async def begin(self, status: int, headers: RawHeaders) -> None:
-        assert not self.has_begun
-        self.has_begun = True
+        assert not self.headers_sent
+        self.headers_sent = True
 
     async def write(self, piece: bytes) -> None:
         self.body += piece
--- a/tests/lib/proof_model.py
+++ b/tests/lib/proof_model.py
@@ -17,8 +17,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from bayhinge._internal.decisions.freshness_proofs import (
+    FreshnessProof,
     FreshnessProofs,
-    Proof,
     confirmed_by_peer,
     proof_bounds,
 )
@@ -64,11 +64,13 @@
         """Runs on while the host is frozen."""
         return host.offset_s + self.now_s * host.rate
 
-    def store_proof(self, revision: int, asked_s: float, got_s: float) -> Proof:
+    def store_proof(self, revision: int, asked_s: float, got_s: float) -> FreshnessProof:
         """Counts from when the store was asked."""
-        return Proof(revision, asked_s)
+        return FreshnessProof(revision, asked_s)
 
-    def peer_proof(self, revision: int, age_s: float, asked_s: float, got_s: float) -> Proof:
+    def peer_proof(
+        self, revision: int, age_s: float, asked_s: float, got_s: float
+    ) -> FreshnessProof:
         """Counts from when the peer was asked, and from the age that it told."""
         return confirmed_by_peer(revision, age_s, asked_s)
 
@@ -136,7 +138,7 @@
         def arrives(revision: int) -> None:
             # The store's answer holds the object itself.
             host.known_revision = max(host.known_revision, revision)
-            host.book.take(self.store_proof(revision, asked_s, self.clock_s(host)))
+            host.book.record(self.store_proof(revision, asked_s, self.clock_s(host)))
 
         self.at(self.now_s + there_s, answers)
 
@@ -156,7 +158,7 @@
                 self.at(back, lambda: self.runs_on(host, lambda: arrives(proof.revision, age_s)))
 
         def arrives(revision: int, age_s: float) -> None:
-            host.book.take(self.peer_proof(revision, age_s, asked_s, self.clock_s(host)))
+            host.book.record(self.peer_proof(revision, age_s, asked_s, self.clock_s(host)))
 
         self.at(self.now_s + there_s, lambda: self.runs_on(peer, answers))
 
--- a/tests/lib/proof_mutants.py
+++ b/tests/lib/proof_mutants.py
@@ -1,28 +1,32 @@
 """The model of proofs with one guard left out each."""
 
-from bayhinge._internal.decisions.freshness_proofs import Proof
+from bayhinge._internal.decisions.freshness_proofs import FreshnessProof
 from tests.lib.proof_model import BOUND_S, Host, ProofModel
 
 
 class CountsFromTheAnswer(ProofModel):
     """The store's answer counts from when it came."""
 
-    def store_proof(self, revision: int, asked_s: float, got_s: float) -> Proof:
-        return Proof(revision, got_s)
+    def store_proof(self, revision: int, asked_s: float, got_s: float) -> FreshnessProof:
+        return FreshnessProof(revision, got_s)
 
 
 class GrowsYoungerOnTheWay(ProofModel):
     """What a peer says counts from when it came."""
 
-    def peer_proof(self, revision: int, age_s: float, asked_s: float, got_s: float) -> Proof:
-        return Proof(revision, got_s - age_s)
+    def peer_proof(
+        self, revision: int, age_s: float, asked_s: float, got_s: float
+    ) -> FreshnessProof:
+        return FreshnessProof(revision, got_s - age_s)
 
 
 class ForgetsThePeersAge(ProofModel):
     """What a peer says counts from when the peer was asked."""
 
-    def peer_proof(self, revision: int, age_s: float, asked_s: float, got_s: float) -> Proof:
-        return Proof(revision, asked_s)
+    def peer_proof(
+        self, revision: int, age_s: float, asked_s: float, got_s: float
+    ) -> FreshnessProof:
+        return FreshnessProof(revision, asked_s)
 
 
 class CountsWhatItDoesNotKnow(ProofModel):
@@ -36,7 +40,7 @@
     """A watch that ended without news proves that there is none."""
 
     def hear_nothing(self, host: Host) -> None:
-        host.book.take(Proof(host.known_revision, self.clock_s(host)))
+        host.book.record(FreshnessProof(host.known_revision, self.clock_s(host)))
 
 
 class StandsStillWhileFrozen(ProofModel):
--- a/tests/lib/silent_store.py
+++ b/tests/lib/silent_store.py
@@ -68,12 +68,12 @@
 
     def __init__(self, truth: StoreTruth) -> None:
         self._truth = truth
-        self._contact = StoreAvailability()
+        self._availability = StoreAvailability()
         self.calls = 0
 
     @property
-    def contact(self) -> StoreAvailability:
-        return self._contact
+    def availability(self) -> StoreAvailability:
+        return self._availability
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
         return await self._bounded(self._read(prefix), CALL_S)
@@ -112,7 +112,7 @@
                     await asyncio.Event().wait()
                 await asyncio.sleep(ANSWER_S)
         except TimeoutError as error:
-            self._contact.record_failure(is_silent=True)
+            self._availability.record_failure(timed_out=True)
             raise StoreUnavailableError("a call", "TimeoutError") from error
-        self._contact.record_answer()
+        self._availability.record_answer()
         return answer
--- a/tests/lib/watching_site.py
+++ b/tests/lib/watching_site.py
@@ -35,7 +35,7 @@
     ) -> AsyncGenerator[bytes, None]:
         await asyncio.sleep(0.001)
         prefix = decode_message(ObjectsQuery(), payload).prefix
-        yield encode_message(self.followers_by_address[address][prefix].known())
+        yield encode_message(self.followers_by_address[address][prefix].snapshot())
 
     async def close(self) -> None:
         return
@@ -77,7 +77,7 @@
         teller = self.ways.followers_by_address[address]["config/"]
         for other, followers in self.ways.followers_by_address.items():
             if other != address:
-                followers["config/"].hear(teller.revision, address)
+                followers["config/"].observe_revision(teller.revision, address)
 
     async def greet_always(self, period_s: float) -> None:
         """Each host hears hellos of one other after the other, as hosts do."""
@@ -88,7 +88,7 @@
                 other = addresses[(place + number) % len(addresses)]
                 for prefix, follower in self.ways.followers_by_address[other].items():
                     told = self.ways.followers_by_address[address][prefix]
-                    told.hear(follower.revision, other)
+                    told.observe_revision(follower.revision, other)
 
     def take_down(self, hosts: int) -> None:
         """The first hosts do nothing any more."""
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -66,7 +66,7 @@
     "watches are renewed at the store's return": (
         Edit(
             "services/prefix_follower.py",
-            "        store.contact.on_recovery.append(self._renew)",
+            "        store.availability.on_recovery.append(self._renew)",
             "        pass",
         ),
     ),
@@ -119,8 +119,8 @@
     "proofs count from the question": (
         Edit(
             "services/gateway/configuration_proofs.py",
-            "self._accept(Proof(stored.version, asked_s))",
-            "self._accept(Proof(stored.version, asyncio.get_running_loop().time()))",
+            "self._accept(FreshnessProof(stored.version, asked_s))",
+            "self._accept(FreshnessProof(stored.version, asyncio.get_running_loop().time()))",
         ),
     ),
     "keys are looked at again before a send": (
@@ -140,7 +140,8 @@
     "limits hold over all hosts": (
         Edit(
             "services/gateway/quotas.py",
-            "            if coordinator == self._gossip.me.host:\n                return",
+            "            if coordinator == self._gossip.own_heartbeat.host:\n"
+            "                return",
             "            if True:\n                return",
         ),
     ),
--- a/tests/unit/test_answer_bounds.py
+++ b/tests/unit/test_answer_bounds.py
@@ -6,7 +6,7 @@
     MIN_SILENCE_S,
     SILENCE_OBJECTIVES,
     TYPICAL_LATENCIES,
-    bounds_of,
+    answer_timeouts_for,
     smoothed_answer_s,
 )
 from bayhinge._internal.models.routing import Route, RouteKind, ServiceShare
@@ -31,7 +31,7 @@
 
 
 def test_the_routes_own_objective_is_the_bound_while_answers_are_quick() -> None:
-    bounds = bounds_of(route(0.25), may_fail_over=True, usual_s=0.06)
+    bounds = answer_timeouts_for(route(0.25), may_fail_over=True, usual_s=0.06)
     assert bounds.silence_s == SILENCE_OBJECTIVES * 0.25
     assert bounds.pause_s == pytest.approx(0.6)
 
@@ -40,7 +40,7 @@
     usual_s = 0.06
     for took_s in (0.3, 0.4, 0.5):
         usual_s = smoothed_answer_s(usual_s, took_s)
-    bounds = bounds_of(route(0.25), may_fail_over=True, usual_s=usual_s)
+    bounds = answer_timeouts_for(route(0.25), may_fail_over=True, usual_s=usual_s)
     assert bounds.silence_s == TYPICAL_LATENCIES * usual_s
     assert bounds.silence_s > 1.0
 
@@ -54,10 +54,10 @@
 
 
 def test_a_stream_that_may_not_go_on_elsewhere_has_no_bound_on_pauses() -> None:
-    assert bounds_of(route(0.25), may_fail_over=False).pause_s is None
-    assert bounds_of(route(0.25, resumable=False), may_fail_over=True).pause_s is None
-    assert bounds_of(route(0.25, pause_s=None), may_fail_over=True).pause_s is None
+    assert answer_timeouts_for(route(0.25), may_fail_over=False).pause_s is None
+    assert answer_timeouts_for(route(0.25, resumable=False), may_fail_over=True).pause_s is None
+    assert answer_timeouts_for(route(0.25, pause_s=None), may_fail_over=True).pause_s is None
 
 
 def test_an_objective_of_nothing_does_not_make_the_bound_nothing() -> None:
-    assert bounds_of(route(0.0), may_fail_over=True).silence_s == MIN_SILENCE_S
+    assert answer_timeouts_for(route(0.0), may_fail_over=True).silence_s == MIN_SILENCE_S
--- a/tests/unit/test_cell.py
+++ b/tests/unit/test_cell.py
@@ -7,7 +7,7 @@
 from bayhinge._internal.decisions.cells import cell_count, cell_of, endpoints_of
 from bayhinge._internal.decisions.offers import (
     Action,
-    Done,
+    CallCompletion,
     Grant,
     Offer,
     Outcome,
@@ -39,8 +39,8 @@
     return {action.offer.grant: action.endpoint for action in found}
 
 
-def finish(offer: Offer, outcome: Outcome = Outcome.FINISHED) -> Done:
-    return Done(offer.grant, outcome, offer.prompt_tokens, 0, 100, 0.1, 1.0)
+def finish(offer: Offer, outcome: Outcome = Outcome.FINISHED) -> CallCompletion:
+    return CallCompletion(offer.grant, outcome, offer.prompt_tokens, 0, 100, 0.1, 1.0)
 
 
 def make_cell(
@@ -256,7 +256,9 @@
         for number in range(count):
             offer = make_offer(f"p{number}/{token_s}")
             cell.offer(offer, 0.0)
-            cell.done(Done(offer.grant, Outcome.FINISHED, 1000, 0, 100, 0.1, 100 * token_s), 1.0)
+            cell.done(
+                CallCompletion(offer.grant, Outcome.FINISHED, 1000, 0, 100, 0.1, 100 * token_s), 1.0
+            )
 
     run_calls(60, 0.2)
     assert view.limit < 6
--- a/tests/unit/test_endpoint_book.py
+++ b/tests/unit/test_endpoint_book.py
@@ -129,7 +129,7 @@
     book = book_of(entry("a"), entry("b", "south"))
     belief = book.find("a")
     assert belief is not None
-    belief.complaints = 4
+    belief.failure_reports = 4
     assert chosen(book) == "b"
     assert chosen(book, PlacementPreference(at("a"))) == "b", "not even for a warm cache"
     book.apply_peer_loads({"b": 8})
@@ -173,7 +173,7 @@
     book = book_of(*(entry(name, slots=6) for name in "abc"))
     belief = book.find("a")
     assert belief is not None
-    belief.complaints = 2
+    belief.failure_reports = 2
     book.apply_peer_loads({"b": 4, "c": 4})
     assert chosen(book) == "b"
     assert chosen(book, PlacementPreference(at("a"), kept_tokens=9000)) == "b"
--- a/tests/unit/test_endpoint_news.py
+++ b/tests/unit/test_endpoint_news.py
@@ -177,9 +177,9 @@
 def test_what_a_former_start_said_last_is_no_word_of_the_next_one() -> None:
     links = EndpointConnectionPool()
     links._last_received_s_by_key["a"] = 10.0
-    links.start_again("a", NewIncarnation("x", 9.0))
+    links.close_previous_incarnations("a", NewIncarnation("x", 9.0))
     assert links.has_received_since("a", 9.5), "that was the new start"
-    links.start_again("a", NewIncarnation("x", 11.0))
+    links.close_previous_incarnations("a", NewIncarnation("x", 11.0))
     assert not links.has_received_since("a", 9.5)
 
 
@@ -205,14 +205,14 @@
         host.hear(entry_value(BORN_MS))
         exchange.receive_loads(loads(1, 40))
         exchange.refresh_endpoint_table()
-        assert (host.believed().running_at_peers, host.believed().complaints) == (3, 1)
+        assert (host.believed().running_at_peers, host.believed().failure_reports) == (3, 1)
         host.hear(entry_value(BORN_MS + 1))
         for beat, known_to, counts in ((2, 49, 0), (3, 50, 1), (4, None, 1)):
             exchange.refresh_endpoint_table()
             exchange.receive_loads(loads(beat, known_to))
             exchange.refresh_endpoint_table()
             belief = host.believed()
-            assert (belief.running_at_peers, belief.complaints) == (3 * counts, counts)
+            assert (belief.running_at_peers, belief.failure_reports) == (3 * counts, counts)
 
     run_virtual(scenario())
 
@@ -244,7 +244,7 @@
 
 def test_hellos_of_hosts_that_are_behind_are_left_out_of_the_sum() -> None:
     revisions = IncarnationRevisions()
-    revisions.note("a", 50)
+    revisions.record("a", 50)
     hellos = [
         wire.Hello(host=str(known_to), running_by_endpoint={"a": 2, "b": 1})
         for known_to in (49, 50, None)
@@ -348,7 +348,7 @@
         follower = PrefixFollower(store, "servers/", lambda: 5.0, listener, OnePeer())
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(0.5)
-        follower.hear(60, "peer")
+        follower.observe_revision(60, "peer")
         await asyncio.sleep(1.0)
         task.cancel()
         assert listener.value_by_key == {KEY: b"new"}
--- a/tests/unit/test_endpoint_starts.py
+++ b/tests/unit/test_endpoint_starts.py
@@ -10,11 +10,11 @@
 
 from bayhinge._internal.decisions.endpoint_incarnations import (
     CLOCK_SKEW_S,
-    Contact,
+    ConnectionTimes,
     NewIncarnation,
     began_s,
     belongs_to,
-    is_over,
+    is_stale,
 )
 from bayhinge._internal.decisions.endpoint_table import (
     EndpointState,
@@ -85,9 +85,9 @@
 
 def test_an_entry_that_says_no_start_has_an_unknown_one() -> None:
     value = orjson.dumps(ENTRY)
-    assert PlatformObjectReader().read_endpoint("servers/a", value).start == EndpointIncarnation(
-        "a"
-    )
+    assert PlatformObjectReader().read_endpoint(
+        "servers/a", value
+    ).incarnation == EndpointIncarnation("a")
 
 
 # ---- the order of starts ----
@@ -95,18 +95,18 @@
 
 def test_an_unknown_start_is_neither_before_nor_after_another() -> None:
     unknown, known = EndpointIncarnation("a"), EndpointIncarnation("a", BORN_MS)
-    assert not unknown.is_after(known)
-    assert not known.is_after(unknown)
-    assert unknown.may_be(known)
-    assert known.may_be(unknown)
-    assert not known.may_be(EndpointIncarnation("a", BORN_MS + 1))
-    assert not known.may_be(EndpointIncarnation("b", BORN_MS))
+    assert not unknown.is_later_than(known)
+    assert not known.is_later_than(unknown)
+    assert unknown.may_be_same_as(known)
+    assert known.may_be_same_as(unknown)
+    assert not known.may_be_same_as(EndpointIncarnation("a", BORN_MS + 1))
+    assert not known.may_be_same_as(EndpointIncarnation("b", BORN_MS))
 
 
 def test_a_later_start_begins_with_nothing_of_the_former_one() -> None:
     book = book_of(entry(), entry("b", address="10.0.0.2:80"))
     former = believed(book)
-    former.running_here, former.running_at_peers, former.complaints = 3, 4, 2
+    former.running_here, former.running_at_peers, former.failure_reports = 3, 4, 2
     former.is_suspected = True
     for _ in range(5):
         former.record_failure(NOW_S)
@@ -119,7 +119,7 @@
         0,
     )
     assert not believed(book).is_suspected
-    assert not book.resting(NOW_S)
+    assert not book.ejected(NOW_S)
     assert chosen(book) == "a"
 
 
@@ -129,7 +129,7 @@
     book.put(entry(born_ms=BORN_MS + 1))
     former.record_failure(NOW_S)
     former.running_here -= 1
-    assert not book.resting(NOW_S)
+    assert not book.ejected(NOW_S)
     assert believed(book).running_here == 0
 
 
@@ -252,8 +252,12 @@
 # ---- which runs and connections are over ----
 
 
-def contact(opened_s: float, heard_s: float | None = None, address: str = "x") -> Contact:
-    return Contact(address, opened_s, opened_s if heard_s is None else heard_s)
+def connection_times(
+    opened_s: float, last_received_s: float | None = None, address: str = "x"
+) -> ConnectionTimes:
+    return ConnectionTimes(
+        address, opened_s, opened_s if last_received_s is None else last_received_s
+    )
 
 
 def test_the_moment_of_a_start_is_found_on_the_steady_clock() -> None:
@@ -264,31 +268,33 @@
 
 
 def test_a_connection_of_before_the_start_is_over_and_one_of_after_it_is_not() -> None:
-    start = NewIncarnation("x", NOW_S)
-    assert is_over(contact(NOW_S - 1), start)
-    assert not is_over(contact(NOW_S + 1), start)
-    assert belongs_to(contact(NOW_S + 1), start)
-    assert not belongs_to(contact(NOW_S - 1), start)
+    incarnation = NewIncarnation("x", NOW_S)
+    assert is_stale(connection_times(NOW_S - 1), incarnation)
+    assert not is_stale(connection_times(NOW_S + 1), incarnation)
+    assert belongs_to(connection_times(NOW_S + 1), incarnation)
+    assert not belongs_to(connection_times(NOW_S - 1), incarnation)
 
 
 def test_a_connection_that_was_heard_since_leads_to_the_new_start_whatever_clocks_say() -> None:
-    start = NewIncarnation("x", NOW_S)
-    assert not is_over(contact(NOW_S - 1, NOW_S + CLOCK_SKEW_S + 0.1), start)
-    assert is_over(contact(NOW_S - 1, NOW_S + CLOCK_SKEW_S / 2), start), "that proves nothing"
+    incarnation = NewIncarnation("x", NOW_S)
+    assert not is_stale(connection_times(NOW_S - 1, NOW_S + CLOCK_SKEW_S + 0.1), incarnation)
+    assert is_stale(connection_times(NOW_S - 1, NOW_S + CLOCK_SKEW_S / 2), incarnation), (
+        "that proves nothing"
+    )
 
 
 def test_where_clocks_leave_it_open_a_run_goes_on_and_an_idle_connection_is_not_used() -> None:
-    for start, opened_s in (
+    for incarnation, opened_s in (
         (NewIncarnation("x", NOW_S), NOW_S - CLOCK_SKEW_S),
         (NewIncarnation("x", None), NOW_S - 60),
     ):
-        assert not is_over(contact(opened_s), start)
-        assert not belongs_to(contact(opened_s), start)
+        assert not is_stale(connection_times(opened_s), incarnation)
+        assert not belongs_to(connection_times(opened_s), incarnation)
 
 
 def test_a_connection_to_another_address_is_over_whatever_clocks_say() -> None:
-    assert is_over(contact(NOW_S + 1), NewIncarnation("y", None))
-    assert not belongs_to(contact(NOW_S + 1), NewIncarnation("y", NOW_S))
+    assert is_stale(connection_times(NOW_S + 1), NewIncarnation("y", None))
+    assert not belongs_to(connection_times(NOW_S + 1), NewIncarnation("y", NOW_S))
 
 
 # ---- what other hosts say ----
@@ -297,7 +303,7 @@
 def test_hosts_that_have_not_heard_of_a_start_are_known_by_their_revision() -> None:
     revisions = IncarnationRevisions()
     assert not revisions.not_known_by(0)
-    revisions.note("a", 50)
+    revisions.record("a", 50)
     assert set(revisions.not_known_by(49)) == {"a"}
     assert not revisions.not_known_by(50)
     assert not revisions.not_known_by(None), "an older host does not say, and counts as before"
@@ -311,14 +317,16 @@
 
 def test_a_home_forgets_loads_complaints_and_grants_of_the_former_start() -> None:
     board = LoadTable()
-    board.hear(HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S)
+    board.record_report(
+        HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S
+    )
     grant = board.grant("h", "a")
     board.grant("h", "b")
     board.forget_endpoint("a")
     assert counted(board.running_by_endpoint()) == {"b": 2}
     assert counted(board.failure_reports_by_endpoint()) == {"b": 1}
     # What the host says from now on counts once, also where it counts in what was granted before.
-    board.hear(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
+    board.record_report(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
     assert counted(board.running_by_endpoint()) == {"a": 1, "b": 2}
     board.forget_silent(NOW_S + 60)
     assert not counted(board.running_by_endpoint())
--- a/tests/unit/test_hellos.py
+++ b/tests/unit/test_hellos.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.last_seen import AGE_UNITS_PER_S, start_of
+from bayhinge._internal.decisions.last_seen import AGE_UNITS_PER_S, short_incarnation
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services import gossip
@@ -68,12 +68,12 @@
         return {hello.host for hello in self.gossip.ready_entry_hosts()}
 
 
-START = start_of((1 << 40) + len("b"))
+START = short_incarnation((1 << 40) + len("b"))
 
 
 @pytest.fixture
 def listener(tmp_path: object, monkeypatch: pytest.MonkeyPatch) -> Listener:
-    monkeypatch.setattr(gossip, "listed_s", lambda period_s: LISTED_S)
+    monkeypatch.setattr(gossip, "advertised_s", lambda period_s: LISTED_S)
     return Listener(tmp_path)
 
 
@@ -126,13 +126,13 @@
         listener.hear("b", HostPhase.READY)
         listener.gossip._check_stall(gossip.STALL_S / 2)
         now_s = asyncio.get_running_loop().time()
-        assert START in listener.gossip._sightings.ages(now_s)
+        assert START in listener.gossip._last_seen.ages(now_s)
         listener.gossip._check_stall(gossip.STALL_S * 2)
         listener.hear("cc", HostPhase.READY, {START: 0})
-        assert listener.gossip._sightings.ages(now_s) == {}
+        assert listener.gossip._last_seen.ages(now_s) == {}
         listener.gossip._stalled_until_s = now_s
         listener.hear("cc", HostPhase.READY, {START: 0}, beat=2)
-        assert START in listener.gossip._sightings.ages(now_s)
+        assert START in listener.gossip._last_seen.ages(now_s)
 
     asyncio.run(main())
 
@@ -148,7 +148,7 @@
 
 
 def test_hellos_bear_what_was_heard_and_stay_short() -> None:
-    ages = {start_of(number << 20): 3 * AGE_UNITS_PER_S for number in range(40)}
+    ages = {short_incarnation(number << 20): 3 * AGE_UNITS_PER_S for number in range(40)}
     told: tuple[object, ...] = ("h", 1, 1, 1, 2, "n", "", "", "", {}, {}, 0, [], False, False, 0)
     hello = Hello(*told, age_by_start=ages)
     data = encode_message(hello)
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -131,12 +131,12 @@
         gossip = Gossip(site, HostRole.ENTRY)
         heard(gossip, "edge-2")
         await asyncio.sleep(MIN_SILENCE_S * 0.9)
-        always(True, lambda: bool(gossip.fresh(HostRole.ENTRY)))
+        always(True, lambda: bool(gossip.recent_heartbeats(HostRole.ENTRY)))
         always(True, lambda: bool(gossip.ready_entry_hosts()))
         gossip._forget_silent()
         assert gossip._observed_addresses()
         await asyncio.sleep(2.5)
-        always(False, lambda: bool(gossip.fresh(HostRole.ENTRY)))
+        always(False, lambda: bool(gossip.recent_heartbeats(HostRole.ENTRY)))
         always(False, lambda: bool(gossip.ready_entry_hosts()))
 
     run_virtual(scenario())
@@ -165,7 +165,7 @@
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
         book = EndpointTable("north")
-        exchange = LoadExchange(gossip.me, book, HallCoordinators(gossip))
+        exchange = LoadExchange(gossip.own_heartbeat, book, HallCoordinators(gossip))
         loads = HostLoads("edge-2", 1, 1, 0, {ENDPOINT: 3}, [])
 
         def counted() -> bool:
@@ -185,7 +185,7 @@
     """What a follower needs of a store that it never asks."""
 
     def __init__(self) -> None:
-        self.contact = StoreAvailability()
+        self.availability = StoreAvailability()
 
 
 def test_an_outage_is_over_for_its_time() -> None:
@@ -195,10 +195,10 @@
             cast(PollingStore, store), "servers/", lambda: 5.0, cast(Any, None), cast(Peers, None)
         )
         always(False, follower._is_after_outage)
-        store.contact.record_failure(is_silent=True)
+        store.availability.record_failure(timed_out=True)
         await asyncio.sleep(5.0)
-        store.contact.record_answer()
-        assert store.contact.recovered_s == asyncio.get_running_loop().time()
+        store.availability.record_answer()
+        assert store.availability.recovered_s == asyncio.get_running_loop().time()
         await asyncio.sleep(prefix_follower.AFTER_OUTAGE_S * 0.9)
         always(True, follower._is_after_outage)
         await asyncio.sleep(prefix_follower.AFTER_OUTAGE_S * 0.2)
--- a/tests/unit/test_left_behind_disks.py
+++ b/tests/unit/test_left_behind_disks.py
@@ -112,7 +112,7 @@
 
     async def main() -> None:
         host = DiskHost(attrs.evolve(SETTINGS, data_folder=str(tmp_path)), cast(ObjectStore, None))
-        host.gossip.say_now = lambda: None  # type: ignore[method-assign]
+        host.gossip.send_now = lambda: None  # type: ignore[method-assign]
         host.apply_disk_set(wire.DiskSet(1, [host.me, other, *before]))
         may_answer = asyncio.Event()
         asked: list[int] = []
--- a/tests/unit/test_left_behind_elsewhere.py
+++ b/tests/unit/test_left_behind_elsewhere.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bayhinge._internal.bench.world.virtual_time import LoopClock, run_virtual
-from bayhinge._internal.decisions.offers import Done, Outcome
+from bayhinge._internal.decisions.offers import CallCompletion, Outcome
 from bayhinge._internal.exceptions import PeerUnreachableError
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.frames import encode_message
@@ -83,12 +83,12 @@
     """Answers a list late, with what it held when it was asked."""
 
     def __init__(self) -> None:
-        self._contact = StoreAvailability()
+        self._availability = StoreAvailability()
         self.may_answer = asyncio.Event()
 
     @property
-    def contact(self) -> StoreAvailability:
-        return self._contact
+    def availability(self) -> StoreAvailability:
+        return self._availability
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
         await self.may_answer.wait()
@@ -138,14 +138,14 @@
         follower.should_watch = lambda: False
         running = asyncio.create_task(follower.run())
         await asyncio.sleep(0.02)
-        follower.hear(5, "peer")
+        follower.observe_revision(5, "peer")
         await asyncio.sleep(0.1)
         assert memory.states == [{"servers/new"}]
         store.may_answer.set()
         await asyncio.sleep(0.1)
         follower.stop()
         running.cancel()
-        known = follower.known()
+        known = follower.snapshot()
         assert known.complete_to == 5
         assert set(known.value_by_key) == {"servers/new"}, memory.states
 
@@ -269,7 +269,7 @@
         membership = SimpleNamespace(me=SimpleNamespace(peer_address="here"))
         grants = RemoteGrants(cast(Membership, membership), cast(QueueDispatcher, None), peers)
         granted = GrantedEndpoint("g", "cell", "e-1", "e-1:1", 0.0, "there")
-        grants.done(granted, Done("g", Outcome.FINISHED))
+        grants.done(granted, CallCompletion("g", Outcome.FINISHED))
         await asyncio.sleep(60)
         assert peers.told == ["done"]
 
--- a/tests/unit/test_log_output.py
+++ b/tests/unit/test_log_output.py
@@ -65,7 +65,7 @@
     types = [line["message_type"] for line in read_lines(reading)]
     assert types.count("request.served") <= 2 * ORDINARY_PER_SECOND
     assert types[-1] == "request.refused"
-    assert log.ordinary.thinned >= ORDINARY_PER_SECOND
+    assert log.ordinary.suppressed >= ORDINARY_PER_SECOND
     os.close(reading)
     os.close(writing)
 
@@ -81,6 +81,10 @@
 
 def test_the_budget_starts_anew_each_second() -> None:
     budget = LineBudget(2)
-    assert [budget.takes(10.0), budget.takes(10.5), budget.takes(10.9)] == [True, True, False]
-    assert budget.takes(11.0)
-    assert budget.thinned == 1
+    assert [budget.try_acquire(10.0), budget.try_acquire(10.5), budget.try_acquire(10.9)] == [
+        True,
+        True,
+        False,
+    ]
+    assert budget.try_acquire(11.0)
+    assert budget.suppressed == 1
--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -27,29 +27,29 @@
 def test_only_the_first_answer_after_failures_is_a_return() -> None:
     async def scenario() -> None:
         returns: list[int] = []
-        contact = StoreAvailability(on_recovery=[lambda: returns.append(1)])
-        contact.record_answer()
+        availability = StoreAvailability(on_recovery=[lambda: returns.append(1)])
+        availability.record_answer()
         assert returns == []
-        contact.record_failure(is_silent=False)
-        contact.record_failure(is_silent=False)
-        contact.record_answer()
-        contact.record_answer()
+        availability.record_failure(timed_out=False)
+        availability.record_failure(timed_out=False)
+        availability.record_answer()
+        availability.record_answer()
         assert returns == [1]
 
     run_virtual(scenario())
 
 
 @pytest.mark.parametrize(
-    ("is_silent", "lasts_s", "was_outage"),
+    ("timed_out", "lasts_s", "was_outage"),
     [(False, 0.01, False), (False, 1.0, True), (True, 0.01, True)],
 )
-def test_a_cut_watch_is_no_outage(is_silent: bool, lasts_s: float, was_outage: bool) -> None:
+def test_a_cut_watch_is_no_outage(timed_out: bool, lasts_s: float, was_outage: bool) -> None:
     async def scenario() -> bool:
-        contact = StoreAvailability()
-        contact.record_failure(is_silent)
+        availability = StoreAvailability()
+        availability.record_failure(timed_out)
         await asyncio.sleep(lasts_s)
-        contact.record_answer()
-        return contact.recovered_s == asyncio.get_running_loop().time()
+        availability.record_answer()
+        return availability.recovered_s == asyncio.get_running_loop().time()
 
     assert run_virtual(scenario()) is was_outage
 
--- a/tests/unit/test_odd_own_objects.py
+++ b/tests/unit/test_odd_own_objects.py
@@ -127,7 +127,7 @@
         member = Membership(MemoryObjectStore(objects), "hosts", info, TIMES)
         gone: list[str] = []
         died: list[str] = []
-        member.on_gone = lambda one: gone.append(one.host)
+        member.on_departed = lambda one: gone.append(one.host)
         member.on_death = lambda one: died.append(one.host)
         task = asyncio.create_task(member.run())
         await objects.put("hosts/odd", odd, None)
--- a/tests/unit/test_quota_bucket.py
+++ b/tests/unit/test_quota_bucket.py
@@ -26,7 +26,7 @@
     bucket: QuotaBucket, now_s: float, begins: bool = False, share: float = 1.0, **more: bool
 ) -> float | None:
     bucket.fill(now_s, share, **more)
-    return bucket.take(begins)
+    return bucket.acquire(begins)
 
 
 def _takes(bucket: QuotaBucket, now_s: float) -> bool:
@@ -122,9 +122,9 @@
 def test_what_was_given_back_may_be_taken_again() -> None:
     bucket = QuotaBucket(Quota(1.0, 2.0), QuotaMargin(), 0.0, SETTLED_S)
     assert [_takes(bucket, 0.0) for _ in range(3)] == [True, True, False]
-    bucket.give_back(1)
+    bucket.refund(1)
     assert _takes(bucket, 0.0)
-    bucket.give_back(100)
+    bucket.refund(100)
     assert [_takes(bucket, 0.0) for _ in range(3)] == [True, True, False]
 
 
--- a/tests/unit/test_running_time.py
+++ b/tests/unit/test_running_time.py
@@ -104,8 +104,8 @@
         waiting = {asyncio.ensure_future(asyncio.sleep(LIMIT_S * part)) for part in (0.25, 0.5, 9)}
         began_s = loop.time()
         ended = 0
-        while bound.left_s > 0:
-            finished, waiting = await bound.first_of(waiting)
+        while bound.remaining_s > 0:
+            finished, waiting = await bound.wait_for_first(waiting)
             ended += len(finished)
         for task in waiting:
             task.cancel()
@@ -119,7 +119,7 @@
 def test_standing_still_uses_up_one_part_of_a_bound_on_several_waits() -> None:
     async def wait() -> None:
         never = asyncio.ensure_future(asyncio.Event().wait())
-        finished, waiting = await StallTolerantDeadline(LIMIT_S).first_of({never})
+        finished, waiting = await StallTolerantDeadline(LIMIT_S).wait_for_first({never})
         assert (finished, waiting) == (set(), {never})
         never.cancel()
 
--- a/tests/unit/test_set_fence.py
+++ b/tests/unit/test_set_fence.py
@@ -31,7 +31,7 @@
 
     async def main() -> None:
         host = DiskHost(attrs.evolve(SETTINGS, data_folder=str(tmp_path)), cast(ObjectStore, None))
-        host.gossip.say_now = lambda: None  # type: ignore[method-assign]
+        host.gossip.send_now = lambda: None  # type: ignore[method-assign]
         answers = DiskRequestHandler(host)
         attempts = iter(range(100))
 
--- a/tests/unit/test_sightings.py
+++ b/tests/unit/test_sightings.py
@@ -12,8 +12,8 @@
     MAX_ADVERTISED_S,
     MAX_AGE_S,
     LastSeen,
-    listed_s,
-    start_of,
+    advertised_s,
+    short_incarnation,
 )
 from bayhinge._internal.services.gossip import NEAR_TARGETS, PERIOD_HOSTS, PERIOD_S
 
@@ -29,7 +29,7 @@
         self.tells_ages = tells_ages
         self.random = random.Random(5)
         self.period_s = PERIOD_S * SITE_HOSTS / PERIOD_HOSTS
-        self.sightings = [LastSeen() for _ in range(HALL_HOSTS)]
+        self.last_seen = [LastSeen() for _ in range(HALL_HOSTS)]
         self.turns = [
             self.random.sample(
                 [other for other in range(HALL_HOSTS) if other != host], HALL_HOSTS - 1
@@ -48,14 +48,16 @@
             turns = self.turns[host]
             for other in turns[:NEAR_TARGETS]:
                 if self.tells_ages:
-                    self.sightings[other].hear(self.sightings[host].ages(now_s), now_s)
-                self.sightings[other].see(host, now_s)
+                    self.last_seen[other].merge_ages(self.last_seen[host].ages(now_s), now_s)
+                self.last_seen[other].mark_seen(host, now_s)
             self.turns[host] = turns[NEAR_TARGETS:] + turns[:NEAR_TARGETS]
 
     def listed(self, host: int, now_s: float) -> set[int]:
-        seen = self.sightings[host].seen_s
+        seen = self.last_seen[host].last_seen_s
         return {
-            o for o in range(HALL_HOSTS) if o == host or seen(o) >= now_s - listed_s(self.period_s)
+            o
+            for o in range(HALL_HOSTS)
+            if o == host or seen(o) >= now_s - advertised_s(self.period_s)
         }
 
     def told(self, host: int, now_s: float) -> set[str]:
@@ -111,37 +113,37 @@
 
 def test_ages_only_grow_on_their_way() -> None:
     first, second = LastSeen(), LastSeen()
-    first.see(7, 10.0)
-    second.hear(first.ages(11.0), 11.5)
-    assert second.seen_s(7) == 10.5, "half a second on the way"
-    first.hear(second.ages(12.0), 12.0)
-    assert first.seen_s(7) == 10.5
-    first.hear({7: 5 * AGE_UNITS_PER_S}, 12.0)
-    assert first.seen_s(7) == 10.5, "older news change nothing"
+    first.mark_seen(7, 10.0)
+    second.merge_ages(first.ages(11.0), 11.5)
+    assert second.last_seen_s(7) == 10.5, "half a second on the way"
+    first.merge_ages(second.ages(12.0), 12.0)
+    assert first.last_seen_s(7) == 10.5
+    first.merge_ages({7: 5 * AGE_UNITS_PER_S}, 12.0)
+    assert first.last_seen_s(7) == 10.5, "older news change nothing"
     assert first.ages(10.5 + MAX_AGE_S + 0.1) == {}
 
 
 def test_bad_ages_are_never_in_the_future() -> None:
-    sightings = LastSeen()
-    sightings.hear({1: -32768}, 5.0)
-    assert sightings.seen_s(1) == 5.0
+    last_seen = LastSeen()
+    last_seen.merge_ages({1: -32768}, 5.0)
+    assert last_seen.last_seen_s(1) == 5.0
 
 
 def test_a_host_that_takes_no_callers_is_forgotten() -> None:
-    sightings = LastSeen()
-    sightings.see(1, 5.0)
-    sightings.leave(1)
-    assert sightings.ages(5.0) == {}
-    sightings.leave(1)
+    last_seen = LastSeen()
+    last_seen.mark_seen(1, 5.0)
+    last_seen.forget(1)
+    assert last_seen.ages(5.0) == {}
+    last_seen.forget(1)
 
 
 def test_starts_are_told_by_the_low_bits_of_their_incarnation() -> None:
-    assert start_of(5) == 5
-    assert start_of((1 << 61) + 5) == 5
-    assert start_of((1 << 32) - 1) == -1
+    assert short_incarnation(5) == 5
+    assert short_incarnation((1 << 61) + 5) == 5
+    assert short_incarnation((1 << 32) - 1) == -1
 
 
 def test_a_small_site_leaves_a_silent_host_out_sooner() -> None:
-    assert listed_s(PERIOD_S) == 1.5
-    assert listed_s(PERIOD_S * 81 / PERIOD_HOSTS) == 1.5
-    assert listed_s(PERIOD_S * SITE_HOSTS / PERIOD_HOSTS) == 3.5
+    assert advertised_s(PERIOD_S) == 1.5
+    assert advertised_s(PERIOD_S * 81 / PERIOD_HOSTS) == 1.5
+    assert advertised_s(PERIOD_S * SITE_HOSTS / PERIOD_HOSTS) == 3.5
--- a/tests/unit/test_stalls_hellos.py
+++ b/tests/unit/test_stalls_hellos.py
@@ -38,7 +38,7 @@
 def greeting_host(number: int) -> Gossip:
     settings = cast(SiteSettings, GreetingSettings(f"h{number}", f"{GREETING_NET}.{number + 1}"))
     gossip = Gossip(settings, wire.HostRole.ENTRY)
-    gossip.me.phase = wire.HostPhase.READY
+    gossip.own_heartbeat.phase = wire.HostPhase.READY
     return gossip
 
 
@@ -59,11 +59,11 @@
         gossip = greeting_host(0)
         await gossip.start()
         async with asyncio.timeout(10):
-            while len(gossip.fresh(wire.HostRole.ENTRY)) < OTHERS:  # noqa: ASYNC110
+            while len(gossip.recent_heartbeats(wire.HostRole.ENTRY)) < OTHERS:  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
         await asyncio.sleep(STARTUP_S)
         heard: list[int] = []
-        gossip.on_round = lambda: heard.append(len(gossip.fresh(wire.HostRole.ENTRY)))
+        gossip.on_round = lambda: heard.append(len(gossip.recent_heartbeats(wire.HostRole.ENTRY)))
         time.sleep(MIN_SILENCE_S + 0.5)  # noqa: ASYNC251 - it plays a process that gets no time
         await asyncio.sleep(0.5)
         await gossip.stop()
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -49,7 +49,7 @@
     address: str
     me: wire.Hello = attrs.field(factory=lambda: wire.Hello(hall="north"))
 
-    def fresh(self, role: int) -> list[wire.Hello]:
+    def recent_heartbeats(self, role: int) -> list[wire.Hello]:
         return [
             wire.Hello(
                 host="entry-9",
@@ -78,7 +78,7 @@
 class Contacted:
     """Stands for a store that nobody asks."""
 
-    contact: StoreAvailability = attrs.field(factory=StoreAvailability)
+    availability: StoreAvailability = attrs.field(factory=StoreAvailability)
 
 
 class Ignoring(ObjectListener):
--- a/tests/unit/test_state_machines.py
+++ b/tests/unit/test_state_machines.py
@@ -243,7 +243,7 @@
     @rule(host=st.integers(0, 2), peer=st.integers(0, 2))
     def exchange_news(self, host: int, peer: int) -> None:
         mine, other = self.feeds[host], self.feeds[peer]
-        mine.hear(other.revision)
+        mine.observe_revision(other.revision)
         changes = other.changes_after(mine.revision)
         self.run(self._take(mine, changes))
 
--- a/tests/unit/test_store_calls.py
+++ b/tests/unit/test_store_calls.py
@@ -100,11 +100,11 @@
         for follower in followers.values():
             follower.should_watch = lambda: False
             if place >= ASK_AT_ONCE:
-                follower.first_list_s = generator.uniform(*FIRST_LIST_DELAY_S)
+                follower.first_list_delay_s = generator.uniform(*FIRST_LIST_DELAY_S)
         if place >= ASK_AT_ONCE:
             # There is nothing under it, so there will be no news of it.
-            followers["servers/"].first_list_s = 60.0
-            moment_s = followers["config/"].first_list_s - 1e-4
+            followers["servers/"].first_list_delay_s = 60.0
+            moment_s = followers["config/"].first_list_delay_s - 1e-4
             loop.call_later(moment_s, look, address, followers["config/"])
     site.truth.put()
     greeting = asyncio.create_task(site.greet_always(HEARS_EVERY_S))
@@ -145,7 +145,7 @@
     async def scenario() -> float:
         site = WatchingSite(1, 2)
         for follower in site.followers():
-            follower.first_list_s = FIRST_LIST_DELAY_S[1]
+            follower.first_list_delay_s = FIRST_LIST_DELAY_S[1]
         site.truth.put()
         took_s = await site.seconds_until_known()
         site.stop()
--- a/tests/unit/test_unheard_sets.py
+++ b/tests/unit/test_unheard_sets.py
@@ -53,7 +53,7 @@
     """Changes a set that has settled, behind another one's change that was heard of or not."""
     store = MemoryObjectStore(MemoryObjects())
     host = DiskHost(attrs.evolve(SETTINGS, data_folder=str(folder)), store)
-    host.gossip.say_now = lambda: None  # type: ignore[method-assign]
+    host.gossip.send_now = lambda: None  # type: ignore[method-assign]
     members = [host.me, *OTHERS] if is_member else [*OTHERS]
     changed = wire.DiskSet(
         2, [*members, wire.DiskMember("disk-9", 99, "10.0.0.9:1", "east")], members
