--- a/src/bayhinge/_internal/network/endpoint_connections.py
+++ b/src/bayhinge/_internal/network/endpoint_connections.py
@@ -239,7 +239,7 @@
 
     opened: int = 0
     reused: int = 0
-    dropped_with_surplus: int = 0
+    with_surplus: int = 0
 
 
 class EndpointConnectionPool:
@@ -289,7 +289,7 @@
         """
         has_leftover_data = connection.has_unread_answer or not connection.is_between_answers()
         if has_leftover_data or connection.is_sending or not connection.is_open:
-            self.counts.dropped_with_surplus += has_leftover_data
+            self.counts.with_surplus += has_leftover_data
             connection.abort("data left over after the answer")
             return
         keep_s = DEFAULT_KEEPALIVE_S if idle_s is None else idle_s * KEEPALIVE_FRACTION
--- a/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
+++ b/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
@@ -23,12 +23,12 @@
     def __init__(
         self,
         endpoint_table: EndpointTable,
-        connections: EndpointConnectionPool,
+        connection_pool: EndpointConnectionPool,
         runs: ActiveRuns,
         wall_ms: Callable[[], int],
     ) -> None:
         self._endpoint_table = endpoint_table
-        self._connections = connections
+        self._connection_pool = connection_pool
         self._runs = runs
         self._wall_ms = wall_ms
         self.known_revision: Callable[[], int] = lambda: 0
@@ -40,7 +40,7 @@
         self._endpoint_table.incarnation_revisions.record(entry.instance, self.known_revision())
         self.forget_loads(entry.instance)
         incarnation = self._new_incarnation(entry)
-        closed = self._connections.close_previous_incarnations(entry.instance, incarnation)
+        closed = self._connection_pool.close_previous_incarnations(entry.instance, incarnation)
         ended, continued = self._runs.handle_restart(newest, incarnation)
         eliot.log_message(
             "endpoint.restarted",
@@ -75,7 +75,7 @@
         for state in self._endpoint_table.replaced_at(entry.address):
             instance = state.entry.instance
             ended = self._runs.handle_replacement(instance, self._new_incarnation(entry))
-            self._connections.drop_idle(instance)
+            self._connection_pool.drop_idle(instance)
             eliot.log_message(
                 "endpoint.displaced",
                 endpoint=instance,
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -81,13 +81,15 @@
         network = TcpPeerNetwork(CONNECT_S)
         self.peers = network.connect(clock)
         self.gossip = Gossip(settings, wire.HostRole.ENTRY)
-        self.links = EndpointConnectionPool()
+        self.connection_pool = EndpointConnectionPool()
         self.endpoint_table = EndpointTable(settings.hall)
         self.configuration = ConfigurationState(platform.objects, platform.configuration_key)
         runs = ActiveRuns()
-        restarts = EndpointRestarts(self.endpoint_table, self.links, runs, self._wall_clock.wall_ms)
+        restarts = EndpointRestarts(
+            self.endpoint_table, self.connection_pool, runs, self._wall_clock.wall_ms
+        )
         self.endpoints = EndpointTableUpdater(
-            platform.objects, self.endpoint_table, self.links, restarts
+            platform.objects, self.endpoint_table, self.connection_pool, restarts
         )
         self.followers_by_prefix = {
             prefix: PrefixFollower(
@@ -144,7 +146,7 @@
             platform.calls,
             RequestSender(
                 self.endpoint_table,
-                self.links,
+                self.connection_pool,
                 platform.calls,
                 self.placer,
                 runs,
@@ -216,7 +218,7 @@
         await self.front.stop()
         await self._listener.stop()
         await self.peers.close()
-        self.links.close()
+        self.connection_pool.close()
         for follower in self.followers_by_prefix.values():
             follower.stop()
         await self._platform.store.close()
@@ -357,5 +359,5 @@
     async def _sweep(self) -> None:
         while not self.should_stop:
             await asyncio.sleep(SWEEP_S)
-            self.links.sweep()
+            self.connection_pool.sweep()
             self._rate.observe(self.requests.counts.received, SWEEP_S)
--- a/src/bayhinge/_internal/services/gateway/request_sender.py
+++ b/src/bayhinge/_internal/services/gateway/request_sender.py
@@ -96,7 +96,7 @@
     def __init__(
         self,
         endpoint_table: EndpointTable,
-        links: EndpointConnectionPool,
+        connection_pool: EndpointConnectionPool,
         calls: CallFormat,
         placer: Placer | None = None,
         runs: ActiveRuns | None = None,
@@ -106,7 +106,7 @@
         self._check_admission = check_admission
         self._endpoint_table = endpoint_table
         self._placer = placer or LocalPlacer(endpoint_table)
-        self._links = links
+        self._connection_pool = connection_pool
         self._calls = calls
         self.counts = SendCounts()
         self._runs = runs or ActiveRuns()
@@ -161,7 +161,7 @@
                     run.state
                 ):
                     # Its idle connections may be dead too.
-                    self._links.drop_idle(run.endpoint)
+                    self._connection_pool.drop_idle(run.endpoint)
                 self._record_failure(run, send_state, error.why, error.cut_bytes)
                 self._raise_unless_repeatable(send_state, error)
 
@@ -176,7 +176,7 @@
         if send_state.rejected < MAX_REJECTED_SENDS:
             tried = self._tried_endpoints(send_state)
             preference = attrs.evolve(
-                send_state.preference, connected=self._links.connected_endpoints()
+                send_state.preference, connected=self._connection_pool.connected_endpoints()
             )
             state = await self._placer.place(send_state.service, preference, tried)
         if state is None:
@@ -200,7 +200,7 @@
         connection: EndpointConnection | None = None
         is_complete = False
         try:
-            connection = await self._links.acquire(run.endpoint, run.state.entry.address)
+            connection = await self._connection_pool.acquire(run.endpoint, run.state.entry.address)
             if run.is_ended:
                 raise EndpointUnreachableError(ENDED_REASON)
             run.connection = connection
@@ -254,7 +254,7 @@
         if answer.closes_connection or marks.idle_s == 0:
             connection.abort("the endpoint closes it")
         else:
-            self._links.release(connection, marks.idle_s)
+            self._connection_pool.release(connection, marks.idle_s)
 
     async def _answer_in_time(
         self,
@@ -281,7 +281,7 @@
                 return answer, marks
             except TimeoutError:
                 wait_count += 1
-            has_responded = self._links.has_received_since(run.endpoint, sent_s)
+            has_responded = self._connection_pool.has_received_since(run.endpoint, sent_s)
             should_give_up = wait_count >= MAX_SILENCE_PERIODS or not has_responded
             if should_give_up and bounds.may_fail_over and self._has_untried_endpoint(send_state):
                 raise SilentEndpointError(f"no answer for {wait_count * bounds.silence_s:.3f} s")
--- a/src/bayhinge/_internal/services/gateway/store_listeners.py
+++ b/src/bayhinge/_internal/services/gateway/store_listeners.py
@@ -102,12 +102,12 @@
         self,
         reader: ObjectReader,
         endpoint_table: EndpointTable,
-        links: EndpointConnectionPool,
+        connection_pool: EndpointConnectionPool,
         restarts: EndpointRestarts,
     ) -> None:
         self._reader = reader
         self._endpoint_table = endpoint_table
-        self._links = links
+        self._connection_pool = connection_pool
         self._restarts = restarts
         self._removal_timer_by_instance: dict[str, asyncio.TimerHandle] = {}
         self.initial_sync = InitialSync("endpoints")
@@ -177,7 +177,7 @@
         Unlike an endpoint with a missing entry, it is not even used as a last resort.
         """
         if self._endpoint_table.mark_leaving(instance):
-            self._links.drop_idle(instance)
+            self._connection_pool.drop_idle(instance)
             eliot.log_message("endpoint.withdrawn", endpoint=instance)
 
     def _mark_missing(self, instance: str, is_after_outage: bool) -> None:
@@ -200,7 +200,7 @@
     def _remove(self, instance: str, why: str) -> None:
         previous = self._endpoint_table.last_entry(instance)
         if previous is not None and self._endpoint_table.remove(instance):
-            self._links.forget(instance)
+            self._connection_pool.forget(instance)
             asyncio.get_running_loop().call_later(
                 REMOVED_ENTRY_KEEP_S, self._endpoint_table.forget_removed, previous.incarnation
             )
--- a/tests/functional/test_callers_that_leave.py
+++ b/tests/functional/test_callers_that_leave.py
@@ -100,7 +100,7 @@
             asked.set()
             await asyncio.sleep(30)
 
-        gateway.links.acquire = hang  # type: ignore[assignment, method-assign]
+        gateway.connection_pool.acquire = hang  # type: ignore[assignment, method-assign]
         _, writer = await connect(site)
         writer.write(HEADS["once"] + b"Content-Length: 0\r\n\r\n")
         await asked.wait()
--- a/tests/functional/test_clock_jumps.py
+++ b/tests/functional/test_clock_jumps.py
@@ -87,10 +87,10 @@
 @pytest.mark.usefixtures("odd_clock")
 def test_connections_are_kept_and_a_planned_stop_cuts_nothing(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        links = site.entry_by_name["entry-0"]._gateway.links
+        connection_pool = site.entry_by_name["entry-0"]._gateway.connection_pool
         for _ in range(20):
             assert (await site.ask("/act/x")).status == 200
-        assert links.counts.reused >= 15
+        assert connection_pool.counts.reused >= 15
         for engine in site.engines:
             engine.troubles.pause_s = 1.1
         asking = asyncio.create_task(site.turn(b"long ", at="entry-0"))
--- a/tests/functional/test_cut_streams.py
+++ b/tests/functional/test_cut_streams.py
@@ -71,19 +71,19 @@
 
     server = await asyncio.start_server(wire, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    book, links = EndpointTable("north"), EndpointConnectionPool()
+    endpoint_table, connection_pool = EndpointTable("north"), EndpointConnectionPool()
     for name in ("e-1", "e-2"):
-        book.put(EndpointEntry(name, "llm", f"127.0.0.1:{port}", "north", 4, False))
+        endpoint_table.put(EndpointEntry(name, "llm", f"127.0.0.1:{port}", "north", 4, False))
     caller = Caller()
     request = RoutedRequest("GET", "/x", "host", (), "mine", resume_after=has)
     delivery = delivery_to(caller, request)
     limit_s = asyncio.get_running_loop().time() + 2
-    sender = RequestSender(book, links, PlatformCallFormat())
+    sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
     try:
         await sender.send("llm", ROUTE, request, None, CallAttempt(), limit_s, delivery)
     except RefusedError:
         caller.is_whole = False
-    links.close()
+    connection_pool.close()
     server.close()
     return caller, delivery, asked
 
--- a/tests/functional/test_endpoint_link.py
+++ b/tests/functional/test_endpoint_link.py
@@ -35,19 +35,21 @@
     async def main() -> None:
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        links = EndpointConnectionPool()
+        connection_pool = EndpointConnectionPool()
         try:
             async with asyncio.timeout(5):
-                await scenario(links, address)
+                await scenario(connection_pool, address)
         finally:
-            links.close()
+            connection_pool.close()
             server.close()
 
     asyncio.run(main())
 
 
-async def ask(links: EndpointConnectionPool, address: str) -> tuple[EndpointConnection, Answer]:
-    connection = await links.acquire("e-1", address)
+async def ask(
+    connection_pool: EndpointConnectionPool, address: str
+) -> tuple[EndpointConnection, Answer]:
+    connection = await connection_pool.acquire("e-1", address)
     connection.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", b"")
     return connection, await connection.next_answer()
 
@@ -58,12 +60,12 @@
             await read_request(reader)
             writer.write(answer("a"))
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
         for _ in range(3):
-            connection, got = await ask(links, address)
+            connection, got = await ask(connection_pool, address)
             assert await got.read_body() == b"body"
-            links.release(connection, None)
-        assert (links.counts.opened, links.counts.reused) == (1, 2)
+            connection_pool.release(connection, None)
+        assert (connection_pool.counts.opened, connection_pool.counts.reused) == (1, 2)
 
     run(wire, scenario)
 
@@ -74,10 +76,10 @@
         writer.write(answer("a") + answer("surplus"))
         await reader.read()
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, got = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, got = await ask(connection_pool, address)
         assert await got.read_body() == b"body"
-        links.release(connection, None)
+        connection_pool.release(connection, None)
         assert not connection.is_open
 
     run(wire, scenario)
@@ -91,10 +93,10 @@
         writer.write(answer("surplus"))
         await reader.read()
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, got = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, got = await ask(connection_pool, address)
         await got.read_body()
-        links.release(connection, None)
+        connection_pool.release(connection, None)
         await asyncio.sleep(0.1)
         assert not connection.is_open
 
@@ -107,8 +109,8 @@
         writer.write(answer("late", b"other") + answer("mine", b"own"))
         await reader.read()
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connection_pool, address)
         assert (b"Bayhinge-Attempt-Id", b"late") in first.headers
         await first.read_body()
         second = await connection.next_answer()
@@ -133,9 +135,9 @@
         await writer.drain()
         writer.close()
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
         with pytest.raises(IncompleteAnswerError):
-            _, got = await ask(links, address)
+            _, got = await ask(connection_pool, address)
             await got.read_body()
 
     run(wire, scenario)
@@ -153,8 +155,8 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         writer.close()
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        _, got = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        _, got = await ask(connection_pool, address)
         if resets:
             with pytest.raises(IncompleteAnswerError):
                 await got.read_body()
@@ -171,9 +173,9 @@
         writer.write(bytes_sent)
         writer.close()
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
         with pytest.raises(IncompleteAnswerError):
-            await ask(links, address)
+            await ask(connection_pool, address)
 
     run(wire, scenario)
 
@@ -184,12 +186,12 @@
         writer.write(answer("a"))
         await asyncio.sleep(10)
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection = await links.acquire("e-1", address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection = await connection_pool.acquire("e-1", address)
         connection.send(b"POST / HTTP/1.1\r\nHost: x\r\n\r\n", b"x" * 20_000_000)
         got = await connection.next_answer()
         await got.read_body()
-        links.release(connection, None)
+        connection_pool.release(connection, None)
         assert not connection.is_open
 
     run(wire, scenario)
@@ -213,13 +215,13 @@
         await asyncio.sleep(0.05)
         writer.close()
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, got = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, got = await ask(connection_pool, address)
         await got.read_body()
-        links.release(connection, None)
+        connection_pool.release(connection, None)
         await asyncio.sleep(0.15)
-        assert await links.acquire("e-1", address) is not connection
-        assert links.counts.opened == 2
+        assert await connection_pool.acquire("e-1", address) is not connection
+        assert connection_pool.counts.opened == 2
 
     run(wire, scenario)
 
@@ -230,13 +232,13 @@
             await read_request(reader)
             writer.write(answer("a"))
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
         other = await asyncio.start_server(wire, "127.0.0.1", 0)
-        kept, got = await ask(links, address)
+        kept, got = await ask(connection_pool, address)
         await got.read_body()
-        links.release(kept, None)
+        connection_pool.release(kept, None)
         port = other.sockets[0].getsockname()[1]
-        connection, got = await ask(links, f"127.0.0.1:{port}")
+        connection, got = await ask(connection_pool, f"127.0.0.1:{port}")
         assert connection is not kept
         assert not kept.is_open
         await got.read_body()
--- a/tests/functional/test_endpoint_restarts.py
+++ b/tests/functional/test_endpoint_restarts.py
@@ -116,8 +116,10 @@
         await engine.restart(now_ms())
         announce(site, engine)
         assert_may_have_run(await ended(waiting))
-        book = site.entry_by_name["entry-0"]._gateway.endpoint_table
-        assert not book.ejected(asyncio.get_running_loop().time()), "that was the former start"
+        endpoint_table = site.entry_by_name["entry-0"]._gateway.endpoint_table
+        assert not endpoint_table.ejected(asyncio.get_running_loop().time()), (
+            "that was the former start"
+        )
         assert await turns_at_once(site, 4) == [200] * 4
 
     play(tmp_path, scenario)
@@ -205,13 +207,13 @@
         for one in site.engines:
             announce(site, one)
         await is_known(site, engine)
-        book = site.entry_by_name["entry-0"]._gateway.endpoint_table
-        belief = book.find(engine.instance)
-        assert belief is not None and belief.running_here == 1
+        endpoint_table = site.entry_by_name["entry-0"]._gateway.endpoint_table
+        state = endpoint_table.find(engine.instance)
+        assert state is not None and state.running_here == 1
         reply = await waiting
         assert (reply.status, reply.is_whole) == (200, True)
         assert sum(len(one.runs) for one in site.engines) == 1
-        assert belief.running_here == 0
+        assert state.running_here == 0
         # The next turn knows where its history was read.
         places = [
             disk._disk.turns.chain(reply.attempt).run_at for disk in site.disk_by_name.values()
@@ -260,8 +262,10 @@
         announce(site, engine)
         assert_may_have_run(await ended(waiting))
         assert await turns_at_once(site, 8) == [200] * 8
-        books = [entry._gateway.endpoint_table for entry in site.entry_by_name.values()]
-        assert all(book.find(former) for book in books), "its entry has not gone yet"
+        endpoint_tables = [entry._gateway.endpoint_table for entry in site.entry_by_name.values()]
+        assert all(endpoint_table.find(former) for endpoint_table in endpoint_tables), (
+            "its entry has not gone yet"
+        )
 
     play(tmp_path, scenario)
 
--- a/tests/functional/test_left_behind_sends.py
+++ b/tests/functional/test_left_behind_sends.py
@@ -65,16 +65,16 @@
 
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        book, links = EndpointTable("north"), EndpointConnectionPool()
+        endpoint_table, connection_pool = EndpointTable("north"), EndpointConnectionPool()
         for name in ("e-1", "e-2"):
-            book.put(EndpointEntry(name, "app", f"127.0.0.1:{port}", "north", 4, False))
-        sender = RequestSender(book, links, PlatformCallFormat())
+            endpoint_table.put(EndpointEntry(name, "app", f"127.0.0.1:{port}", "north", 4, False))
+        sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
         limit_s = asyncio.get_running_loop().time() + 2
         for name in ("first", "second"):
             headers = ((b"Host", b"h"), (b"Bayhinge-Attempt-Id", name.encode()))
             request = attrs.evolve(REQUEST, attempt=name, headers=headers)
             await sender.send("app", ONCE, request, None, CallAttempt(), limit_s, Keep())
-        links.close()
+        connection_pool.close()
         server.close()
 
     asyncio.run(main())
@@ -96,18 +96,18 @@
 
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        book, links = EndpointTable("north"), EndpointConnectionPool()
+        endpoint_table, connection_pool = EndpointTable("north"), EndpointConnectionPool()
         for name in ("e-1", "e-2", "e-3"):
-            book.put(EndpointEntry(name, "llm", f"127.0.0.1:{port}", "north", 4, False))
+            endpoint_table.put(EndpointEntry(name, "llm", f"127.0.0.1:{port}", "north", 4, False))
         request = RoutedRequest("GET", "/x", "host", (), "mine")
         delivery = delivery_to(Caller(), request, attrs.evolve(ROUTE, max_endpoints=3))
         limit_s = asyncio.get_running_loop().time() + 2
-        sender = RequestSender(book, links, PlatformCallFormat())
+        sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
         route = attrs.evolve(ROUTE, max_endpoints=3)
         with pytest.raises(RefusedError) as refused:
             await sender.send("llm", route, request, None, CallAttempt(), limit_s, delivery)
         assert refused.value.refusal.run_state is RunState.MAY_HAVE_RUN
-        links.close()
+        connection_pool.close()
         server.close()
 
     asyncio.run(main())
--- a/tests/functional/test_sending.py
+++ b/tests/functional/test_sending.py
@@ -55,9 +55,9 @@
     async def main() -> tuple[Keep, CallAttempt, EndpointConnectionPool, RefusedError | None]:
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        book, links = EndpointTable("north"), EndpointConnectionPool()
-        book.put(EndpointEntry("e-1", "app", f"127.0.0.1:{port}", "north", 4, False))
-        sender = RequestSender(book, links, PlatformCallFormat())
+        endpoint_table, connection_pool = EndpointTable("north"), EndpointConnectionPool()
+        endpoint_table.put(EndpointEntry("e-1", "app", f"127.0.0.1:{port}", "north", 4, False))
+        sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
         delivery, attempt, refused = Keep(), CallAttempt(), None
         limit_s = asyncio.get_running_loop().time() + 2
         for _ in range(times):
@@ -66,9 +66,9 @@
                 await sender.send("app", ROUTE, REQUEST, None, attempt, limit_s, delivery)
             except RefusedError as error:
                 refused = error
-        links.close()
+        connection_pool.close()
         server.close()
-        return delivery, attempt, links, refused
+        return delivery, attempt, connection_pool, refused
 
     return asyncio.run(main())
 
@@ -113,11 +113,11 @@
                 reply("503 Service Unavailable", name, more="Bayhinge-Not-Executed: 1\r\n")
             )
 
-    _, attempt, links, refused = send(wire, times=2)
+    _, attempt, connection_pool, refused = send(wire, times=2)
     assert refused is not None
     assert refused.refusal.run_state is RunState.NOT_RUN
     assert attempt.sends == 0
-    assert (links.counts.opened, links.counts.reused) == (1, 1)
+    assert (connection_pool.counts.opened, connection_pool.counts.reused) == (1, 1)
 
 
 class SlowLinks(EndpointConnectionPool):
@@ -151,24 +151,24 @@
             await asyncio.start_server(wire(name), "127.0.0.1", 0) for name in ("left", "new")
         ]
         addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
-        book, links, runs = EndpointTable("north"), SlowLinks(), ActiveRuns()
-        book.put(EndpointEntry("e-1", "app", addresses[0], "north", 4, False, 1_000))
-        sender = RequestSender(book, links, PlatformCallFormat(), runs=runs)
+        endpoint_table, connection_pool, runs = EndpointTable("north"), SlowLinks(), ActiveRuns()
+        endpoint_table.put(EndpointEntry("e-1", "app", addresses[0], "north", 4, False, 1_000))
+        sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat(), runs=runs)
         delivery, attempt = Keep(), CallAttempt()
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
             sender.send("app", ROUTE, REQUEST, None, attempt, limit_s, delivery)
         )
-        await links.asked.wait()
+        await connection_pool.asked.wait()
         again = EndpointEntry("e-1", "app", addresses[1], "north", 4, False, 2_000)
-        assert book.put(again) is EntryChange.RESTARTED
-        newest = book.find("e-1")
+        assert endpoint_table.put(again) is EntryChange.RESTARTED
+        newest = endpoint_table.find("e-1")
         assert newest is not None
         assert runs.handle_restart(newest, NewIncarnation(addresses[1], None)) == (1, 0)
-        links.can_resume.set()
+        connection_pool.can_resume.set()
         await sending
         assert newest.running_here == 0
-        links.close()
+        connection_pool.close()
         for server in servers:
             server.close()
         return delivery, attempt
@@ -198,16 +198,20 @@
 
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        book, links, runs = EndpointTable("north"), EndpointConnectionPool(), ActiveRuns()
-        book.put(EndpointEntry("e-1", "app", address, "north", 4, False, 1_000))
-        sender = RequestSender(book, links, PlatformCallFormat(), runs=runs)
+        endpoint_table, connection_pool, runs = (
+            EndpointTable("north"),
+            EndpointConnectionPool(),
+            ActiveRuns(),
+        )
+        endpoint_table.put(EndpointEntry("e-1", "app", address, "north", 4, False, 1_000))
+        sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat(), runs=runs)
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
             sender.send("app", route, REQUEST, None, CallAttempt(), limit_s, Keep())
         )
         await is_asked.wait()
-        book.put(EndpointEntry("e-1", "app", address, "north", 4, False, 2_000))
-        newest = book.find("e-1")
+        endpoint_table.put(EndpointEntry("e-1", "app", address, "north", 4, False, 2_000))
+        newest = endpoint_table.find("e-1")
         assert newest is not None
         # Sent since the restart, as far as can be told: it is at the new start already.
         assert runs.handle_restart(newest, NewIncarnation(address, None)) == (0, 1)
@@ -218,7 +222,7 @@
         except RefusedError as error:
             refused = error
         assert newest.failures == 1
-        links.close()
+        connection_pool.close()
         server.close()
         return asked, refused
 
--- a/tests/functional/test_silent_endpoints.py
+++ b/tests/functional/test_silent_endpoints.py
@@ -83,6 +83,6 @@
         asyncio.get_running_loop().call_soon(time.sleep, bound_s + 0.1)
         assert [reply.status for reply in await asyncio.gather(*asking)] == [200] * 6
         assert gateway.requests.send_counts.suspected == 0
-        assert all(belief.failures == 0 for belief in gateway.endpoint_table.all())
+        assert all(state.failures == 0 for state in gateway.endpoint_table.all())
 
     run_site(tmp_path, scenario)
--- a/tests/lib/asked_endpoints.py
+++ b/tests/lib/asked_endpoints.py
@@ -30,5 +30,5 @@
             await site.until(partial(_is_unknown, entry._gateway.endpoint_table, other.instance))
 
 
-def _is_unknown(book: EndpointTable, instance: str) -> bool:
-    return book.find(instance) is None
+def _is_unknown(endpoint_table: EndpointTable, instance: str) -> bool:
+    return endpoint_table.find(instance) is None
--- a/tests/lib/platform_site.py
+++ b/tests/lib/platform_site.py
@@ -143,7 +143,7 @@
             await front.stop()
         await gateway._listener.stop()
         await gateway.peers.close()
-        gateway.links.close()
+        gateway.connection_pool.close()
         for service in (gateway, program):
             for future in list(service._futures):
                 future.cancel()
--- a/tests/lib/proof_model.py
+++ b/tests/lib/proof_model.py
@@ -41,7 +41,7 @@
     rate: float
     offset_s: float
     known_revision: int = 0
-    book: FreshnessProofs = attrs.field(factory=FreshnessProofs)
+    proofs: FreshnessProofs = attrs.field(factory=FreshnessProofs)
     frozen_until_s: float = 0.0
     frozen_s: float = 0.0
 
@@ -138,7 +138,7 @@
         def arrives(revision: int) -> None:
             # The store's answer holds the object itself.
             host.known_revision = max(host.known_revision, revision)
-            host.book.record(self.store_proof(revision, asked_s, self.clock_s(host)))
+            host.proofs.record(self.store_proof(revision, asked_s, self.clock_s(host)))
 
         self.at(self.now_s + there_s, answers)
 
@@ -151,14 +151,14 @@
         asked_s = self.clock_s(host)
 
         def answers() -> None:
-            proof = peer.book.newest(self.knows_enough(peer))
+            proof = peer.proofs.newest(self.knows_enough(peer))
             if proof is not None:
                 age_s = self.clock_s(peer) - proof.asked_s
                 back = self.now_s + back_s
                 self.at(back, lambda: self.runs_on(host, lambda: arrives(proof.revision, age_s)))
 
         def arrives(revision: int, age_s: float) -> None:
-            host.book.record(self.peer_proof(revision, age_s, asked_s, self.clock_s(host)))
+            host.proofs.record(self.peer_proof(revision, age_s, asked_s, self.clock_s(host)))
 
         self.at(self.now_s + there_s, lambda: self.runs_on(peer, answers))
 
@@ -183,7 +183,7 @@
     def no_key_is_let_in_too_late(self) -> None:
         """Looks ahead: if nothing else happens, until when does each host let keys in?"""
         for host in self.hosts:
-            age_s = host.book.age_s(self.knows_enough(host), self.clock_s(host))
+            age_s = host.proofs.age_s(self.knows_enough(host), self.clock_s(host))
             unknown = self.taken_s[host.known_revision + 1 :]
             if math.isinf(age_s) or not unknown:
                 continue
--- a/tests/lib/proof_mutants.py
+++ b/tests/lib/proof_mutants.py
@@ -40,7 +40,7 @@
     """A watch that ended without news proves that there is none."""
 
     def hear_nothing(self, host: Host) -> None:
-        host.book.record(FreshnessProof(host.known_revision, self.clock_s(host)))
+        host.proofs.record(FreshnessProof(host.known_revision, self.clock_s(host)))
 
 
 class StandsStillWhileFrozen(ProofModel):
--- a/tests/unit/test_connecting_play.py
+++ b/tests/unit/test_connecting_play.py
@@ -48,21 +48,21 @@
     ]
 
 
-def book_of_a_hall() -> EndpointTable:
-    book = EndpointTable("north")
+def table_of_a_hall() -> EndpointTable:
+    endpoint_table = EndpointTable("north")
     for service, count in (("llm", ENGINES), ("app", SERVICES)):
         for number in range(count):
             instance = f"{service}-{number}"
             address = f"127.0.0.1:{number}"
-            book.put(EndpointEntry(instance, service, address, "north", SLOTS, False))
-    return book
+            endpoint_table.put(EndpointEntry(instance, service, address, "north", SLOTS, False))
+    return endpoint_table
 
 
 def play(
     rate: float, told: list[str], lost: frozenset[str] = frozenset(), says_connected: bool = True
 ) -> Played:
     generator = random.Random(7)
-    book = book_of_a_hall()
+    endpoint_table = table_of_a_hall()
     idle: dict[tuple[str, str], list[float]] = {}
     ends: list[tuple[float, str, str]] = []
     requests_by_host: dict[str, int] = {}
@@ -73,25 +73,25 @@
         while ends and ends[0][0] <= now_s:
             ended_s, host, instance = heapq.heappop(ends)
             idle.setdefault((host, instance), []).append(ended_s + KEPT_S)
-            book.find(instance).running_here -= 1  # type: ignore[union-attr]
+            endpoint_table.find(instance).running_here -= 1  # type: ignore[union-attr]
         host = generator.choice(told)
         if host in lost:
             refused += 1
             continue
-        wish = PlacementPreference()
+        preference = PlacementPreference()
         is_turn = generator.random() < 0.5
         if is_turn and generator.random() < OWN_ENGINE:
-            wish = PlacementPreference(
+            preference = PlacementPreference(
                 EndpointIncarnation(f"llm-{generator.randrange(ENGINES)}"), kept_tokens=3000
             )
         free = {key for (at, key), kept in idle.items() if at == host and kept and kept[-1] > now_s}
         if says_connected:
-            wish = attrs.evolve(wish, connected=frozenset(free))
-        belief = book.choose("llm" if is_turn else "app", wish, (), now_s)
-        assert belief is not None
-        belief.running_here += 1
-        most = max(most, belief.running_here)
-        kept = idle.setdefault((host, belief.entry.instance), [])
+            preference = attrs.evolve(preference, connected=frozenset(free))
+        state = endpoint_table.choose("llm" if is_turn else "app", preference, (), now_s)
+        assert state is not None
+        state.running_here += 1
+        most = max(most, state.running_here)
+        kept = idle.setdefault((host, state.entry.instance), [])
         while kept and kept[-1] < now_s:
             kept.pop()
         if kept:
@@ -99,7 +99,7 @@
         else:
             opened += 1
         took_s = generator.expovariate(1 / WORK_S)
-        heapq.heappush(ends, (now_s + took_s, host, belief.entry.instance))
+        heapq.heappush(ends, (now_s + took_s, host, state.entry.instance))
         requests_by_host[host] = requests_by_host.get(host, 0) + 1
     busiest_per_s = max(requests_by_host.values()) / LENGTH_S
     return Played(opened / count, refused / count, busiest_per_s, most)
--- a/tests/unit/test_endpoint_book.py
+++ b/tests/unit/test_endpoint_book.py
@@ -16,176 +16,191 @@
     return EndpointEntry(instance, "app", f"10.0.0.1:{len(instance)}", hall, slots, leaving)
 
 
-def book_of(*entries: EndpointEntry) -> EndpointTable:
-    book = EndpointTable("north")
+def table_of(*entries: EndpointEntry) -> EndpointTable:
+    endpoint_table = EndpointTable("north")
     for one in entries:
-        book.put(one)
-    return book
+        endpoint_table.put(one)
+    return endpoint_table
 
 
 def at(instance: str, born_ms: int | None = None) -> EndpointIncarnation:
     return EndpointIncarnation(instance, born_ms)
 
 
-def believed(book: EndpointTable, instance: str) -> EndpointState:
-    belief = book.find(instance)
-    assert belief is not None
-    return belief
+def state_of(endpoint_table: EndpointTable, instance: str) -> EndpointState:
+    state = endpoint_table.find(instance)
+    assert state is not None
+    return state
 
 
 def chosen(
-    book: EndpointTable, wish: PlacementPreference | None = None, tried: tuple[str, ...] = ()
+    endpoint_table: EndpointTable,
+    preference: PlacementPreference | None = None,
+    tried: tuple[str, ...] = (),
 ) -> str | None:
-    belief: EndpointState | None = book.choose("app", wish or PlacementPreference(), tried, 100.0)
-    return None if belief is None else belief.entry.instance
+    state: EndpointState | None = endpoint_table.choose(
+        "app", preference or PlacementPreference(), tried, 100.0
+    )
+    return None if state is None else state.entry.instance
 
 
 def test_the_least_loaded_endpoint_is_chosen_and_the_own_hall_while_it_has_room() -> None:
-    book = book_of(entry("a", "south"), entry("b"), entry("c"))
-    assert chosen(book) == "b"
-    book.apply_peer_loads({"b": 1, "c": 2})
-    assert chosen(book) == "b", "one request of ten slots is less than the way between halls costs"
-    book.apply_peer_loads({"b": 2, "c": 2})
-    assert chosen(book) == "a"
-    book.apply_peer_loads({"a": 1, "b": 2, "c": 2})
-    assert chosen(book) == "b"
+    endpoint_table = table_of(entry("a", "south"), entry("b"), entry("c"))
+    assert chosen(endpoint_table) == "b"
+    endpoint_table.apply_peer_loads({"b": 1, "c": 2})
+    assert chosen(endpoint_table) == "b", (
+        "one request of ten slots is less than the way between halls costs"
+    )
+    endpoint_table.apply_peer_loads({"b": 2, "c": 2})
+    assert chosen(endpoint_table) == "a"
+    endpoint_table.apply_peer_loads({"a": 1, "b": 2, "c": 2})
+    assert chosen(endpoint_table) == "b"
 
 
 def test_shared_parts_gather_in_each_hall_while_the_load_is_even() -> None:
     names = [f"{hall}-{number}" for hall in ("north", "south") for number in range(4)]
-    book = book_of(*(entry(name, name[:5], 10) for name in names))
-    wish = PlacementPreference(shared_part="rules")
-    first = chosen(book, wish)
+    endpoint_table = table_of(*(entry(name, name[:5], 10) for name in names))
+    preference = PlacementPreference(shared_part="rules")
+    first = chosen(endpoint_table, preference)
     assert first is not None and first.startswith("north")
-    book.apply_peer_loads({first: 1})
-    assert chosen(book, wish) == first, "a read part is worth one request of ten slots"
-    book.apply_peer_loads({first: 2})
-    second = chosen(book, wish)
+    endpoint_table.apply_peer_loads({first: 1})
+    assert chosen(endpoint_table, preference) == first, (
+        "a read part is worth one request of ten slots"
+    )
+    endpoint_table.apply_peer_loads({first: 2})
+    second = chosen(endpoint_table, preference)
     assert second is not None and second.startswith("north") and second != first
 
 
 def test_what_is_leaving_or_tried_gets_nothing() -> None:
-    book = book_of(entry("a", leaving=True), entry("b"), entry("c"))
-    assert chosen(book, tried=("b",)) == "c"
-    assert chosen(book, tried=("b", "c")) is None
+    endpoint_table = table_of(entry("a", leaving=True), entry("b"), entry("c"))
+    assert chosen(endpoint_table, tried=("b",)) == "c"
+    assert chosen(endpoint_table, tried=("b", "c")) is None
 
 
 def test_a_failure_rests_an_endpoint_unless_there_is_no_other() -> None:
-    book = book_of(entry("a"), entry("b"))
-    believed(book, "a").record_failure(100.0)
-    assert chosen(book) == "b"
-    assert chosen(book, tried=("b",)) == "a"
-    belief = book.find("a")
-    assert belief is not None
-    assert belief.ejected_until_s == 100.0 + FIRST_EJECTION_S
-    believed(book, "a").record_failure(100.0)
-    assert belief.ejected_until_s == 100.0 + 2 * FIRST_EJECTION_S
-    believed(book, "a").record_success()
-    assert chosen(book) == "a"
+    endpoint_table = table_of(entry("a"), entry("b"))
+    state_of(endpoint_table, "a").record_failure(100.0)
+    assert chosen(endpoint_table) == "b"
+    assert chosen(endpoint_table, tried=("b",)) == "a"
+    state = endpoint_table.find("a")
+    assert state is not None
+    assert state.ejected_until_s == 100.0 + FIRST_EJECTION_S
+    state_of(endpoint_table, "a").record_failure(100.0)
+    assert state.ejected_until_s == 100.0 + 2 * FIRST_EJECTION_S
+    state_of(endpoint_table, "a").record_success()
+    assert chosen(endpoint_table) == "a"
 
 
 def test_an_endpoint_whose_entry_vanished_is_the_last_resort() -> None:
-    book = book_of(entry("a"), entry("b"))
-    belief = book.find("a")
-    assert belief is not None
-    belief.is_suspected = True
-    assert chosen(book) == "b"
-    assert chosen(book, tried=("b",)) == "a"
-    assert book.put(entry("a")) is EntryChange.CHANGED
-    assert chosen(book) == "a"
+    endpoint_table = table_of(entry("a"), entry("b"))
+    state = endpoint_table.find("a")
+    assert state is not None
+    state.is_suspected = True
+    assert chosen(endpoint_table) == "b"
+    assert chosen(endpoint_table, tried=("b",)) == "a"
+    assert endpoint_table.put(entry("a")) is EntryChange.CHANGED
+    assert chosen(endpoint_table) == "a"
 
 
 def test_a_turn_goes_back_to_its_engine_unless_that_is_much_busier() -> None:
-    book = book_of(entry("a"), entry("b"))
-    book.apply_peer_loads({"b": 1})
-    assert chosen(book, PlacementPreference(at("b"))) == "b"
-    book.apply_peer_loads({"b": 5})
-    assert chosen(book, PlacementPreference(at("b"))) == "a"
+    endpoint_table = table_of(entry("a"), entry("b"))
+    endpoint_table.apply_peer_loads({"b": 1})
+    assert chosen(endpoint_table, PlacementPreference(at("b"))) == "b"
+    endpoint_table.apply_peer_loads({"b": 5})
+    assert chosen(endpoint_table, PlacementPreference(at("b"))) == "a"
 
 
 def test_requests_with_one_shared_part_meet_at_one_engine() -> None:
-    book = book_of(*(entry(name) for name in "abcdef"))
-    first = chosen(book, PlacementPreference(shared_part="policy"))
-    assert {chosen(book, PlacementPreference(shared_part="policy")) for _ in range(5)} == {first}
+    endpoint_table = table_of(*(entry(name) for name in "abcdef"))
+    first = chosen(endpoint_table, PlacementPreference(shared_part="policy"))
+    assert {
+        chosen(endpoint_table, PlacementPreference(shared_part="policy")) for _ in range(5)
+    } == {first}
     assert (
-        len({chosen(book, PlacementPreference(shared_part=f"p{number}")) for number in range(40)})
+        len(
+            {
+                chosen(endpoint_table, PlacementPreference(shared_part=f"p{number}"))
+                for number in range(40)
+            }
+        )
         > 2
     )
 
 
 def test_successes_between_failures_do_not_end_the_rest_of_a_grey_endpoint() -> None:
-    book = book_of(entry("a"), entry("b", "south"))
+    endpoint_table = table_of(entry("a"), entry("b", "south"))
     for _ in range(4):
-        believed(book, "a").record_failure(100.0)
-        believed(book, "a").record_failure(100.0)
-        believed(book, "a").record_success()
-    assert chosen(book) == "b"
+        state_of(endpoint_table, "a").record_failure(100.0)
+        state_of(endpoint_table, "a").record_failure(100.0)
+        state_of(endpoint_table, "a").record_success()
+    assert chosen(endpoint_table) == "b"
     for _ in range(19):
-        believed(book, "a").record_success()
-    assert chosen(book) == "a"
+        state_of(endpoint_table, "a").record_success()
+    assert chosen(endpoint_table) == "a"
 
 
 def test_complaints_of_other_hosts_move_work_only_while_others_have_room() -> None:
-    book = book_of(entry("a"), entry("b", "south"))
-    belief = book.find("a")
-    assert belief is not None
-    belief.failure_reports = 4
-    assert chosen(book) == "b"
-    assert chosen(book, PlacementPreference(at("a"))) == "b", "not even for a warm cache"
-    book.apply_peer_loads({"b": 8})
-    assert chosen(book) == "a"
+    endpoint_table = table_of(entry("a"), entry("b", "south"))
+    state = endpoint_table.find("a")
+    assert state is not None
+    state.failure_reports = 4
+    assert chosen(endpoint_table) == "b"
+    assert chosen(endpoint_table, PlacementPreference(at("a"))) == "b", "not even for a warm cache"
+    endpoint_table.apply_peer_loads({"b": 8})
+    assert chosen(endpoint_table) == "a"
 
 
 def test_a_long_history_is_not_read_again_for_a_few_requests_of_few_slots() -> None:
-    book = book_of(entry("a", slots=6), entry("b", slots=6))
-    book.apply_peer_loads({"b": 5})
-    assert chosen(book, PlacementPreference(at("b"), kept_tokens=6000)) == "b", (
+    endpoint_table = table_of(entry("a", slots=6), entry("b", slots=6))
+    endpoint_table.apply_peer_loads({"b": 5})
+    assert chosen(endpoint_table, PlacementPreference(at("b"), kept_tokens=6000)) == "b", (
         "reading it takes longer than waiting"
     )
-    assert chosen(book, PlacementPreference(at("b"), kept_tokens=1500)) == "a"
-    book.apply_peer_loads({"b": 7})
-    assert chosen(book, PlacementPreference(at("b"), kept_tokens=6000)) == "a"
+    assert chosen(endpoint_table, PlacementPreference(at("b"), kept_tokens=1500)) == "a"
+    endpoint_table.apply_peer_loads({"b": 7})
+    assert chosen(endpoint_table, PlacementPreference(at("b"), kept_tokens=6000)) == "a"
 
 
 def test_a_turn_whose_engine_is_too_busy_goes_where_its_shared_part_is() -> None:
     names = [f"{number}" for number in range(6)]
-    book = book_of(*(entry(name, slots=6) for name in names))
-    gathering = chosen(book, PlacementPreference(shared_part="rules", shared_tokens=2500))
+    endpoint_table = table_of(*(entry(name, slots=6) for name in names))
+    gathering = chosen(endpoint_table, PlacementPreference(shared_part="rules", shared_tokens=2500))
     assert gathering is not None
     busy = next(name for name in names if name != gathering)
-    book.apply_peer_loads({busy: 9, gathering: 2})
-    assert chosen(book, PlacementPreference(at(busy), "rules", 4000, 2500)) == gathering
+    endpoint_table.apply_peer_loads({busy: 9, gathering: 2})
+    assert chosen(endpoint_table, PlacementPreference(at(busy), "rules", 4000, 2500)) == gathering
 
 
 def test_figures_of_another_hall_move_work_only_where_they_differ_by_more_than_their_delay() -> (
     None
 ):
-    book = book_of(entry("a", slots=6), entry("b", "south", slots=6))
-    book.apply_peer_loads({"a": 2})
-    assert chosen(book) == "a"
-    book.apply_peer_loads({"a": 3})
-    assert chosen(book) == "b"
+    endpoint_table = table_of(entry("a", slots=6), entry("b", "south", slots=6))
+    endpoint_table.apply_peer_loads({"a": 2})
+    assert chosen(endpoint_table) == "a"
+    endpoint_table.apply_peer_loads({"a": 3})
+    assert chosen(endpoint_table) == "b"
 
 
 def test_two_complaints_keep_work_from_an_endpoint_that_looks_free_because_it_fails_at_once() -> (
     None
 ):
-    book = book_of(*(entry(name, slots=6) for name in "abc"))
-    belief = book.find("a")
-    assert belief is not None
-    belief.failure_reports = 2
-    book.apply_peer_loads({"b": 4, "c": 4})
-    assert chosen(book) == "b"
-    assert chosen(book, PlacementPreference(at("a"), kept_tokens=9000)) == "b"
-    book.apply_peer_loads({"b": 11, "c": 11})
-    assert chosen(book) == "a", "where no other has room, it is tried all the same"
+    endpoint_table = table_of(*(entry(name, slots=6) for name in "abc"))
+    state = endpoint_table.find("a")
+    assert state is not None
+    state.failure_reports = 2
+    endpoint_table.apply_peer_loads({"b": 4, "c": 4})
+    assert chosen(endpoint_table) == "b"
+    assert chosen(endpoint_table, PlacementPreference(at("a"), kept_tokens=9000)) == "b"
+    endpoint_table.apply_peer_loads({"b": 11, "c": 11})
+    assert chosen(endpoint_table) == "a", "where no other has room, it is tried all the same"
 
 
 def test_a_connection_decides_only_between_endpoints_that_are_equal() -> None:
-    book = book_of(entry("a"), entry("b"), entry("c"))
-    wish = PlacementPreference(connected=frozenset({"c"}))
-    assert chosen(book, wish) == "c"
-    belief = book.find("c")
-    assert belief is not None
-    belief.running_here += 1
-    assert chosen(book, wish) == "a", "one request more outweighs a connection"
+    endpoint_table = table_of(entry("a"), entry("b"), entry("c"))
+    preference = PlacementPreference(connected=frozenset({"c"}))
+    assert chosen(endpoint_table, preference) == "c"
+    state = endpoint_table.find("c")
+    assert state is not None
+    state.running_here += 1
+    assert chosen(endpoint_table, preference) == "a", "one request more outweighs a connection"
--- a/tests/unit/test_endpoint_news.py
+++ b/tests/unit/test_endpoint_news.py
@@ -53,12 +53,14 @@
     """What one host believes of endpoints."""
 
     def __init__(self) -> None:
-        self.book = EndpointTable("north")
-        self.links = EndpointConnectionPool()
+        self.endpoint_table = EndpointTable("north")
+        self.connection_pool = EndpointConnectionPool()
         self.runs = ActiveRuns()
-        self.restarts = EndpointRestarts(self.book, self.links, self.runs, lambda: BORN_MS + 9_000)
+        self.restarts = EndpointRestarts(
+            self.endpoint_table, self.connection_pool, self.runs, lambda: BORN_MS + 9_000
+        )
         self.listener = EndpointTableUpdater(
-            PlatformObjectReader(), self.book, self.links, self.restarts
+            PlatformObjectReader(), self.endpoint_table, self.connection_pool, self.restarts
         )
 
     def hear(self, value: bytes | None, key: str = KEY, revision: int = 5) -> None:
@@ -67,10 +69,10 @@
     def list(self, value_by_key: dict[str, bytes], is_after_outage: bool = False) -> None:
         self.listener.replace_all(value_by_key, is_after_outage)
 
-    def believed(self) -> Belief:
-        belief = self.book.find("a")
-        assert belief is not None
-        return belief
+    def state_of(self) -> Belief:
+        state = self.endpoint_table.find("a")
+        assert state is not None
+        return state
 
 
 # ---- entries ----
@@ -84,7 +86,7 @@
         await asyncio.sleep(MISSING_ENTRY_GRACE_S / 2)
         host.hear(entry_value(BORN_MS + 1))
         await asyncio.sleep(MISSING_ENTRY_GRACE_S)
-        assert not host.believed().is_suspected
+        assert not host.state_of().is_suspected
 
     run_virtual(scenario())
 
@@ -96,12 +98,12 @@
         host.hear(None)
         host.hear(entry_value(BORN_MS))
         await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
-        assert host.book.find("a") is None
+        assert host.endpoint_table.find("a") is None
         host.hear(entry_value(BORN_MS))
-        assert host.book.find("a") is None
+        assert host.endpoint_table.find("a") is None
         await asyncio.sleep(REMOVED_ENTRY_KEEP_S)
         host.hear(entry_value(BORN_MS))
-        assert host.book.find("a") is not None
+        assert host.endpoint_table.find("a") is not None
 
     run_virtual(scenario())
 
@@ -120,8 +122,8 @@
         second.list(new, is_after_outage=True)
         await asyncio.sleep(MISSING_AFTER_OUTAGE_GRACE_S + 0.1)
         for host in (first, second):
-            assert host.believed().entry.address == "10.0.0.1:81"
-            assert host.believed().entry.born_ms == BORN_MS + 1
+            assert host.state_of().entry.address == "10.0.0.1:81"
+            assert host.state_of().entry.born_ms == BORN_MS + 1
 
     run_virtual(scenario())
 
@@ -130,12 +132,12 @@
     async def scenario() -> None:
         host = Host()
         host.hear(entry_value(None))
-        belief = host.believed()
-        belief.failures = 2.0
+        state = host.state_of()
+        state.failures = 2.0
         host.hear(entry_value(None, 81))
         host.list({KEY: entry_value(None, 82)})
-        assert host.believed() is belief
-        assert belief.failures == 2.0
+        assert host.state_of() is state
+        assert state.failures == 2.0
 
     run_virtual(scenario())
 
@@ -144,16 +146,16 @@
     async def scenario() -> None:
         host = Host()
         host.hear(entry_value(BORN_MS))
-        former = host.believed()
+        former = host.state_of()
         # Still opening its connection: it will reach whoever listens there.
         run = host.runs.begin(former)
         host.hear(entry_value(BORN_MS + 1))
-        assert (former.running_here, host.believed().running_here) == (0, 1)
+        assert (former.running_here, host.state_of().running_here) == (0, 1)
         host.hear(entry_value(BORN_MS + 2, 81))
         assert run.is_ended, "its connection leads to an address that was left"
-        assert host.believed().running_here == 0
+        assert host.state_of().running_here == 0
         host.runs.end(run)
-        assert host.believed().running_here == 0
+        assert host.state_of().running_here == 0
 
     run_virtual(scenario())
 
@@ -162,25 +164,25 @@
     async def scenario() -> None:
         host = Host()
         host.hear(entry_value(BORN_MS))
-        run = host.runs.begin(host.believed())
+        run = host.runs.begin(host.state_of())
         host.hear(None)
         await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
-        assert host.book.find("a") is None
+        assert host.endpoint_table.find("a") is None
         host.hear(entry_value(BORN_MS))
-        assert host.believed().running_here == 1
+        assert host.state_of().running_here == 1
         host.runs.end(run)
-        assert host.believed().running_here == 0
+        assert host.state_of().running_here == 0
 
     run_virtual(scenario())
 
 
 def test_what_a_former_start_said_last_is_no_word_of_the_next_one() -> None:
-    links = EndpointConnectionPool()
-    links._last_received_s_by_key["a"] = 10.0
-    links.close_previous_incarnations("a", NewIncarnation("x", 9.0))
-    assert links.has_received_since("a", 9.5), "that was the new start"
-    links.close_previous_incarnations("a", NewIncarnation("x", 11.0))
-    assert not links.has_received_since("a", 9.5)
+    connection_pool = EndpointConnectionPool()
+    connection_pool._last_received_s_by_key["a"] = 10.0
+    connection_pool.close_previous_incarnations("a", NewIncarnation("x", 9.0))
+    assert connection_pool.has_received_since("a", 9.5), "that was the new start"
+    connection_pool.close_previous_incarnations("a", NewIncarnation("x", 11.0))
+    assert not connection_pool.has_received_since("a", 9.5)
 
 
 # ---- loads ----
@@ -188,7 +190,7 @@
 
 def exchange_of(host: Host) -> LoadExchange:
     me = wire.Hello(host="me", hall="north", incarnation=1)
-    exchange = LoadExchange(me, host.book, HallCoordinators.__new__(HallCoordinators))
+    exchange = LoadExchange(me, host.endpoint_table, HallCoordinators.__new__(HallCoordinators))
     host.restarts.forget_loads = exchange.forget_endpoint
     host.restarts.known_revision = lambda: 50
     return exchange
@@ -205,14 +207,14 @@
         host.hear(entry_value(BORN_MS))
         exchange.receive_loads(loads(1, 40))
         exchange.refresh_endpoint_table()
-        assert (host.believed().running_at_peers, host.believed().failure_reports) == (3, 1)
+        assert (host.state_of().running_at_peers, host.state_of().failure_reports) == (3, 1)
         host.hear(entry_value(BORN_MS + 1))
         for beat, known_to, counts in ((2, 49, 0), (3, 50, 1), (4, None, 1)):
             exchange.refresh_endpoint_table()
             exchange.receive_loads(loads(beat, known_to))
             exchange.refresh_endpoint_table()
-            belief = host.believed()
-            assert (belief.running_at_peers, belief.failure_reports) == (3 * counts, counts)
+            state = host.state_of()
+            assert (state.running_at_peers, state.failure_reports) == (3 * counts, counts)
 
     run_virtual(scenario())
 
@@ -221,23 +223,27 @@
     async def scenario() -> None:
         host = Host()
         exchange = exchange_of(host)
-        host.book.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS))
+        host.endpoint_table.put(
+            EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
+        )
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 1, {"a": 6}, 40))
-        exchange.record_remote_grant(host.believed())
+        exchange.record_remote_grant(host.state_of())
         exchange.refresh_endpoint_table()
-        assert host.believed().running_at_peers == 7
-        host.book.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS + 1))
+        assert host.state_of().running_at_peers == 7
+        host.endpoint_table.put(
+            EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS + 1)
+        )
         host.restarts.handle_restart(
-            host.believed(), EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
+            host.state_of(), EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
         )
         exchange.refresh_endpoint_table()
-        assert host.believed().running_at_peers == 0
+        assert host.state_of().running_at_peers == 0
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 2, {"a": 6}, 49))
         exchange.refresh_endpoint_table()
-        assert host.believed().running_at_peers == 0
+        assert host.state_of().running_at_peers == 0
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 3, {"a": 2}, 50))
         exchange.refresh_endpoint_table()
-        assert host.believed().running_at_peers == 2
+        assert host.state_of().running_at_peers == 2
 
     run_virtual(scenario())
 
@@ -266,7 +272,7 @@
 
 
 def placer_of(host: Host) -> CoordinatorPlacer:
-    return CoordinatorPlacer(host.book, AtHome(), exchange_of(host), OnePeer(), "north")
+    return CoordinatorPlacer(host.endpoint_table, AtHome(), exchange_of(host), OnePeer(), "north")
 
 
 def place_call(known_to: int | None, wished: str, born_ms: int | None) -> wire.PlaceCall:
@@ -281,9 +287,9 @@
         host.hear(entry_value(BORN_MS))
         host.hear(entry_value(BORN_MS, 90), "servers/b")
         host.hear(entry_value(BORN_MS + 1, 81))
-        belief = host.book.find("b")
-        assert belief is not None
-        belief.running_here = 3
+        state = host.endpoint_table.find("b")
+        assert state is not None
+        state.running_here = 3
         assert placer.answer(place_call(49, "", None)).endpoint == "b"
         assert placer.answer(place_call(50, "", None)).endpoint == "a"
 
@@ -296,9 +302,9 @@
         placer = placer_of(host)
         host.hear(entry_value(BORN_MS + 1))
         host.hear(entry_value(BORN_MS, 90), "servers/b")
-        belief = host.book.find("a")
-        assert belief is not None
-        belief.running_here = 2
+        state = host.endpoint_table.find("a")
+        assert state is not None
+        state.running_here = 2
         assert placer.answer(place_call(50, "a", BORN_MS)).endpoint == "b"
         assert placer.answer(place_call(50, "a", BORN_MS + 1)).endpoint == "a"
 
--- a/tests/unit/test_endpoint_starts.py
+++ b/tests/unit/test_endpoint_starts.py
@@ -38,22 +38,24 @@
     return EndpointEntry(instance, "app", address, "north", 10, False, born_ms)
 
 
-def book_of(*entries: EndpointEntry) -> EndpointTable:
-    book = EndpointTable("north")
+def table_of(*entries: EndpointEntry) -> EndpointTable:
+    endpoint_table = EndpointTable("north")
     for one in entries:
-        book.put(one)
-    return book
+        endpoint_table.put(one)
+    return endpoint_table
 
 
-def believed(book: EndpointTable, instance: str = "a") -> EndpointState:
-    belief = book.find(instance)
-    assert belief is not None
-    return belief
+def state_of(endpoint_table: EndpointTable, instance: str = "a") -> EndpointState:
+    state = endpoint_table.find(instance)
+    assert state is not None
+    return state
 
 
-def chosen(book: EndpointTable, wish: PlacementPreference | None = None) -> str | None:
-    belief = book.choose("app", wish or PlacementPreference(), (), NOW_S)
-    return None if belief is None else belief.entry.instance
+def chosen(
+    endpoint_table: EndpointTable, preference: PlacementPreference | None = None
+) -> str | None:
+    state = endpoint_table.choose("app", preference or PlacementPreference(), (), NOW_S)
+    return None if state is None else state.entry.instance
 
 
 # ---- the edge ----
@@ -104,76 +106,80 @@
 
 
 def test_a_later_start_begins_with_nothing_of_the_former_one() -> None:
-    book = book_of(entry(), entry("b", address="10.0.0.2:80"))
-    former = believed(book)
+    endpoint_table = table_of(entry(), entry("b", address="10.0.0.2:80"))
+    former = state_of(endpoint_table)
     former.running_here, former.running_at_peers, former.failure_reports = 3, 4, 2
     former.is_suspected = True
     for _ in range(5):
         former.record_failure(NOW_S)
-    assert chosen(book) == "b"
-    assert book.put(entry(born_ms=BORN_MS + 1)) is EntryChange.RESTARTED
-    assert believed(book) is not former
-    assert (believed(book).load, believed(book).effective_load, believed(book).failures) == (
+    assert chosen(endpoint_table) == "b"
+    assert endpoint_table.put(entry(born_ms=BORN_MS + 1)) is EntryChange.RESTARTED
+    assert state_of(endpoint_table) is not former
+    assert (
+        state_of(endpoint_table).load,
+        state_of(endpoint_table).effective_load,
+        state_of(endpoint_table).failures,
+    ) == (
         0,
         0,
         0,
     )
-    assert not believed(book).is_suspected
-    assert not book.ejected(NOW_S)
-    assert chosen(book) == "a"
+    assert not state_of(endpoint_table).is_suspected
+    assert not endpoint_table.ejected(NOW_S)
+    assert chosen(endpoint_table) == "a"
 
 
 def test_what_the_former_start_does_late_is_not_the_next_ones() -> None:
-    book = book_of(entry())
-    former = believed(book)
-    book.put(entry(born_ms=BORN_MS + 1))
+    endpoint_table = table_of(entry())
+    former = state_of(endpoint_table)
+    endpoint_table.put(entry(born_ms=BORN_MS + 1))
     former.record_failure(NOW_S)
     former.running_here -= 1
-    assert not book.ejected(NOW_S)
-    assert believed(book).running_here == 0
+    assert not endpoint_table.ejected(NOW_S)
+    assert state_of(endpoint_table).running_here == 0
 
 
 def test_a_start_that_is_seen_late_never_replaces_a_later_one() -> None:
-    book = book_of(entry(born_ms=BORN_MS + 1, address="10.0.0.2:80"))
-    newest = believed(book)
+    endpoint_table = table_of(entry(born_ms=BORN_MS + 1, address="10.0.0.2:80"))
+    newest = state_of(endpoint_table)
     newest.is_suspected = True
-    assert book.put(entry(address="10.0.0.1:80")) is EntryChange.OUTDATED
-    assert believed(book) is newest
+    assert endpoint_table.put(entry(address="10.0.0.1:80")) is EntryChange.OUTDATED
+    assert state_of(endpoint_table) is newest
     assert newest.entry.address == "10.0.0.2:80"
     assert newest.is_suspected, "the later start's own entry has not come back"
 
 
 def test_a_start_that_is_seen_late_does_not_bring_a_gone_endpoint_back() -> None:
-    book = book_of(entry(born_ms=BORN_MS + 1))
-    assert book.remove("a")
-    assert book.put(entry()) is EntryChange.OUTDATED
-    assert book.find("a") is None
-    assert book.put(entry(born_ms=BORN_MS + 1)) is EntryChange.FOUND
-    book.remove("a")
-    assert book.put(entry(born_ms=BORN_MS + 2)) is EntryChange.RESTARTED
-    book.remove("a")
-    book.forget_removed(EndpointIncarnation("a", BORN_MS + 1))
-    assert book.put(entry()) is EntryChange.OUTDATED, "another start's time is not over"
-    book.forget_removed(EndpointIncarnation("a", BORN_MS + 2))
-    assert book.put(entry()) is EntryChange.FOUND
+    endpoint_table = table_of(entry(born_ms=BORN_MS + 1))
+    assert endpoint_table.remove("a")
+    assert endpoint_table.put(entry()) is EntryChange.OUTDATED
+    assert endpoint_table.find("a") is None
+    assert endpoint_table.put(entry(born_ms=BORN_MS + 1)) is EntryChange.FOUND
+    endpoint_table.remove("a")
+    assert endpoint_table.put(entry(born_ms=BORN_MS + 2)) is EntryChange.RESTARTED
+    endpoint_table.remove("a")
+    endpoint_table.forget_removed(EndpointIncarnation("a", BORN_MS + 1))
+    assert endpoint_table.put(entry()) is EntryChange.OUTDATED, "another start's time is not over"
+    endpoint_table.forget_removed(EndpointIncarnation("a", BORN_MS + 2))
+    assert endpoint_table.put(entry()) is EntryChange.FOUND
 
 
 def test_an_entry_without_a_start_changes_no_start_and_is_taken_in() -> None:
-    book = book_of(entry())
-    belief = believed(book)
-    assert book.put(entry(born_ms=None, address="10.0.0.2:80")) is EntryChange.CHANGED
-    assert believed(book) is belief
-    assert belief.entry == entry(address="10.0.0.2:80")
-    assert book.put(entry(born_ms=BORN_MS - 1)) is EntryChange.OUTDATED
+    endpoint_table = table_of(entry())
+    state = state_of(endpoint_table)
+    assert endpoint_table.put(entry(born_ms=None, address="10.0.0.2:80")) is EntryChange.CHANGED
+    assert state_of(endpoint_table) is state
+    assert state.entry == entry(address="10.0.0.2:80")
+    assert endpoint_table.put(entry(born_ms=BORN_MS - 1)) is EntryChange.OUTDATED
 
 
 def test_a_start_that_becomes_known_is_the_one_that_was_unknown() -> None:
-    book = book_of(entry(born_ms=None))
-    belief = believed(book)
-    belief.running_here = 2
-    assert book.put(entry()) is EntryChange.CHANGED
-    assert believed(book) is belief
-    assert belief.running_here == 2
+    endpoint_table = table_of(entry(born_ms=None))
+    state = state_of(endpoint_table)
+    state.running_here = 2
+    assert endpoint_table.put(entry()) is EntryChange.CHANGED
+    assert state_of(endpoint_table) is state
+    assert state.running_here == 2
 
 
 starts = st.one_of(st.none(), st.integers(BORN_MS, BORN_MS + 4))
@@ -190,11 +196,11 @@
 
 
 def _start_after(births: Iterable[int | None]) -> int | None:
-    book = EndpointTable("north")
+    endpoint_table = EndpointTable("north")
     for born_ms in births:
-        book.put(entry(born_ms=born_ms))
-    belief = book.find("a")
-    return None if belief is None else belief.entry.born_ms
+        endpoint_table.put(entry(born_ms=born_ms))
+    state = endpoint_table.find("a")
+    return None if state is None else state.entry.born_ms
 
 
 def test_twice_within_a_heartbeat_is_one_later_start() -> None:
@@ -208,45 +214,56 @@
 def test_an_endpoint_whose_address_another_one_has_since_is_a_last_resort() -> None:
     newcomer = entry("b", BORN_MS + 1)
     for order in ((entry(), newcomer), (newcomer, entry())):
-        book = book_of(*order)
-        assert [belief.entry.instance for belief in book.replaced_at("10.0.0.1:80")] == ["a"]
-        assert chosen(book) == "b"
-        believed(book, "b").running_here = 1_000
-        assert chosen(book) == "b"
-        book.remove("b")
-        assert chosen(book) == "a", "the other one is gone, and this one's entry is there"
+        endpoint_table = table_of(*order)
+        assert [state.entry.instance for state in endpoint_table.replaced_at("10.0.0.1:80")] == [
+            "a"
+        ]
+        assert chosen(endpoint_table) == "b"
+        state_of(endpoint_table, "b").running_here = 1_000
+        assert chosen(endpoint_table) == "b"
+        endpoint_table.remove("b")
+        assert chosen(endpoint_table) == "a", "the other one is gone, and this one's entry is there"
 
 
 @pytest.mark.parametrize("born_ms", [None, BORN_MS])
 def test_an_entry_that_may_be_a_copy_displaces_nobody(born_ms: int | None) -> None:
-    book = book_of(entry(), entry("b", born_ms))
-    assert book.replaced_at("10.0.0.1:80") == []
+    endpoint_table = table_of(entry(), entry("b", born_ms))
+    assert endpoint_table.replaced_at("10.0.0.1:80") == []
 
 
 def test_an_endpoint_that_started_elsewhere_is_displaced_no_more() -> None:
-    book = book_of(entry(), entry("b", BORN_MS + 1))
-    book.put(entry(born_ms=BORN_MS + 2, address="10.0.0.9:80"))
-    assert book.replaced_at("10.0.0.1:80") == book.replaced_at("10.0.0.9:80") == []
-    assert chosen(book) == "a"
+    endpoint_table = table_of(entry(), entry("b", BORN_MS + 1))
+    endpoint_table.put(entry(born_ms=BORN_MS + 2, address="10.0.0.9:80"))
+    assert (
+        endpoint_table.replaced_at("10.0.0.1:80") == endpoint_table.replaced_at("10.0.0.9:80") == []
+    )
+    assert chosen(endpoint_table) == "a"
 
 
 # ---- what a memory holds ----
 
 
 def test_a_history_that_a_former_start_has_read_draws_no_turn() -> None:
-    book = book_of(entry("a", BORN_MS + 1), entry("b", address="10.0.0.2:80"))
-    book.apply_peer_loads({"a": 2})
+    endpoint_table = table_of(entry("a", BORN_MS + 1), entry("b", address="10.0.0.2:80"))
+    endpoint_table.apply_peer_loads({"a": 2})
     assert (
-        chosen(book, PlacementPreference(EndpointIncarnation("a", BORN_MS + 1), kept_tokens=20_000))
+        chosen(
+            endpoint_table,
+            PlacementPreference(EndpointIncarnation("a", BORN_MS + 1), kept_tokens=20_000),
+        )
         == "a"
     )
     assert (
-        chosen(book, PlacementPreference(EndpointIncarnation("a", BORN_MS), kept_tokens=20_000))
+        chosen(
+            endpoint_table,
+            PlacementPreference(EndpointIncarnation("a", BORN_MS), kept_tokens=20_000),
+        )
         == "b"
     )
-    assert chosen(book, PlacementPreference(EndpointIncarnation("a"), kept_tokens=20_000)) == "a", (
-        "it may be this one"
-    )
+    assert (
+        chosen(endpoint_table, PlacementPreference(EndpointIncarnation("a"), kept_tokens=20_000))
+        == "a"
+    ), "it may be this one"
 
 
 # ---- which runs and connections are over ----
@@ -316,18 +333,18 @@
 
 
 def test_a_home_forgets_loads_complaints_and_grants_of_the_former_start() -> None:
-    board = LoadTable()
-    board.record_report(
+    load_table = LoadTable()
+    load_table.record_report(
         HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S
     )
-    grant = board.grant("h", "a")
-    board.grant("h", "b")
-    board.forget_endpoint("a")
-    assert counted(board.running_by_endpoint()) == {"b": 2}
-    assert counted(board.failure_reports_by_endpoint()) == {"b": 1}
+    grant = load_table.grant("h", "a")
+    load_table.grant("h", "b")
+    load_table.forget_endpoint("a")
+    assert counted(load_table.running_by_endpoint()) == {"b": 2}
+    assert counted(load_table.failure_reports_by_endpoint()) == {"b": 1}
     # What the host says from now on counts once, also where it counts in what was granted before.
-    board.record_report(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
-    assert counted(board.running_by_endpoint()) == {"a": 1, "b": 2}
-    board.forget_silent(NOW_S + 60)
-    assert not counted(board.running_by_endpoint())
-    assert not counted(board.failure_reports_by_endpoint())
+    load_table.record_report(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
+    assert counted(load_table.running_by_endpoint()) == {"a": 1, "b": 2}
+    load_table.forget_silent(NOW_S + 60)
+    assert not counted(load_table.running_by_endpoint())
+    assert not counted(load_table.failure_reports_by_endpoint())
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -164,8 +164,8 @@
 def test_loads_of_a_host_count_for_their_time(site: SiteSettings) -> None:
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
-        book = EndpointTable("north")
-        exchange = LoadExchange(gossip.own_heartbeat, book, HallCoordinators(gossip))
+        endpoint_table = EndpointTable("north")
+        exchange = LoadExchange(gossip.own_heartbeat, endpoint_table, HallCoordinators(gossip))
         loads = HostLoads("edge-2", 1, 1, 0, {ENDPOINT: 3}, [])
 
         def counted() -> bool:
--- a/tests/unit/test_left_behind_elsewhere.py
+++ b/tests/unit/test_left_behind_elsewhere.py
@@ -53,10 +53,10 @@
     """
     part = b"HTTP/1.1 200 OK\r\nBayhinge-Odd: 1\r\nX-Cut: "[:size]
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connection_pool, address)
         assert await first.read_body() == b"body"
-        links.release(connection, None)
+        connection_pool.release(connection, None)
         assert not connection.is_open
 
     run(wire_with_surplus(part), scenario)
@@ -65,12 +65,12 @@
 def test_a_surplus_beginning_changes_no_head_of_the_next_answer() -> None:
     part = b"HTTP/1.1 503 Full\r\nBayhinge-Not-Executed: 1\r\nX-Cut: "
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connection_pool, address)
         await first.read_body()
-        links.release(connection, None)
+        connection_pool.release(connection, None)
         try:
-            _, second = await ask(links, address)
+            _, second = await ask(connection_pool, address)
         except Exception:
             return
         names = {name for name, _ in second.headers}
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -64,24 +64,24 @@
 
 
 class Watched:
-    """A belief of endpoints with its book and its log lines."""
+    """An updater of an endpoint table, with its log lines."""
 
     def __init__(self) -> None:
-        self.book = EndpointTable("north")
-        links = EndpointConnectionPool()
-        restarts = EndpointRestarts(self.book, links, ActiveRuns(), lambda: 0)
-        self.belief = EndpointTableUpdater(READER, self.book, links, restarts)
+        self.endpoint_table = EndpointTable("north")
+        connection_pool = EndpointConnectionPool()
+        restarts = EndpointRestarts(self.endpoint_table, connection_pool, ActiveRuns(), lambda: 0)
+        self.updater = EndpointTableUpdater(READER, self.endpoint_table, connection_pool, restarts)
         self.lines: list[Line] = []
 
     def told(self, kind: str) -> list[Line]:
         return told(self.lines, kind)
 
     def chosen(self) -> str | None:
-        found = self.book.choose("app", PlacementPreference(), (), 0.0)
+        found = self.endpoint_table.choose("app", PlacementPreference(), (), 0.0)
         return None if found is None else found.entry.instance
 
     def say(self, instance: str, value: bytes | None) -> None:
-        self.belief.apply(Change(f"servers/{instance}", value, 1, 1), False)
+        self.updater.apply(Change(f"servers/{instance}", value, 1, 1), False)
 
 
 def watch(scenario: Callable[[Watched], None]) -> None:
@@ -123,7 +123,7 @@
     def scenario(watched: Watched) -> None:
         watched.say("i-1", orjson.dumps(ENTRY | {"service": "of-tomorrow"}))
         assert watched.chosen() is None
-        assert watched.book.find("i-1") is not None
+        assert watched.endpoint_table.find("i-1") is not None
         watched.say("i-2", GOOD)
         assert watched.chosen() == "i-2"
 
@@ -135,9 +135,9 @@
         watched.say("i-1", GOOD)
         watched.say("other/i-1", ODD_ENTRY_BY_FORM["state unknown"])
         watched.say("other/i-1", None)
-        belief = watched.book.find("i-1")
-        assert belief is not None
-        assert not belief.is_suspected
+        state = watched.endpoint_table.find("i-1")
+        assert state is not None
+        assert not state.is_suspected
         assert watched.chosen() == "i-1"
 
     watch(scenario)
@@ -149,16 +149,16 @@
 ) -> None:
     def scenario(watched: Watched) -> None:
         watched.say("i-1", GOOD)
-        running = watched.book.find("i-1")
+        running = watched.endpoint_table.find("i-1")
         assert running is not None
         running.running_here = 1
         watched.say("i-1", ODD_ENTRY_BY_FORM[form])
         assert watched.chosen() is None, "not even as a last resort"
         # Its run goes on and is counted where it was.
-        assert watched.book.find("i-1") is running
+        assert watched.endpoint_table.find("i-1") is running
         watched.say("i-1", GOOD)
         assert watched.chosen() == "i-1"
-        assert watched.book.find("i-1") is running
+        assert watched.endpoint_table.find("i-1") is running
 
     watch(scenario)
 
@@ -170,12 +170,12 @@
     def scenario(watched: Watched) -> None:
         watched.say("i-1", GOOD)
         listed = odd | {"servers/": GOOD, "servers/i-2": GOOD, "servers/i-1": b"{}"}
-        watched.belief.replace_all(listed, is_after_outage)
+        watched.updater.replace_all(listed, is_after_outage)
         assert watched.chosen() == "i-2"
-        assert {one.entry.instance for one in watched.book.all()} == {"i-1", "i-2"}
-        watched.belief.replace_all({"servers/i-1": GOOD}, is_after_outage)
+        assert {one.entry.instance for one in watched.endpoint_table.all()} == {"i-1", "i-2"}
+        watched.updater.replace_all({"servers/i-1": GOOD}, is_after_outage)
         assert watched.chosen() == "i-1"
-        assert watched.belief.unreadable.current == 0
+        assert watched.updater.unreadable.current == 0
 
     watch(scenario)
 
@@ -185,11 +185,11 @@
         odd = orjson.dumps(ENTRY | {"slots": 0})
         for _ in range(5):
             watched.say("i-1", odd)
-            watched.belief.replace_all({"servers/i-1": odd}, False)
+            watched.updater.replace_all({"servers/i-1": odd}, False)
         lines = watched.told("endpoint.unreadable")
         assert [line["key"] for line in lines] == ["servers/i-1"]
         assert "'slots' must be >= 1" in lines[0]["findings"][0]
-        assert (watched.belief.unreadable.current, watched.belief.unreadable.total) == (1, 10)
+        assert (watched.updater.unreadable.current, watched.updater.unreadable.total) == (1, 10)
         watched.say("i-1", b"5")
         watched.say("i-1", GOOD)
         watched.say("i-1", odd)
@@ -207,8 +207,8 @@
         # The loop's second may turn once meanwhile.
         assert len(lines) <= 3 * unreadable_objects.MAX_LOG_LINES_PER_S
         assert max(len(str(line)) for line in lines) < 1000
-        assert watched.belief.unreadable.total == 2 * unreadable_objects.MAX_TRACKED_KEYS
-        assert watched.belief.unreadable.current == unreadable_objects.MAX_TRACKED_KEYS
+        assert watched.updater.unreadable.total == 2 * unreadable_objects.MAX_TRACKED_KEYS
+        assert watched.updater.unreadable.current == unreadable_objects.MAX_TRACKED_KEYS
 
     watch(scenario)
 
@@ -241,15 +241,15 @@
         for name, value, is_list in [*news, ("i-new", GOOD, False)]:
             key = f"servers/{name}"
             if is_list and value is not None:
-                watched.belief.replace_all({key: value} | good, False)
+                watched.updater.replace_all({key: value} | good, False)
             else:
-                watched.belief.replace_all(good, False)
-                watched.belief.apply(Change(key, value, 1, 1), False)
-            known = watched.book.find("i-well")
+                watched.updater.replace_all(good, False)
+                watched.updater.apply(Change(key, value, 1, 1), False)
+            known = watched.endpoint_table.find("i-well")
             assert known is not None
             assert not known.is_suspected
             assert not known.entry.is_leaving
-        assert watched.book.find("i-new") is not None
+        assert watched.endpoint_table.find("i-new") is not None
 
     watch(scenario)
 
@@ -289,31 +289,31 @@
 @pytest.mark.parametrize("form", ODD_CONFIGURATION_BY_FORM)
 def test_a_configuration_that_can_not_be_used_leaves_the_one_in_force(form: str) -> None:
     async def main() -> None:
-        belief = ConfigurationState(READER, CONFIGURATION_KEY)
-        belief.replace_all({CONFIGURATION_KEY: orjson.dumps(CONFIGURATION)}, False)
+        configuration = ConfigurationState(READER, CONFIGURATION_KEY)
+        configuration.replace_all({CONFIGURATION_KEY: orjson.dumps(CONFIGURATION)}, False)
         odd = ODD_CONFIGURATION_BY_FORM[form]
-        belief.apply(Change(CONFIGURATION_KEY, odd, 2, 2), False)
-        belief.replace_all({CONFIGURATION_KEY: odd}, False)
-        assert belief.table is not None
-        assert (belief.table.version, len(belief.table.routes)) == (7, 5)
-        assert belief.unreadable.total == 2
+        configuration.apply(Change(CONFIGURATION_KEY, odd, 2, 2), False)
+        configuration.replace_all({CONFIGURATION_KEY: odd}, False)
+        assert configuration.table is not None
+        assert (configuration.table.version, len(configuration.table.routes)) == (7, 5)
+        assert configuration.unreadable.total == 2
         newer = orjson.dumps(CONFIGURATION | {"version": 9})
-        belief.apply(Change(CONFIGURATION_KEY, newer, 3, 3), False)
-        assert belief.table.version == 9
-        assert belief.unreadable.current == 0
+        configuration.apply(Change(CONFIGURATION_KEY, newer, 3, 3), False)
+        assert configuration.table.version == 9
+        assert configuration.unreadable.current == 0
 
     asyncio.run(main())
 
 
 def test_another_object_beside_the_configuration_is_none() -> None:
     async def main() -> None:
-        belief = ConfigurationState(READER, CONFIGURATION_KEY)
+        configuration = ConfigurationState(READER, CONFIGURATION_KEY)
         other = orjson.dumps(CONFIGURATION | {"version": 99, "routes": []})
         both = {"config/draft": other, CONFIGURATION_KEY: orjson.dumps(CONFIGURATION)}
-        belief.replace_all(both, False)
-        belief.apply(Change("config/main/draft", other, 2, 2), False)
-        assert belief.table is not None
-        assert belief.table.version == 7
+        configuration.replace_all(both, False)
+        configuration.apply(Change("config/main/draft", other, 2, 2), False)
+        assert configuration.table is not None
+        assert configuration.table.version == 7
 
     asyncio.run(main())
 
--- a/tests/unit/test_stalls_endpoints.py
+++ b/tests/unit/test_stalls_endpoints.py
@@ -92,9 +92,9 @@
 
 def test_an_endpoint_is_reached_by_a_host_that_stood_still() -> None:
     async def scenario(address: str) -> None:
-        links = EndpointConnectionPool()
+        connection_pool = EndpointConnectionPool()
         asyncio.get_running_loop().call_soon(time.sleep, CONNECT_TIMEOUT_S + 0.1)
-        connection = await links.acquire("i-1", address)
+        connection = await connection_pool.acquire("i-1", address)
         connection.abort("over")
 
     with disks_elsewhere(1) as (addresses, _):
