--- a/src/bayhinge/_internal/decisions/caller_addresses.py
+++ b/src/bayhinge/_internal/decisions/caller_addresses.py
@@ -35,16 +35,16 @@
 
     Attributes:
         requests_per_s: its current rate of callers' requests.
-        is_cut_off: it is partitioned from the disks and reaches them only through relays.
-        is_told: it is advertised to its own hall's callers, so it has connections to endpoints.
+        is_partitioned: it can't reach the disks directly, and reaches them only through relays.
+        is_advertised: its own hall's callers get its address, so it has connections to endpoints.
     """
 
     address: str
     hall: str
     region: str
     requests_per_s: int = 0
-    is_cut_off: bool = False
-    is_told: bool = False
+    is_partitioned: bool = False
+    is_advertised: bool = False
 
 
 def addresses_for(
@@ -66,13 +66,13 @@
     """Returns hosts of other halls, preferably of the same region and already advertised."""
     pool = [host for host in others if host.region == region] or others
     # Idle hosts would open connections to endpoints for a few requests each.
-    pool = [host for host in pool if host.is_told] or pool
+    pool = [host for host in pool if host.is_advertised] or pool
     return [host.address for host in generator.sample(pool, min(SPARE_HOSTS, len(pool)))]
 
 
 def _without_partitioned(hosts: Sequence[ReadyHost]) -> Sequence[ReadyHost]:
     """Leaves out partitioned hosts, unless most hosts are: then the disks themselves are down."""
-    connected = [host for host in hosts if not host.is_cut_off]
+    connected = [host for host in hosts if not host.is_partitioned]
     return connected if 2 * len(connected) >= len(hosts) else hosts
 
 
--- a/src/bayhinge/_internal/decisions/cell.py
+++ b/src/bayhinge/_internal/decisions/cell.py
@@ -67,7 +67,7 @@
     placement: str = "finish-time"
     early_refusal: bool = True
     releases: bool = True
-    read_again_share: float = 0.05
+    recomputed_share: float = 0.05
     token_target_s: float = 0.048
 
 
@@ -96,7 +96,7 @@
     def __init__(self, settings: CellSettings) -> None:
         self._settings = settings
         self.estimates = initial_estimates(
-            settings.prefill_tokens_per_s, settings.token_s, settings.read_again_share
+            settings.prefill_tokens_per_s, settings.token_s, settings.recomputed_share
         )
         self.order: OrderPolicy = make_order(settings.order)
         self.placement = make_placement(settings.placement, self.estimates)
--- a/src/bayhinge/_internal/decisions/disk_reachability.py
+++ b/src/bayhinge/_internal/decisions/disk_reachability.py
@@ -28,6 +28,6 @@
         self._silent_since_answer.add(disk)
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Whether more disks than ``tolerated`` were silent since the last direct answer."""
         return len(self._silent_since_answer) > self.tolerated
--- a/src/bayhinge/_internal/decisions/endpoint_table.py
+++ b/src/bayhinge/_internal/decisions/endpoint_table.py
@@ -42,7 +42,7 @@
 
     Attributes:
         failures: recent failures; each success reduces the count.
-        complaints: number of other hosts that reported a recent failure.
+        failure_reports: number of other hosts that reported a recent failure.
         is_suspected: it is suspected, as its entry has vanished for a reason not known yet.
         is_replaced: another endpoint has started at its address since.
     """
--- a/src/bayhinge/_internal/decisions/estimates.py
+++ b/src/bayhinge/_internal/decisions/estimates.py
@@ -204,8 +204,8 @@
 
 
 def initial_estimates(
-    prefill_tokens_per_s: float, token_s: float, read_again_share: float
+    prefill_tokens_per_s: float, token_s: float, recomputed_share: float
 ) -> CellEstimates:
     """Returns the estimates that the settings give before any sample."""
     line = TokenLine(INITIAL_BATCH, token_s, INITIAL_BATCH**2, INITIAL_BATCH * token_s / 2)
-    return CellEstimates(Average(prefill_tokens_per_s), line, HoldTime(read_again_share))
+    return CellEstimates(Average(prefill_tokens_per_s), line, HoldTime(recomputed_share))
--- a/src/bayhinge/_internal/decisions/load_table.py
+++ b/src/bayhinge/_internal/decisions/load_table.py
@@ -19,9 +19,9 @@
 
     Attributes:
         incarnation: random number drawn at the host's start.
-        beat: sequence number of the report within the incarnation.
+        sequence: sequence number of the report within the incarnation.
         last_grant: the newest grant that ``running_by_endpoint`` includes.
-        resting: endpoints that this host has ejected.
+        ejected: endpoints that this host has ejected.
     """
 
     host: str
--- a/src/bayhinge/_internal/models/schema.py
+++ b/src/bayhinge/_internal/models/schema.py
@@ -112,10 +112,10 @@
 
     def read(self, text: str) -> Result[bool, str]:
         """See :class:`ValueType`."""
-        word = text.strip().lower()
-        if word in {"yes", "true", "on"}:
+        value = text.strip().lower()
+        if value in {"yes", "true", "on"}:
             return Ok(True)
-        if word in {"no", "false", "off"}:
+        if value in {"no", "false", "off"}:
             return Ok(False)
         return Error(f"'{text}' is neither yes nor no")
 
@@ -132,10 +132,10 @@
 
     def read(self, text: str) -> Result[str, str]:
         """See :class:`ValueType`."""
-        word = text.strip()
-        if word not in self.words:
-            return Error(f"'{word}' is not one of {', '.join(self.words)}")
-        return Ok(word)
+        value = text.strip()
+        if value not in self.words:
+            return Error(f"'{value}' is not one of {', '.join(self.words)}")
+        return Ok(value)
 
     def describe(self) -> str:
         """See :class:`ValueType`."""
--- a/src/bayhinge/_internal/network/request_reading.py
+++ b/src/bayhinge/_internal/network/request_reading.py
@@ -75,11 +75,11 @@
     Raises:
         RefusedError: the header is not one of the modes.
     """
-    word = headers.get(MESSAGES_HEADER, MessagesMode.WHOLE.value).strip().lower()
-    if word not in list(MessagesMode):
+    value = headers.get(MESSAGES_HEADER, MessagesMode.WHOLE.value).strip().lower()
+    if value not in list(MessagesMode):
         words = ", ".join(MessagesMode)
         raise RefusedError(_bad(f"header {MESSAGES_HEADER} must be one of {words}"))
-    return MessagesMode(word)
+    return MessagesMode(value)
 
 
 def read_idempotency_key(headers: Headers) -> str | None:
--- a/src/bayhinge/_internal/services/disks/disk_host.py
+++ b/src/bayhinge/_internal/services/disks/disk_host.py
@@ -63,7 +63,7 @@
         self.gossip.own_heartbeat.phase = wire.HostPhase.READY
         self.gossip.own_heartbeat.disk_set_version = self.disk_set.version
         self.gossip.on_heartbeat = self._on_heartbeat
-        self.gossip.fill_heartbeat = self._describe
+        self.gossip.fill_heartbeat = self._fill_heartbeat
         eliot.log_message(
             "disk.started",
             host=self.settings.host,
@@ -164,8 +164,8 @@
     def _is_member(self) -> bool:
         return any(member.generation == self.turns.generation for member in self.disk_set.members)
 
-    def _describe(self, me: wire.Hello) -> None:
-        me.revision_by_prefix = self.objects.revision_by_prefix
+    def _fill_heartbeat(self, heartbeat: wire.Hello) -> None:
+        heartbeat.revision_by_prefix = self.objects.revision_by_prefix
 
     def _on_heartbeat(self, heartbeat: wire.Hello) -> None:
         if heartbeat.role == wire.HostRole.ENTRY:
--- a/src/bayhinge/_internal/services/gateway/disk_directory.py
+++ b/src/bayhinge/_internal/services/gateway/disk_directory.py
@@ -56,7 +56,7 @@
         self.initial_store_delay_s = PEER_WAIT_S
         self._is_known = asyncio.Event()
         self.disk_set = DiskSet(0, [])
-        self.reach = DiskReachability(settings.tolerated_disks)
+        self.reachability = DiskReachability(settings.tolerated_disks)
         self.initial_sync = InitialSync("disks")
         self.on_change: Callable[[DiskSet], None] = lambda disk_set: None
 
@@ -75,16 +75,16 @@
                     self.accept(disk_set)
             await asyncio.sleep(RETRY_S)
 
-    async def watch_reach(self) -> None:
+    async def watch_reachability(self) -> None:
         """Probes disks while this host is partitioned from them."""
         was_partitioned = False
         while True:
             await asyncio.sleep(REACH_PERIOD_S)
-            is_cut_off = self.reach.is_cut_off
-            if is_cut_off != was_partitioned:
-                eliot.log_message("disks.cut_off" if is_cut_off else "disks.reached")
-            was_partitioned = is_cut_off
-            if is_cut_off and self.disk_set.members:
+            is_partitioned = self.reachability.is_partitioned
+            if is_partitioned != was_partitioned:
+                eliot.log_message("disks.cut_off" if is_partitioned else "disks.reached")
+            was_partitioned = is_partitioned
+            if is_partitioned and self.disk_set.members:
                 await self._probe(random.choice(self.disk_set.members))
 
     async def _probe(self, member: DiskMember) -> None:
@@ -152,7 +152,7 @@
 
     def record_failure(self, member: DiskMember, why: str) -> None:
         """Suspects a disk that did not answer, or only through a relay."""
-        self.reach.record_silence(member.host)
+        self.reachability.record_silence(member.host)
         now = asyncio.get_running_loop().time()
         if self._suspected_until_by_host.get(member.host, 0.0) < now:
             eliot.log_message("disk.silent", disk=member.host, why=why)
@@ -160,7 +160,7 @@
 
     def record_success(self, member: DiskMember) -> None:
         """Records a direct answer of a disk."""
-        self.reach.record_answer()
+        self.reachability.record_answer()
         if self._suspected_until_by_host.pop(member.host, None) is not None:
             eliot.log_message("disk.answers", disk=member.host)
 
--- a/src/bayhinge/_internal/services/gateway/disk_link.py
+++ b/src/bayhinge/_internal/services/gateway/disk_link.py
@@ -53,7 +53,7 @@
         """
         paths = _CallPaths(asyncio.get_running_loop().time())
         paths.direct.append(self._call_direct(member, method, message))
-        if self._directory.is_suspected(member) or self._directory.reach.is_cut_off:
+        if self._directory.is_suspected(member) or self._directory.reachability.is_partitioned:
             paths.via_relay += self._call_relayed(member, method, message)
         try:
             answer = await paths.first_answer(HEDGE_S)
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -191,7 +191,7 @@
         } | {
             "announce": lambda: registry.announce(self.gossip, self._is_watcher),
             "disk set": self.disks.load,
-            "reach of disks": self.disks.watch_reach,
+            "reach of disks": self.disks.watch_reachability,
             "sweep": self._sweep,
             "proof of the configuration": self.proofs.run,
         }
@@ -307,21 +307,21 @@
             follower.is_failing for follower in self.followers_by_prefix.values()
         )
 
-    def _fill_heartbeat(self, me: wire.Hello) -> None:
-        me.store_fails = self._store_fails()
+    def _fill_heartbeat(self, heartbeat: wire.Hello) -> None:
+        heartbeat.store_fails = self._store_fails()
         # Without a proof, requests with a key are refused, so callers should use other hosts.
         is_without_proof = self.proofs.is_required and not self.proofs.may_admit
-        me.is_cut_off = self.disks.reach.is_cut_off or is_without_proof
-        me.proof_age_ms = self.proofs.hint_ms()
-        me.requests_per_s = round(self._rate.per_s)
-        me.phase = wire.HostPhase.READY if self.is_ready else wire.HostPhase.STARTING
+        heartbeat.is_cut_off = self.disks.reachability.is_partitioned or is_without_proof
+        heartbeat.proof_age_ms = self.proofs.hint_ms()
+        heartbeat.requests_per_s = round(self._rate.per_s)
+        heartbeat.phase = wire.HostPhase.READY if self.is_ready else wire.HostPhase.STARTING
         if self.is_leaving:
-            me.phase = wire.HostPhase.LEAVING
-        me.is_told = self._is_advertised and self.is_ready
-        me.running_by_endpoint = self.endpoint_table.running_here()
-        me.endpoints_known_to = self.exchange.endpoints_known_to()
-        me.disk_set_version = self.disks.disk_set.version
-        me.revision_by_prefix = {
+            heartbeat.phase = wire.HostPhase.LEAVING
+        heartbeat.is_told = self._is_advertised and self.is_ready
+        heartbeat.running_by_endpoint = self.endpoint_table.running_here()
+        heartbeat.endpoints_known_to = self.exchange.endpoints_known_to()
+        heartbeat.disk_set_version = self.disks.disk_set.version
+        heartbeat.revision_by_prefix = {
             prefix: follower.revision for prefix, follower in self.followers_by_prefix.items()
         }
 
--- a/src/bayhinge/_internal/services/gateway/initial_sync.py
+++ b/src/bayhinge/_internal/services/gateway/initial_sync.py
@@ -19,16 +19,16 @@
     def __init__(self, name: str) -> None:
         """Takes the ``name`` of the state, for the log."""
         self.name = name
-        self._has_come = asyncio.Event()
+        self._completed = asyncio.Event()
 
     @property
     def is_complete(self) -> bool:
         """Whether the state was loaded."""
-        return self._has_come.is_set()
+        return self._completed.is_set()
 
     def complete(self) -> None:
         """Marks the state as loaded."""
-        self._has_come.set()
+        self._completed.set()
 
     async def wait(self, attempt: str, until_s: float) -> bool:
         """Waits on behalf of a request; returns whether the sync completed in time.
@@ -36,13 +36,13 @@
         ``until_s`` is on the loop's clock and the same for all syncs that a request waits for;
         see :func:`initial_sync_deadline`.
         """
-        if self._has_come.is_set():
+        if self._completed.is_set():
             return True
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         try:
             async with asyncio.timeout_at(until_s):
-                await self._has_come.wait()
+                await self._completed.wait()
         except TimeoutError:
             pass
         eliot.log_message(
@@ -50,9 +50,9 @@
             attempt=attempt,
             news=self.name,
             waited_ms=round((loop.time() - began_s) * 1000, 1),
-            has_come=self._has_come.is_set(),
+            has_come=self._completed.is_set(),
         )
-        return self._has_come.is_set()
+        return self._completed.is_set()
 
 
 def initial_sync_deadline(began_s: float, patience_s: float | None) -> float:
--- a/src/bayhinge/_internal/services/gateway/load_exchange.py
+++ b/src/bayhinge/_internal/services/gateway/load_exchange.py
@@ -36,10 +36,13 @@
     """Sends and receives the loads of endpoints for one host."""
 
     def __init__(
-        self, me: wire.Hello, endpoint_table: EndpointTable, coordinators: HallCoordinators
+        self,
+        own_heartbeat: wire.Hello,
+        endpoint_table: EndpointTable,
+        coordinators: HallCoordinators,
     ) -> None:
         super().__init__()
-        self._own_heartbeat = me
+        self._own_heartbeat = own_heartbeat
         self._endpoint_table = endpoint_table
         self._coordinators = coordinators
         self._load_table = LoadTable()
--- a/src/bayhinge/_internal/services/gossip.py
+++ b/src/bayhinge/_internal/services/gossip.py
@@ -105,7 +105,7 @@
         )
         self._observed_by_host: dict[str, ObservedHost] = {}
         self._last_seen_by_address: dict[str, float] = {}
-        self._last_sent_beat_by_address: dict[str, int] = {}
+        self._last_sent_sequence_by_address: dict[str, int] = {}
         self._invalid_address_lines = LineBudget(INVALID_ADDRESS_LINES_PER_S)
         self._near_silence_limit_s = self._far_silence_limit_s = MIN_SILENCE_S
         self._last_seen = LastSeen()
@@ -292,10 +292,10 @@
     def _least_recently_sent(self, addresses: list[str], count: int) -> list[str]:
         """Returns the addresses to which heartbeats were sent longest ago."""
         chosen = sorted(
-            addresses, key=lambda address: self._last_sent_beat_by_address.get(address, 0)
+            addresses, key=lambda address: self._last_sent_sequence_by_address.get(address, 0)
         )[:count]
         for address in chosen:
-            self._last_sent_beat_by_address[address] = self.own_heartbeat.beat
+            self._last_sent_sequence_by_address[address] = self.own_heartbeat.beat
         return chosen
 
     def _send_to(
@@ -320,7 +320,7 @@
         for address, seen_at_s in list(self._last_seen_by_address.items()):
             if seen_at_s < oldest:
                 del self._last_seen_by_address[address]
-                self._last_sent_beat_by_address.pop(address, None)
+                self._last_sent_sequence_by_address.pop(address, None)
 
     def _receive(self, data: bytes) -> None:
         try:
--- a/src/bayhinge/_internal/services/host.py
+++ b/src/bayhinge/_internal/services/host.py
@@ -238,9 +238,9 @@
 
     async def _exchange_with(self, peer: HostInfo) -> None:
         feed = self.parts.feed
-        news = wire.News(self.parts.journal.incarnation, feed.revision)
+        query = wire.News(self.parts.journal.incarnation, feed.revision)
         try:
-            answer = await self.parts.peers.call(peer.peer_address, "news", encode_message(news))
+            answer = await self.parts.peers.call(peer.peer_address, "news", encode_message(query))
         except (PeerUnreachableError, PeerFailureError):
             return
         reply = decode_message(wire.NewsReply(), answer)
--- a/src/bayhinge/_internal/services/peer_service.py
+++ b/src/bayhinge/_internal/services/peer_service.py
@@ -113,12 +113,12 @@
         return orjson.dumps(_unwrap_text(await self._opener.open_here(account.ok, parent, key)))
 
     async def _exchange_revisions(self, payload: bytes) -> bytes:
-        news = decode_message(wire.News(), payload)
+        query = decode_message(wire.News(), payload)
         feed = self._parts.feed
-        feed.observe_revision(news.revision)
-        changes = feed.changes_after(news.revision, MAX_CHANGES_PER_REPLY)
+        feed.observe_revision(query.revision)
+        changes = feed.changes_after(query.revision, MAX_CHANGES_PER_REPLY)
         reply = wire.NewsReply(
-            self._parts.journal.incarnation, feed.revision, news.revision + 1, changes
+            self._parts.journal.incarnation, feed.revision, query.revision + 1, changes
         )
         return encode_message(reply)
 
--- a/src/bayhinge/_internal/services/queue_dispatcher.py
+++ b/src/bayhinge/_internal/services/queue_dispatcher.py
@@ -164,7 +164,7 @@
                 pool.token_seconds,
                 pool.order,
                 pool.placement,
-                read_again_share=pool.read_again_share,
+                recomputed_share=pool.read_again_share,
                 token_target_s=pool.token_target_seconds,
             )
         service = self._settings.services_by_name.get(pool_of(cell))
--- a/src/bayhinge/_internal/utils/log_output.py
+++ b/src/bayhinge/_internal/utils/log_output.py
@@ -79,9 +79,9 @@
             self._unreported += 1
             return
         if self._unreported:
-            note = {"message_type": "log.dropped", "lines": self._unreported}
+            report = {"message_type": "log.dropped", "lines": self._unreported}
             self._unreported = 0
-            self._enqueue(orjson.dumps(note, option=orjson.OPT_APPEND_NEWLINE))
+            self._enqueue(orjson.dumps(report, option=orjson.OPT_APPEND_NEWLINE))
         self._enqueue(line)
         if not self._is_watched():
             self.flush()
--- a/tests/functional/test_accounts.py
+++ b/tests/functional/test_accounts.py
@@ -265,7 +265,7 @@
 def test_a_limit_holds_over_all_hosts_and_says_when_to_come_again(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await _configure(site, DESK | {"rate_per_s": 10, "burst": 5}, OTHERS)
-        # Until a home that has just become one grants at its full rate.
+        # Until a new coordinator grants at its full rate.
         await asyncio.sleep(2.0)
         loop = asyncio.get_running_loop()
         began_s = loop.time()
--- a/tests/functional/test_callers_that_leave.py
+++ b/tests/functional/test_callers_that_leave.py
@@ -69,7 +69,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_request_that_waits_for_a_home_reaches_no_endpoint(tmp_path: Path) -> None:
+def test_a_request_that_waits_for_a_coordinator_reaches_no_endpoint(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         gateway = site.entry_by_name["entry-0"]._gateway
         asked = asyncio.Event()
--- a/tests/functional/test_cut_hosts.py
+++ b/tests/functional/test_cut_hosts.py
@@ -74,9 +74,9 @@
             cut_from_disks(site, name)
             await site.turn(b"one ", at=name)
         gateway = site.entry_by_name["entry-2"]._gateway
-        hellos = gateway.gossip.recent_heartbeats
+        heartbeats = gateway.gossip.recent_heartbeats
         await site.until(
-            lambda: any(one.is_cut_off for one in hellos(gateway.gossip.own_heartbeat.role))
+            lambda: any(one.is_cut_off for one in heartbeats(gateway.gossip.own_heartbeat.role))
         )
         for _ in range(5):
             relay = gateway.disk_link._choose_relay()
--- a/tests/functional/test_homes.py
+++ b/tests/functional/test_homes.py
@@ -1,4 +1,4 @@
-"""Hosts that ask their hall's home where to send a request, with real sockets."""
+"""Placement by the hall coordinator, with real sockets: spread, loss of it, and redirects."""
 
 import asyncio
 from pathlib import Path
@@ -17,36 +17,36 @@
 HOSTS = ("entry-0", "entry-1", "entry-2")
 
 
-async def hall_has_one_home(site: PlatformSite) -> str:
-    """Waits until the two hosts of the northern hall agree on the home of both.
+async def wait_for_common_coordinator(site: PlatformSite) -> str:
+    """Waits until the two hosts of the northern hall agree on the coordinator of both.
 
-    Before they have heard each other they may agree for a moment on another one: each of them is
-    the home of a hall of one host.
+    Before they have received each other's heartbeats they may agree on another one: each is
+    the coordinator of a hall of one host.
     """
     names = ("entry-0", "entry-2")
-    home_of_both = choose("home of north", names)
-    assert home_of_both is not None
+    coordinator_of_both = choose("home of north", names)
+    assert coordinator_of_both is not None
 
     def coordinators() -> set[str]:
         found = [
             site.entry_by_name[name]._gateway.coordinators.coordinator_of("north") for name in names
         ]
-        return {home.host if home else "" for home in found}
+        return {coordinator.host if coordinator else "" for coordinator in found}
 
     def heard() -> set[int]:
-        hellos = [
+        heartbeats = [
             site.entry_by_name[name]._gateway.gossip.recent_heartbeats(HostRole.ENTRY)
             for name in names
         ]
-        return {len([one for one in found if one.host in names]) for found in hellos}
+        return {len([one for one in found if one.host in names]) for found in heartbeats}
 
-    await site.until(lambda: coordinators() == {home_of_both} and heard() == {1})
-    return home_of_both
+    await site.until(lambda: coordinators() == {coordinator_of_both} and heard() == {1})
+    return coordinator_of_both
 
 
 def test_requests_that_come_together_at_all_hosts_are_spread_evenly(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        await hall_has_one_home(site)
+        await wait_for_common_coordinator(site)
         for service in site.services:
             service.troubles.pause_s = 0.5
         asked = [site.ask("/act/x", b"pay", at=HOSTS[n % 3]) for n in range(12)]
@@ -61,11 +61,11 @@
     run_site(tmp_path, scenario, entries=3)
 
 
-def test_a_home_that_is_gone_holds_nothing_up_and_another_follows(tmp_path: Path) -> None:
+def test_a_crashed_coordinator_delays_no_request_and_is_replaced(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        home = await hall_has_one_home(site)
-        left = "entry-2" if home == "entry-0" else "entry-0"
-        await site.crash_entry(home)
+        coordinator = await wait_for_common_coordinator(site)
+        left = "entry-2" if coordinator == "entry-0" else "entry-0"
+        await site.crash_entry(coordinator)
         replies = await asyncio.gather(
             *(site.ask("/act/x", b"pay", at=at) for at in (left, "entry-1") for _ in range(4))
         )
@@ -77,19 +77,19 @@
     run_site(tmp_path, scenario, entries=3)
 
 
-def test_a_home_that_is_asked_by_mistake_names_the_right_one(tmp_path: Path) -> None:
+def test_a_host_that_is_not_the_coordinator_redirects_to_it(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        home = await hall_has_one_home(site)
-        other = "entry-2" if home == "entry-0" else "entry-0"
+        coordinator = await wait_for_common_coordinator(site)
+        other = "entry-2" if coordinator == "entry-0" else "entry-0"
         coordinators = site.entry_by_name["entry-1"]._gateway.coordinators
         assert coordinators.follow_redirect("north", other) is not None
         assert (await site.ask("/act/x", b"pay", at="entry-1")).status == 200
 
-        def believed() -> str:
+        def known_coordinator() -> str:
             found = coordinators.coordinator_of("north")
             return found.host if found else ""
 
-        await site.until(lambda: believed() == home)
+        await site.until(lambda: known_coordinator() == coordinator)
 
     run_site(tmp_path, scenario, entries=3)
 
--- a/tests/functional/test_many_addresses.py
+++ b/tests/functional/test_many_addresses.py
@@ -31,9 +31,9 @@
         public = site.address("entry-2").removeprefix("http://")
         others = [site.entry_by_name[name]._gateway for name in ("entry-0", "entry-1")]
         assert all(public in gateway.addresses("north", "land") for gateway in others)
-        # One that is told of a few of them with each hello is no better off.
+        # A host that learns a few of them from each heartbeat is no better off.
         periods_s = [one._gateway.gossip._period_s() for one in site.entry_by_name.values()]
-        assert max(periods_s) == PERIOD_S, f"hellos name {MAX_KNOWN_ADDRESSES} addresses each"
+        assert max(periods_s) == PERIOD_S, f"heartbeats name {MAX_KNOWN_ADDRESSES} addresses each"
         assert (await site.ask("/act/x", at="entry-2")).status == 200
 
     run_site(tmp_path, scenario)
--- a/tests/functional/test_odd_objects.py
+++ b/tests/functional/test_odd_objects.py
@@ -160,7 +160,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_odd_addresses_of_hosts_stop_no_hello(tmp_path: Path, lines: list[Line]) -> None:
+def test_invalid_addresses_of_hosts_stop_no_heartbeat(tmp_path: Path, lines: list[Line]) -> None:
     async def scenario(site: PlatformSite) -> None:
         put_odd_addresses(site)
         # Its own object is odd as well, and no seed tells it of any host.
--- a/tests/functional/test_platform_requests.py
+++ b/tests/functional/test_platform_requests.py
@@ -108,7 +108,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_the_metrics_page_counts_by_outcome_and_tells_the_age_of_beliefs(tmp_path: Path) -> None:
+def test_the_metrics_page_counts_by_outcome_and_shows_the_age_of_the_state(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await site.ask("/act/x")
         await site.ask("/nowhere/")
--- a/tests/functional/test_platform_turns.py
+++ b/tests/functional/test_platform_turns.py
@@ -182,8 +182,8 @@
 
         await site.until(
             lambda: any(
-                hello.phase == HostPhase.READY
-                for hello in gateway.gossip.recent_heartbeats(HostRole.ENTRY)
+                heartbeat.phase == HostPhase.READY
+                for heartbeat in gateway.gossip.recent_heartbeats(HostRole.ENTRY)
             )
         )
         peers._link = cut  # type: ignore[attr-defined]
--- a/tests/functional/test_silent_endpoints.py
+++ b/tests/functional/test_silent_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that take requests and say nothing: doubted early, left where that is allowed."""
+"""Endpoints that stay silent are suspected early; requests fail over where that is allowed."""
 
 import asyncio
 import time
@@ -68,7 +68,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_host_that_stood_still_doubts_no_endpoint_for_it(tmp_path: Path) -> None:
+def test_a_stalled_host_suspects_no_endpoint(tmp_path: Path) -> None:
     """All stand still together here, so that the answers come right behind the stall."""
 
     async def scenario(site: PlatformSite) -> None:
--- a/tests/lib/watching_site.py
+++ b/tests/lib/watching_site.py
@@ -80,7 +80,7 @@
                 followers["config/"].observe_revision(teller.revision, address)
 
     async def greet_always(self, period_s: float) -> None:
-        """Each host hears hellos of one other after the other, as hosts do."""
+        """Each host receives heartbeats of one other after the other, as hosts do."""
         addresses = list(self.ways.followers_by_address)
         for number in itertools.count(1):
             await asyncio.sleep(period_s)
--- a/tests/unit/test_caller_addresses.py
+++ b/tests/unit/test_caller_addresses.py
@@ -68,19 +68,19 @@
 
 def test_hosts_that_are_cut_off_are_not_told_unless_that_is_most_of_them() -> None:
     near = hosts(MIN_ADVERTISED_HOSTS, "north")
-    cut = [attrs.evolve(host, is_cut_off=True) for host in near[:3]]
+    cut = [attrs.evolve(host, is_partitioned=True) for host in near[:3]]
     answer = told(cut + near[3:])
     assert not {host.address for host in cut} & set(answer)
     assert len(answer) == MIN_ADVERTISED_HOSTS - 3, (
         "these are too few to keep their hall's callers, but there is no other"
     )
-    all_cut = [attrs.evolve(host, is_cut_off=True) for host in near]
+    all_cut = [attrs.evolve(host, is_partitioned=True) for host in near]
     assert len(told(all_cut)) == MIN_ADVERTISED_HOSTS
 
 
 def test_spares_are_hosts_that_send_anyway() -> None:
     far = hosts(12, "south")
-    sending = [attrs.evolve(host, is_told=True) for host in far[:3]]
+    sending = [attrs.evolve(host, is_advertised=True) for host in far[:3]]
     spares = {
         addresses_for(hosts(12, "north") + sending + far[3:], "north", "land", random.Random(seed))[
             -1
--- a/tests/unit/test_connecting_play.py
+++ b/tests/unit/test_connecting_play.py
@@ -1,7 +1,7 @@
 """How many connections to endpoints a large hall opens, by the hosts that its callers know.
 
 Real choices of addresses and endpoints, in virtual time: callers draw a host for each request, the
-hall's home chooses the endpoint, and each host keeps its own connections for eight seconds.
+hall's coordinator chooses the endpoint, and each host keeps its own connections for eight seconds.
 """
 
 import heapq
--- a/tests/unit/test_disk_reach.py
+++ b/tests/unit/test_disk_reach.py
@@ -1,4 +1,4 @@
-"""When a host believes that it is cut off from the disks."""
+"""When a host counts as partitioned from the disks."""
 
 from bayhinge._internal.decisions.disk_reachability import DiskReachability
 
@@ -7,10 +7,10 @@
     reach = DiskReachability(tolerated=2)
     for disk in ("one", "two", "two", "one"):
         reach.record_silence(disk)
-    assert not reach.is_cut_off, "two disks may be lost by themselves"
+    assert not reach.is_partitioned, "two disks may be lost by themselves"
     reach.record_silence("three")
-    assert reach.is_cut_off
+    assert reach.is_partitioned
     reach.record_answer()
-    assert not reach.is_cut_off
+    assert not reach.is_partitioned
     reach.record_silence("three")
-    assert not reach.is_cut_off
+    assert not reach.is_partitioned
--- a/tests/unit/test_endpoint_book.py
+++ b/tests/unit/test_endpoint_book.py
@@ -140,7 +140,7 @@
     assert chosen(endpoint_table) == "a"
 
 
-def test_complaints_of_other_hosts_move_work_only_while_others_have_room() -> None:
+def test_failure_reports_of_other_hosts_move_work_only_while_others_have_room() -> None:
     endpoint_table = table_of(entry("a"), entry("b", "south"))
     state = endpoint_table.find("a")
     assert state is not None
@@ -182,9 +182,7 @@
     assert chosen(endpoint_table) == "b"
 
 
-def test_two_complaints_keep_work_from_an_endpoint_that_looks_free_because_it_fails_at_once() -> (
-    None
-):
+def test_two_failure_reports_exclude_an_endpoint_that_looks_idle_because_it_fails_at_once() -> None:
     endpoint_table = table_of(*(entry(name, slots=6) for name in "abc"))
     state = endpoint_table.find("a")
     assert state is not None
--- a/tests/unit/test_endpoint_news.py
+++ b/tests/unit/test_endpoint_news.py
@@ -7,8 +7,7 @@
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
 from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation
-from bayhinge._internal.decisions.endpoint_table import EndpointState as Belief
-from bayhinge._internal.decisions.endpoint_table import EndpointTable
+from bayhinge._internal.decisions.endpoint_table import EndpointState, EndpointTable
 from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
@@ -50,7 +49,7 @@
 
 
 class Host:
-    """What one host believes of endpoints."""
+    """The endpoint table of one host, with its updater and restarts."""
 
     def __init__(self) -> None:
         self.endpoint_table = EndpointTable("north")
@@ -63,13 +62,13 @@
             PlatformObjectReader(), self.endpoint_table, self.connection_pool, self.restarts
         )
 
-    def hear(self, value: bytes | None, key: str = KEY, revision: int = 5) -> None:
+    def receive(self, value: bytes | None, key: str = KEY, revision: int = 5) -> None:
         self.listener.apply(Change(key, value, revision, revision), False)
 
     def list(self, value_by_key: dict[str, bytes], is_after_outage: bool = False) -> None:
         self.listener.replace_all(value_by_key, is_after_outage)
 
-    def state_of(self) -> Belief:
+    def state_of(self) -> EndpointState:
         state = self.endpoint_table.find("a")
         assert state is not None
         return state
@@ -81,10 +80,10 @@
 def test_a_former_starts_missing_entry_does_not_end_the_next_start() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(BORN_MS))
-        host.hear(None)
+        host.receive(entry_value(BORN_MS))
+        host.receive(None)
         await asyncio.sleep(MISSING_ENTRY_GRACE_S / 2)
-        host.hear(entry_value(BORN_MS + 1))
+        host.receive(entry_value(BORN_MS + 1))
         await asyncio.sleep(MISSING_ENTRY_GRACE_S)
         assert not host.state_of().is_suspected
 
@@ -94,15 +93,15 @@
 def test_an_entry_that_is_late_does_not_keep_a_start_whose_entry_is_gone() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(BORN_MS + 1))
-        host.hear(None)
-        host.hear(entry_value(BORN_MS))
+        host.receive(entry_value(BORN_MS + 1))
+        host.receive(None)
+        host.receive(entry_value(BORN_MS))
         await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
         assert host.endpoint_table.find("a") is None
-        host.hear(entry_value(BORN_MS))
+        host.receive(entry_value(BORN_MS))
         assert host.endpoint_table.find("a") is None
         await asyncio.sleep(REMOVED_ENTRY_KEEP_S)
-        host.hear(entry_value(BORN_MS))
+        host.receive(entry_value(BORN_MS))
         assert host.endpoint_table.find("a") is not None
 
     run_virtual(scenario())
@@ -131,10 +130,10 @@
 def test_an_endpoint_without_a_start_stays_the_same_through_all_its_entries() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(None))
+        host.receive(entry_value(None))
         state = host.state_of()
         state.failures = 2.0
-        host.hear(entry_value(None, 81))
+        host.receive(entry_value(None, 81))
         host.list({KEY: entry_value(None, 82)})
         assert host.state_of() is state
         assert state.failures == 2.0
@@ -145,13 +144,13 @@
 def test_runs_are_counted_at_the_start_where_they_are() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(BORN_MS))
+        host.receive(entry_value(BORN_MS))
         former = host.state_of()
         # Still opening its connection: it will reach whoever listens there.
         run = host.runs.begin(former)
-        host.hear(entry_value(BORN_MS + 1))
+        host.receive(entry_value(BORN_MS + 1))
         assert (former.running_here, host.state_of().running_here) == (0, 1)
-        host.hear(entry_value(BORN_MS + 2, 81))
+        host.receive(entry_value(BORN_MS + 2, 81))
         assert run.is_ended, "its connection leads to an address that was left"
         assert host.state_of().running_here == 0
         host.runs.end(run)
@@ -163,12 +162,12 @@
 def test_an_endpoint_that_lapsed_in_an_outage_has_its_runs_again() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(BORN_MS))
+        host.receive(entry_value(BORN_MS))
         run = host.runs.begin(host.state_of())
-        host.hear(None)
+        host.receive(None)
         await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
         assert host.endpoint_table.find("a") is None
-        host.hear(entry_value(BORN_MS))
+        host.receive(entry_value(BORN_MS))
         assert host.state_of().running_here == 1
         host.runs.end(run)
         assert host.state_of().running_here == 0
@@ -204,11 +203,11 @@
     async def scenario() -> None:
         host = Host()
         exchange = exchange_of(host)
-        host.hear(entry_value(BORN_MS))
+        host.receive(entry_value(BORN_MS))
         exchange.receive_loads(loads(1, 40))
         exchange.refresh_endpoint_table()
         assert (host.state_of().running_at_peers, host.state_of().failure_reports) == (3, 1)
-        host.hear(entry_value(BORN_MS + 1))
+        host.receive(entry_value(BORN_MS + 1))
         for beat, known_to, counts in ((2, 49, 0), (3, 50, 1), (4, None, 1)):
             exchange.refresh_endpoint_table()
             exchange.receive_loads(loads(beat, known_to))
@@ -248,20 +247,20 @@
     run_virtual(scenario())
 
 
-def test_hellos_of_hosts_that_are_behind_are_left_out_of_the_sum() -> None:
+def test_heartbeats_of_hosts_that_are_behind_are_left_out_of_the_sum() -> None:
     revisions = IncarnationRevisions()
     revisions.record("a", 50)
-    hellos = [
+    heartbeats = [
         wire.Hello(host=str(known_to), running_by_endpoint={"a": 2, "b": 1})
         for known_to in (49, 50, None)
     ]
-    for hello, known_to in zip(hellos, (49, 50, None), strict=True):
-        hello.endpoints_known_to = known_to
-    assert sum_loads(hellos, revisions) == {"a": 4, "b": 3}
+    for heartbeat, known_to in zip(heartbeats, (49, 50, None), strict=True):
+        heartbeat.endpoints_known_to = known_to
+    assert sum_loads(heartbeats, revisions) == {"a": 4, "b": 3}
 
 
 class AtHome(HallCoordinators):
-    """This host is the home of its hall."""
+    """This host is the coordinator of its hall."""
 
     def __init__(self) -> None:
         return
@@ -284,9 +283,9 @@
     async def scenario() -> None:
         host = Host()
         placer = placer_of(host)
-        host.hear(entry_value(BORN_MS))
-        host.hear(entry_value(BORN_MS, 90), "servers/b")
-        host.hear(entry_value(BORN_MS + 1, 81))
+        host.receive(entry_value(BORN_MS))
+        host.receive(entry_value(BORN_MS, 90), "servers/b")
+        host.receive(entry_value(BORN_MS + 1, 81))
         state = host.endpoint_table.find("b")
         assert state is not None
         state.running_here = 3
@@ -296,12 +295,12 @@
     run_virtual(scenario())
 
 
-def test_a_home_knows_that_a_wished_start_is_over_before_the_asking_host_does() -> None:
+def test_a_coordinator_knows_of_a_restart_before_the_asking_host_does() -> None:
     async def scenario() -> None:
         host = Host()
         placer = placer_of(host)
-        host.hear(entry_value(BORN_MS + 1))
-        host.hear(entry_value(BORN_MS, 90), "servers/b")
+        host.receive(entry_value(BORN_MS + 1))
+        host.receive(entry_value(BORN_MS, 90), "servers/b")
         state = host.endpoint_table.find("a")
         assert state is not None
         state.running_here = 2
--- a/tests/unit/test_endpoint_starts.py
+++ b/tests/unit/test_endpoint_starts.py
@@ -231,7 +231,7 @@
     assert endpoint_table.replaced_at("10.0.0.1:80") == []
 
 
-def test_an_endpoint_that_started_elsewhere_is_displaced_no_more() -> None:
+def test_an_endpoint_that_started_elsewhere_is_no_longer_replaced() -> None:
     endpoint_table = table_of(entry(), entry("b", BORN_MS + 1))
     endpoint_table.put(entry(born_ms=BORN_MS + 2, address="10.0.0.9:80"))
     assert (
@@ -332,7 +332,7 @@
     return {endpoint: count for endpoint, count in count_by_endpoint.items() if count}
 
 
-def test_a_home_forgets_loads_complaints_and_grants_of_the_former_start() -> None:
+def test_a_coordinator_forgets_loads_failure_reports_and_grants_of_the_former_incarnation() -> None:
     load_table = LoadTable()
     load_table.record_report(
         HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S
--- a/tests/unit/test_host_registry.py
+++ b/tests/unit/test_host_registry.py
@@ -18,7 +18,7 @@
 
 @attrs.define
 class Told:
-    """What a host's hellos would learn; it hears of whoever it was told of."""
+    """Stands for gossip; it sees every host that was added."""
 
     addresses: list[str] = attrs.field(factory=list)
 
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -25,7 +25,7 @@
 from bayhinge._internal.services.gateway.disk_directory import SUSPECT_S, DiskDirectory
 from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
-from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as HOME_SUSPECT_S
+from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as COORDINATOR_SUSPECT_S
 from bayhinge._internal.services.gossip import MIN_SILENCE_S, Gossip
 from bayhinge._internal.services.prefix_follower import PrefixFollower
 from bayhinge._internal.wire.hosts.ttypes import DiskMember, Hello, HostLoads, HostPhase, HostRole
@@ -63,7 +63,7 @@
 
 def heard(gossip: Gossip, host: str, beat: int = 1) -> None:
     address = f"10.1.0.{40 + len(host)}:7380"
-    hello = Hello(
+    heartbeat = Hello(
         host,
         1,
         beat,
@@ -79,7 +79,7 @@
         [],
         False,
     )
-    gossip._receive(encode_message(hello))
+    gossip._receive(encode_message(heartbeat))
 
 
 def test_a_lease_is_held_for_its_time() -> None:
@@ -99,7 +99,7 @@
     run_virtual(scenario())
 
 
-def test_a_configuration_is_vouched_for_for_its_time() -> None:
+def test_a_configuration_is_confirmed_for_its_time() -> None:
     async def scenario() -> None:
         store = MemoryObjectStore(MemoryObjects())
         feed = ConfigFeed(store, "c", SystemClock(), random.Random(1).random, FeedTimes())
@@ -112,7 +112,7 @@
     run_virtual(scenario())
 
 
-def test_a_disk_that_failed_is_doubted_for_its_time(site: SiteSettings) -> None:
+def test_a_disk_that_failed_is_suspected_for_its_time(site: SiteSettings) -> None:
     async def scenario() -> None:
         store = MemoryObjectStore(MemoryObjects())
         directory = DiskDirectory(site, store, cast(Peers, None), list)
@@ -142,21 +142,21 @@
     run_virtual(scenario())
 
 
-def test_a_silent_home_is_passed_over_for_its_time(site: SiteSettings) -> None:
+def test_a_silent_coordinator_is_skipped_for_its_time(site: SiteSettings) -> None:
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
-        homes = HallCoordinators(gossip)
+        coordinators = HallCoordinators(gossip)
         heard(gossip, "edge-2")
-        homes.refresh()
-        home = homes.coordinator_of("north")
-        assert home is not None
-        homes.mark_suspected(home, "no answer")
-        await asyncio.sleep(HOME_SUSPECT_S * 0.9)
+        coordinators.refresh()
+        coordinator = coordinators.coordinator_of("north")
+        assert coordinator is not None
+        coordinators.mark_suspected(coordinator, "no answer")
+        await asyncio.sleep(COORDINATOR_SUSPECT_S * 0.9)
         heard(gossip, "edge-2", beat=2)
-        always(True, lambda: homes._suspected.has(home.host))
-        await asyncio.sleep(HOME_SUSPECT_S * 0.2)
+        always(True, lambda: coordinators._suspected.has(coordinator.host))
+        await asyncio.sleep(COORDINATOR_SUSPECT_S * 0.2)
         heard(gossip, "edge-2", beat=3)
-        always(False, lambda: homes._suspected.has(home.host))
+        always(False, lambda: coordinators._suspected.has(coordinator.host))
 
     run_virtual(scenario())
 
--- a/tests/unit/test_left_behind_elsewhere.py
+++ b/tests/unit/test_left_behind_elsewhere.py
@@ -262,7 +262,7 @@
 
 
 def test_the_end_of_a_grant_is_told_although_the_first_try_fails() -> None:
-    """Else the home counts the call as running until the owner's whole process is dead."""
+    """Else the dispatcher counts the call as running until the owner's process is dead."""
 
     async def scenario() -> None:
         peers = ForgetfulPeers()
--- a/tests/unit/test_load_board.py
+++ b/tests/unit/test_load_board.py
@@ -1,4 +1,4 @@
-"""What a home knows of requests under way at its hall's endpoints."""
+"""What a hall coordinator knows of the requests in flight at its endpoints."""
 
 from collections import Counter
 
@@ -48,7 +48,7 @@
     assert known(load_table) == {}
 
 
-def test_a_new_home_goes_on_from_the_grants_of_the_one_before() -> None:
+def test_a_new_coordinator_continues_from_the_grants_of_the_previous_one() -> None:
     load_table = LoadTable()
     load_table.record_report(report("a", 9, {}, grant=40), 0.0)
     assert load_table.grant("a", "e") == 41
@@ -56,7 +56,7 @@
     assert known(load_table) == {"e": 1}
 
 
-def test_complaints_count_hosts_and_end_with_the_report_that_has_none() -> None:
+def test_failure_reports_count_hosts_and_end_with_the_report_that_has_none() -> None:
     load_table = LoadTable()
     for host in ("a", "b"):
         load_table.record_report(HostLoadReport(host, 1, 1, 0, {}, frozenset({"e"})), 0.0)
--- a/tests/unit/test_log_trace.py
+++ b/tests/unit/test_log_trace.py
@@ -40,7 +40,7 @@
     return "\n".join(trace_lines(found))
 
 
-def test_a_request_comes_with_its_hosts_beliefs_before_it() -> None:
+def test_a_request_comes_with_the_earlier_state_of_its_hosts() -> None:
     found = found_in("a1").lines
     assert [(each.host, each.message_type) for each in found] == [
         ("entry-1", "disk.silent"),
@@ -134,7 +134,7 @@
     assert "e-2" not in text
 
 
-def test_a_home_that_is_named_without_trouble_brings_no_lines_of_its_own() -> None:
+def test_a_coordinator_that_is_named_without_trouble_adds_no_lines_of_its_own() -> None:
     logs = [
         line(0.9, "entry-1", "home.changed", hall="north", home="entry-2"),
         line(0.9, "entry-2", "home.changed", hall="north", home="entry-2"),
--- a/tests/unit/test_odd_own_objects.py
+++ b/tests/unit/test_odd_own_objects.py
@@ -66,7 +66,7 @@
     with_feed(scenario)
 
 
-def test_a_change_that_can_not_be_read_is_not_vouched_for_until_it_is_mended() -> None:
+def test_an_unreadable_change_is_not_confirmed_until_it_is_repaired() -> None:
     async def scenario(objects: MemoryObjects, feed: ConfigFeed) -> None:
         await objects.put("config/000000000001", change("template", "desk", TEMPLATE), None)
         odd = await objects.put("config/000000000002", b"\x00odd", None)
--- a/tests/unit/test_quota_bucket.py
+++ b/tests/unit/test_quota_bucket.py
@@ -44,7 +44,9 @@
 
 @settings(max_examples=200, deadline=None)
 @given(quotas, st.lists(st.tuples(st.floats(0, 0.5), st.integers(1, 200)), max_size=60))
-def test_one_home_never_passes_a_limit(quota: Quota, clumps: list[tuple[float, int]]) -> None:
+def test_one_coordinator_never_exceeds_a_limit(
+    quota: Quota, clumps: list[tuple[float, int]]
+) -> None:
     bucket = QuotaBucket(quota, MARGIN, 0.0, SETTLED_S)
     now_s, granted_s = 0.0, []
     for pause_s, asked in clumps:
@@ -55,7 +57,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(quotas, st.floats(5.5, 9.0), st.floats(0.0, 1.0), st.booleans(), st.integers(1, 10**6))
-def test_a_home_that_changes_under_a_storm_passes_no_limit(
+def test_a_change_of_coordinator_under_overload_exceeds_no_limit(
     quota: Quota, changes_s: float, both_for_s: float, stands_in: bool, draws: int
 ) -> None:
     """Two hosts grant for up to a second; the new one knows nothing of the other's grants."""
@@ -76,7 +78,7 @@
     assert _most_in_a_window(granted_s, MARGIN.window_s) <= _allowed(quota)
 
 
-def test_homes_on_both_sides_of_a_cut_share_the_limit() -> None:
+def test_coordinators_on_both_sides_of_a_partition_share_the_limit() -> None:
     quota = Quota(100.0, 50.0)
     sides = [(QuotaBucket(quota, MARGIN, 0.0, 0.0), share) for share in (0.7, 0.3)]
     granted_s = [
@@ -88,7 +90,7 @@
     assert _most_in_a_window(granted_s, MARGIN.window_s) <= _allowed(quota)
 
 
-def test_usual_traffic_is_not_refused_also_behind_a_change_of_home() -> None:
+def test_usual_traffic_is_not_refused_after_a_change_of_coordinator() -> None:
     """Six tenths of the limit, in programs of 20 requests each over 4 seconds."""
     generator = random.Random(7)
     quota = Quota(125.0, 125.0)
--- a/tests/unit/test_running_time.py
+++ b/tests/unit/test_running_time.py
@@ -1,8 +1,6 @@
-"""Bounds on waiting in a process that stands still meanwhile, on a real loop.
+"""Timeouts on a real loop that stalls: an answer that arrived in time must not count as missing.
 
-What was seen: three hosts of a busy machine each logged ``home.silent``, "no answer in time", 0.12
-to 0.14 s after a request, while the home had answered: their loops had stood still for longer than
-the 0.04 s that a home has. Twelve requests then were placed without it.
+Otherwise a stalled host logs ``home.silent`` for a coordinator that has answered.
 """
 
 import asyncio
--- a/tests/unit/test_sightings.py
+++ b/tests/unit/test_sightings.py
@@ -1,4 +1,4 @@
-"""Hosts of a hall tell each other whom they heard: all know the same hosts, silent ones leave."""
+"""Hosts of a hall exchange when they last saw others: all agree, and silent hosts drop out."""
 
 import random
 
--- a/tests/unit/test_stalls_hellos.py
+++ b/tests/unit/test_stalls_hellos.py
@@ -1,4 +1,4 @@
-"""A host that stood still reads the hellos that came before it judges who is there."""
+"""A host that stalled reads the queued heartbeats before it treats hosts as silent."""
 
 import asyncio
 import os
@@ -53,7 +53,7 @@
 
 
 def test_a_host_that_stood_still_reads_what_it_was_told_before_it_judges_who_is_there() -> None:
-    """Homes are worked out anew in each round of hellos, and hold until the next one."""
+    """Coordinators are chosen in each gossip round, and hold until the next one."""
 
     async def scenario() -> list[int]:
         gossip = greeting_host(0)
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -44,7 +44,7 @@
 
 @attrs.define
 class Hearing:
-    """Stands for the hellos: one other host, through which disks could be reached."""
+    """Stands for gossip: one other host, through which disks could be reached."""
 
     address: str
     me: wire.Hello = attrs.field(factory=lambda: wire.Hello(hall="north"))
@@ -194,7 +194,7 @@
         # The call goes a second way, and then the host stands still.
         loop.call_later(disk_link.HEDGE_S + 0.02, time.sleep, disk_link.ANSWER_S + 0.1)
         await host.link.call(member, "slow", b"x")
-        return host.directory.is_suspected(member), host.directory.reach.is_cut_off
+        return host.directory.is_suspected(member), host.directory.reachability.is_partitioned
 
     original = Disk.answer
 
@@ -236,10 +236,10 @@
         members = host.directory.disk_set.members
         for member in members:
             host.directory.record_failure(member, "cut off")
-        assert host.directory.reach.is_cut_off
+        assert host.directory.reachability.is_partitioned
         stall_s = disk_directory.FETCH_S + 0.1
         await stalled(host.directory._probe(members[0]), after_s, stall_s)
-        return host.directory.reach.is_cut_off
+        return host.directory.reachability.is_partitioned
 
     is_cut_off, _, _ = at_host(scenario)
     assert not is_cut_off
