--- a/src/bayhinge/_internal/decisions/answer_timeouts.py
+++ b/src/bayhinge/_internal/decisions/answer_timeouts.py
@@ -22,8 +22,8 @@
 others: it may be queued there, or its own connection may be dead."""
 
 PAUSE_MULTIPLE = 3.0
-"""Multiple of the route's pause after which a stalled stream fails over. Callers wait for eight of
-them, so half of their time is left."""
+"""Multiple of the route's event gap after which a stalled stream fails over. Callers wait for eight
+such gaps, so half of their time is left."""
 
 
 @attrs.frozen
@@ -54,7 +54,7 @@
     ``usual_s`` is the service's average time to the first byte. An endpoint is suspected also where
     the request may not fail over, so that other requests avoid it.
     """
-    has_pauses = may_fail_over and route.is_resumable and route.pause_s is not None
+    has_pauses = may_fail_over and route.is_resumable and route.max_event_gap_s is not None
     return AnswerTimeouts(
         max(
             MIN_SILENCE_S,
@@ -62,5 +62,5 @@
             TYPICAL_LATENCIES * usual_s,
         ),
         may_fail_over,
-        PAUSE_MULTIPLE * (route.pause_s or 0.0) if has_pauses else None,
+        PAUSE_MULTIPLE * (route.max_event_gap_s or 0.0) if has_pauses else None,
     )
--- a/src/bayhinge/_internal/models/routing.py
+++ b/src/bayhinge/_internal/models/routing.py
@@ -36,7 +36,7 @@
         retains_turns: conversation history is retained; requests carry only new input.
         turn_retention_s: how long a turn is retained, in seconds.
         is_resumable: an interrupted stream may be resumed after any of its events.
-        pause_s: the objective for the gap between events, in seconds, or None.
+        max_event_gap_s: the objective for the gap between events, in seconds, or None.
         is_public: requests need no client account key.
     """
 
@@ -52,7 +52,7 @@
     retains_turns: bool = False
     turn_retention_s: float = 0.0
     is_resumable: bool = False
-    pause_s: float | None = None
+    max_event_gap_s: float | None = None
     is_public: bool = False
 
     @property
--- a/src/bayhinge/_internal/platform/object_reader.py
+++ b/src/bayhinge/_internal/platform/object_reader.py
@@ -198,7 +198,7 @@
             retains_turns=bool(form.retained),
             turn_retention_s=float(form.retention_s or 0.0),
             is_resumable=kind is RouteKind.STREAMING and bool(form.resumable),
-            pause_s=None if form.gap_slo_ms is None else form.gap_slo_ms / 1000,
+            max_event_gap_s=None if form.gap_slo_ms is None else form.gap_slo_ms / 1000,
             is_public=bool(form.public),
         )
 
--- a/src/bayhinge/_internal/services/disks/turn_index.py
+++ b/src/bayhinge/_internal/services/disks/turn_index.py
@@ -160,8 +160,8 @@
 
     def _incarnation_of(self, entry: TurnEntry) -> EndpointIncarnation:
         """Returns the endpoint incarnation that ran a turn, as one object shared by its turns."""
-        start = EndpointIncarnation(entry.endpoint or "", entry.endpoint_born_ms)
-        return self._incarnations.setdefault(start, start)
+        incarnation = EndpointIncarnation(entry.endpoint or "", entry.endpoint_born_ms)
+        return self._incarnations.setdefault(incarnation, incarnation)
 
     def _record_dependency(self, entry: TurnEntry) -> None:
         """Keeps a program alive while a turn of another one continues it."""
--- a/src/bayhinge/_internal/services/gateway/placement_preferences.py
+++ b/src/bayhinge/_internal/services/gateway/placement_preferences.py
@@ -12,13 +12,13 @@
 def preference_of(request: RoutedRequest, turn: OpenTurn | None) -> PlacementPreference:
     """Returns the placement preference of a request and its turn, if any."""
     shared = request.parts[0] if len(request.parts) > 1 else None
-    start = EndpointIncarnation() if turn is None else turn.last_engine
+    incarnation = EndpointIncarnation() if turn is None else turn.last_engine
     kept_tokens = 0
     if turn is not None and turn.history:
         tokens = sum(part.tokens for part in request.parts)
         kept_tokens = tokens * len(turn.history) // (len(turn.history) + len(request.body))
     return PlacementPreference(
-        start,
+        incarnation,
         request.affinity or "" if shared is None else shared.name,
         min(MAX_WEIGHTED_TOKENS, kept_tokens),
         0 if shared is None else min(MAX_WEIGHTED_TOKENS, shared.tokens),
--- a/src/bayhinge/_internal/services/gossip.py
+++ b/src/bayhinge/_internal/services/gossip.py
@@ -357,8 +357,8 @@
             self._last_seen.merge_ages(heartbeat.age_by_start, now_s)
         if heartbeat.role != HostRole.ENTRY:
             return
-        start = short_incarnation(heartbeat.incarnation)
+        incarnation_id = short_incarnation(heartbeat.incarnation)
         if heartbeat.phase == HostPhase.READY and not heartbeat.is_cut_off:
-            self._last_seen.mark_seen(start, now_s)
+            self._last_seen.mark_seen(incarnation_id, now_s)
         else:
-            self._last_seen.forget(start)
+            self._last_seen.forget(incarnation_id)
--- a/tests/unit/test_answer_bounds.py
+++ b/tests/unit/test_answer_bounds.py
@@ -26,7 +26,7 @@
         urgency=0,
         max_endpoints=2,
         is_resumable=resumable,
-        pause_s=pause_s,
+        max_event_gap_s=pause_s,
     )
 
 
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -338,7 +338,7 @@
     route = table.find("desk.example", "/chat/1")
     assert isinstance(route, Route), table.findings
     assert (route.urgency, route.retains_turns, route.is_resumable) == (5, False, False)
-    assert (route.latency_objective_s, route.max_endpoints, route.pause_s) == (5.0, 1, None)
+    assert (route.latency_objective_s, route.max_endpoints, route.max_event_gap_s) == (5.0, 1, None)
     services = [{"name": "llm", "max_conns": None, "engine_kind": None}, {"name": "app"}]
     table = READER.read_configuration(odd_configuration(services=services, limits=None))
     assert (table.findings, set(table.services_by_name)) == ((), {"llm", "app"})
--- a/tests/unit/test_runs_of_every_kind.py
+++ b/tests/unit/test_runs_of_every_kind.py
@@ -65,9 +65,9 @@
         self.closed: list[tuple[bytes, int, EndpointIncarnation]] = []
 
     async def close(
-        self, turn: OpenTurn, text: bytes, tokens: int, start: EndpointIncarnation, keep_s: float
+        self, turn: OpenTurn, text: bytes, tokens: int, engine: EndpointIncarnation, keep_s: float
     ) -> None:
-        self.closed.append((text, tokens, start))
+        self.closed.append((text, tokens, engine))
 
 
 KINDS = ["cut", "cut", "cut", "silent", "status", "unsigned", "encoded"]
