--- a/tests/functional/test_endpoint_restarts.py
+++ b/tests/functional/test_endpoint_restarts.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 
-from bayhinge._internal.decisions.endpoint_incarnations import CLOCK_SKEW_S
+from bayhinge._internal.decisions.endpoint_starts import CLOCK_SKEW_S
 from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from tests.lib.asked_endpoints import asked, only_one_service
 from tests.lib.log_lines import collected_lines, told
--- a/tests/functional/test_silent_endpoints.py
+++ b/tests/functional/test_silent_endpoints.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.answer_timeouts import SILENCE_OBJECTIVES
+from bayhinge._internal.decisions.answer_bounds import SILENCE_OBJECTIVES
 from tests.lib.asked_endpoints import asked, only_one_service
 from tests.lib.platform_engine import EngineTroubles
 from tests.lib.platform_site import PlatformSite, run_site
--- a/tests/lib/proof_mutants.py
+++ b/tests/lib/proof_mutants.py
@@ -1,6 +1,6 @@
 """The model of proofs with one guard left out each."""
 
-from bayhinge._internal.decisions.freshness_proofs import FreshnessProof
+from bayhinge._internal.decisions.proof_age import FreshnessProof
 from tests.lib.proof_model import BOUND_S, Host, ProofModel
 
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -26,7 +26,7 @@
 SEED_LIMIT_S = 120.0
 """A seed of 40 s of faults takes 50 to 60 s beside other work; a mutant may hang its hosts."""
 
-BOOK = "decisions/endpoint_table.py"
+BOOK = "decisions/endpoint_book.py"
 QUORUM = "decisions/disk_quorum.py"
 
 EDITS_BY_GUARD: dict[str, tuple[Edit, ...]] = {
@@ -91,7 +91,7 @@
         Edit(BOOK, "FIRST_EJECTION_S = 1.0", "FIRST_EJECTION_S = 0.0"),
         Edit(BOOK, "MAX_EJECTION_S = 8.0", "MAX_EJECTION_S = 0.0"),
     ),
-    "doubt": (Edit("decisions/answer_timeouts.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),),
+    "doubt": (Edit("decisions/answer_bounds.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),),
     "lapsed entries": (
         Edit(
             "services/gateway/store_listeners.py",
@@ -113,9 +113,7 @@
             "        if True:",
         ),
     ),
-    "proofs grow old": (
-        Edit("decisions/freshness_proofs.py", "ADMIT_SHARE = 0.94", "ADMIT_SHARE = 1e9"),
-    ),
+    "proofs grow old": (Edit("decisions/proof_age.py", "ADMIT_SHARE = 0.94", "ADMIT_SHARE = 1e9"),),
     "proofs count from the question": (
         Edit(
             "services/gateway/configuration_proofs.py",
@@ -125,7 +123,7 @@
     ),
     "keys are looked at again before a send": (
         Edit(
-            "services/gateway/request_sender.py",
+            "services/gateway/sending.py",
             "        self._check_admission(request)",
             "        pass",
         ),
--- a/tests/unit/test_ablation.py
+++ b/tests/unit/test_ablation.py
@@ -19,4 +19,4 @@
 def test_a_piece_that_has_gone_is_told(tmp_path: Path) -> None:
     copy_without("", tmp_path)
     with pytest.raises(PieceMissingError, match="stands 0 times"):
-        Edit("decisions/endpoint_table.py", "no such text", "").apply(tmp_path)
+        Edit("decisions/endpoint_book.py", "no such text", "").apply(tmp_path)
--- a/tests/unit/test_disk_reach.py
+++ b/tests/unit/test_disk_reach.py
@@ -1,6 +1,6 @@
 """When a host counts as partitioned from the disks."""
 
-from bayhinge._internal.decisions.disk_reachability import DiskReachability
+from bayhinge._internal.decisions.disk_reach import DiskReachability
 
 
 def test_more_silent_disks_than_may_be_lost_speak_of_a_cut_until_one_answers() -> None:
--- a/tests/unit/test_endpoint_book.py
+++ b/tests/unit/test_endpoint_book.py
@@ -1,6 +1,6 @@
 """Which endpoint a request goes to."""
 
-from bayhinge._internal.decisions.endpoint_table import (
+from bayhinge._internal.decisions.endpoint_book import (
     FIRST_EJECTION_S,
     EndpointState,
     EndpointTable,
