--- a/src/bayhinge/_internal/bench/__init__.py
+++ b/src/bayhinge/_internal/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of this code, in virtual time where possible."""
+"""Benchmarks of the scheduler, in virtual time where possible."""
--- a/src/bayhinge/_internal/bench/capacity.py
+++ b/src/bayhinge/_internal/bench/capacity.py
@@ -1,4 +1,4 @@
-"""``bayhinge bench capacity``: works the target size out from slopes measured here.
+"""``bayhinge bench capacity``: extrapolates measured unit costs to the target size.
 
 ``make capacity`` runs it and rewrites ``docs/capacity-own-interface.md``.
 """
@@ -38,36 +38,36 @@
 BYTES_LIMIT_S = 4000.0
 WRITES_LIMIT_S = 300.0
 READS_LIMIT_S = 2000.0
-BEAT_S = 1.5
+HEARTBEAT_S = 1.5
 JOURNAL_WRITES_S = 8.0
 TOTAL_JOURNAL_WRITES_S = 240.0
 CONFIG_POLL_S = 3.0
 DELAY_LIMIT_S = 0.36
-"""The time to the first token; a call's end should not be delayed by more."""
+"""Longest acceptable delay of a call's end: the time to the first token."""
 LISTED_OVERHEAD = 1.5
-"""A listed object's bytes on the wire against its value: base64, key and version."""
+"""Bytes on the wire of a listed object, relative to its value: base64, key and version."""
 REPEATS = 3
 LOOPS = 2_000
 
 
 @attrs.frozen
-class Measured:
-    """A slope with its spread over some repetitions."""
+class SlopeSample:
+    """A unit cost with its spread over ``REPEATS`` samples."""
 
     name: str
     unit: str
     median: float
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
     def text(self) -> str:
-        """Returns the figure as the page shows it."""
-        return f"{self.median:,.3g} ({self.least:,.3g} to {self.most:,.3g}) {self.unit}"
+        """Formats the sample for the page."""
+        return f"{self.median:,.3g} ({self.minimum:,.3g} to {self.maximum:,.3g}) {self.unit}"
 
 
 @attrs.frozen
-class Need:
-    """What the target size needs of one kind, against its limit."""
+class CapacityNeed:
+    """What one role needs of one resource at the target size, and its limit."""
 
     role: str
     what: str
@@ -79,12 +79,12 @@
 
     @property
     def is_met(self) -> bool:
-        """True where the need lies within the limit."""
+        """True if the amount is within the limit."""
         return self.amount <= self.limit
 
 
 def page() -> str:
-    """Measures everything and returns the page."""
+    """Runs all measurements and returns the page as Markdown."""
     recovery = run_recovery(quick=True, schedules=1)
     path = run_path(quick=True)
     slopes = list(_slopes())
@@ -96,21 +96,21 @@
     return "\n".join(_page_lines(slopes, needs, recovery, path))
 
 
-def _slopes() -> Iterator[Measured]:
+def _slopes() -> Iterator[SlopeSample]:
     yield _measure("decision", "us", lambda: measure_cost(ENGINES, 3000).decision_us)
     yield _measure("decision at 6 engines", "us", lambda: measure_cost(6, 3000).decision_us)
     yield _measure("grant message, both ways", "us", _grant_us)
     yield _measure("heartbeat read", "us", _heartbeat_us)
-    yield _measure("queue home, a live program", "bytes", _home_bytes)
+    yield _measure("queue dispatcher, a live program", "bytes", _dispatcher_bytes)
     size = float(len(encode(_status())))
-    yield Measured("heartbeat object", "bytes", size, size, size)
+    yield SlopeSample("heartbeat object", "bytes", size, size, size)
     size = float(len(encode_message(offer_to_wire("pool~0", _offer(1)))))
-    yield Measured("grant request", "bytes", size, size, size)
+    yield SlopeSample("grant request", "bytes", size, size, size)
 
 
-def _measure(name: str, unit: str, sample: Callable[[], float]) -> Measured:
+def _measure(name: str, unit: str, sample: Callable[[], float]) -> SlopeSample:
     values = [sample() for _ in range(REPEATS)]
-    return Measured(name, unit, statistics.median(values), min(values), max(values))
+    return SlopeSample(name, unit, statistics.median(values), min(values), max(values))
 
 
 def _grant_us() -> float:
@@ -132,7 +132,7 @@
     return (perf_counter() - began) / LOOPS * 1e6
 
 
-def _home_bytes() -> float:
+def _dispatcher_bytes() -> float:
     cell = CellScheduler(CellSettings(max_running=100_000, cache_tokens=10**9))
     cell.set_endpoints([Endpoint("e", "pool", "hall", "a", EndpointState.LIVE)], 0.0)
     tracemalloc.start()
@@ -164,19 +164,19 @@
 
 
 def _needs(
-    slopes: dict[str, Measured],
+    slopes: dict[str, SlopeSample],
     recovery: RecoveryFigures,
     feed_calls_s: float,
     feed_bytes_s: float,
-) -> Iterator[Need]:
+) -> Iterator[CapacityNeed]:
     calls = REQUESTS_S / NODES
     programs = PROGRAMS / NODES
     per_call_us = 3 * slopes["decision"].median + slopes["grant message, both ways"].median
     records_us = recovery.cpu_us_per_record * calls
-    beat_s = max(BEAT_S, NODES / MAX_BEATS_PER_SECOND)
-    listed = slopes["heartbeat object"].median * LISTED_OVERHEAD * NODES / beat_s
-    beats_us = slopes["heartbeat read"].median * NODES / beat_s
-    yield Need(
+    heartbeat_s = max(HEARTBEAT_S, NODES / MAX_BEATS_PER_SECOND)
+    listed_bytes_s = slopes["heartbeat object"].median * LISTED_OVERHEAD * NODES / heartbeat_s
+    heartbeats_us = slopes["heartbeat read"].median * NODES / heartbeat_s
+    yield CapacityNeed(
         "program owner",
         "memory of programs",
         programs * recovery.idle_bytes_per_program / 1e6,
@@ -185,7 +185,7 @@
         "one entry a call; messages evicted and rebuilt",
         "none",
     )
-    yield Need(
+    yield CapacityNeed(
         "program owner and journal",
         "processor time of records",
         records_us / 1e6,
@@ -194,8 +194,8 @@
         "thrift records, group commit",
         "none",
     )
-    yield Need(
-        "queue home",
+    yield CapacityNeed(
+        "queue dispatcher",
         "processor time of decisions and grants",
         calls * per_call_us / 1e6,
         CORE_LIMIT,
@@ -203,17 +203,17 @@
         "cells of some eight engines, hashed over all hosts",
         "none",
     )
-    yield Need(
-        "queue home",
+    yield CapacityNeed(
+        "queue dispatcher",
         "memory of calls and programs",
-        programs * slopes["queue home, a live program"].median / 1e6,
+        programs * slopes["queue dispatcher, a live program"].median / 1e6,
         MEMORY_LIMIT_MB,
         "MB a node",
         "one entry a resident program",
         "none",
     )
-    yield Need(
-        "queue home",
+    yield CapacityNeed(
+        "queue dispatcher",
         "grant traffic",
         calls * 2.2 * slopes["grant request"].median,
         BYTES_LIMIT_S,
@@ -221,70 +221,70 @@
         "one request and one end for each call",
         "shorter identifiers, and ends sent in batches",
     )
-    yield Need(
+    yield CapacityNeed(
         "journal combiner",
         "journal writes",
         min(TOTAL_JOURNAL_WRITES_S, NODES * min(JOURNAL_WRITES_S, calls)),
         WRITES_LIMIT_S - MAX_BEATS_PER_SECOND,
         "writes/s in all",
         "group commit; each host takes its share of all writes",
-        "combine the batches of a hall's hosts, for the delay's sake",
+        "combine the batches of a hall's hosts, to shorten the delay",
     )
-    yield Need(
+    yield CapacityNeed(
         "journal combiner",
         "delay of a call's end",
         NODES / TOTAL_JOURNAL_WRITES_S / 2,
         DELAY_LIMIT_S,
         "s, a mean",
         "a host's share of writes is one in 1.5 s",
-        "the same; not built yet",
+        "the same; not implemented yet",
     )
-    yield Need(
+    yield CapacityNeed(
         "membership",
         "heartbeat writes",
-        NODES / beat_s,
+        NODES / heartbeat_s,
         MAX_BEATS_PER_SECOND,
         "writes/s in all",
-        "one object a host; the beat slows down in a large fleet",
+        "one object a host; heartbeats are less frequent in a large fleet",
         "none",
     )
-    yield Need(
+    yield CapacityNeed(
         "membership",
         "listings",
-        NODES / beat_s,
+        NODES / heartbeat_s,
         READS_LIMIT_S,
         "reads/s in all",
         "each host lists all heartbeats",
         "none",
     )
-    yield Need(
+    yield CapacityNeed(
         "membership",
         "heartbeats received",
-        listed,
+        listed_bytes_s,
         BYTES_LIMIT_S,
         "bytes/s a node",
         "each host lists all heartbeats",
         "one digest for each hall, read in place of its hosts' objects",
     )
-    yield Need(
+    yield CapacityNeed(
         "membership",
         "processor time",
-        beats_us / 1e6,
+        heartbeats_us / 1e6,
         CORE_LIMIT,
         "cores a node",
         "thrift structs",
         "the same digest",
     )
-    yield Need(
+    yield CapacityNeed(
         "config feed",
         "reads",
         feed_calls_s * NODES,
         READS_LIMIT_S,
         "reads/s in all",
-        "a poll every three seconds, and news from peers",
+        "a poll every three seconds, and updates from peers",
         "none",
     )
-    yield Need(
+    yield CapacityNeed(
         "config feed",
         "bytes received",
         feed_bytes_s,
@@ -296,18 +296,21 @@
 
 
 def _page_lines(
-    slopes: list[Measured], needs: list[Need], recovery: RecoveryFigures, path: PathFigures
+    slopes: list[SlopeSample],
+    needs: list[CapacityNeed],
+    recovery: RecoveryFigures,
+    path: PathFigures,
 ) -> Iterator[str]:
     today = datetime.now(UTC).date().isoformat()
     yield "# Capacity of the product's own interface"
     yield ""
     yield f"Measured and written by `make capacity` on {today}; medians of {REPEATS}, and spread."
-    yield "One machine, one process. The target: 350 nodes before 630 engines, 4,200 requests"
+    yield "One machine, one process. The target: 350 nodes in front of 630 engines, 4,200 requests"
     yield "and 1.3 million tokens a second, 38,000 programs, 14,000 client accounts. The limits:"
     yield "2.2% of a core, 128 MB and 4 KB/s a node for control; the store's several hundred"
     yield f"writes (counted as {WRITES_LIMIT_S:g}) and 2,000 reads a second in all."
     yield ""
-    yield "## Slopes"
+    yield "## Unit costs"
     yield ""
     yield "| what | measured |"
     yield "| --- | --- |"
@@ -315,17 +318,17 @@
         yield f"| {item.name} | {item.text()} |"
     yield f"| journal record, processor time | {recovery.cpu_us_per_record:g} us |"
     yield f"| evicted program of 71 calls | {recovery.idle_bytes_per_program:,} bytes |"
-    yield f"| history rebuilt | {recovery.rebuild_ms_per_mb:g} ms a MB |"
+    yield f"| rebuild of a history | {recovery.rebuild_ms_per_mb:g} ms a MB |"
     yield f"| journal writes a call, at 50 calls/s a host | {recovery.store_writes_per_call:g} |"
     delays = (recovery.journal_ms_at_1, recovery.journal_ms_at_50, recovery.journal_ms_at_400)
     shown = " / ".join(f"{delay:g}" for delay in delays)
-    yield f"| journal's delay of a call at 1 / 50 / 400 calls/s a host | {shown} ms |"
-    taken = f"{recovery.takeover_p50_s:g} s / {recovery.takeover_p99_s:g} s"
-    yield f"| takeover of 100 programs, p50 / p99 | {taken} |"
+    yield f"| delay of a call by the journal at 1 / 50 / 400 calls/s a host | {shown} ms |"
+    takeover = f"{recovery.takeover_p50_s:g} s / {recovery.takeover_p99_s:g} s"
+    yield f"| takeover of 100 programs, p50 / p99 | {takeover} |"
     yield ""
-    yield "## Control at the target size"
+    yield "## Control plane at the target size"
     yield ""
-    yield "| role | what | needed | limit | met | carried by | next change |"
+    yield "| role | resource | needed | limit | met | mechanism | next change |"
     yield "| --- | --- | --- | --- | --- | --- | --- |"
     for need in needs:
         verdict = "yes" if need.is_met else "**no**"
@@ -334,29 +337,29 @@
             f"{verdict} | {need.mechanism} | {need.next_change} |"
         )
     yield ""
-    missed = [need for need in needs if not need.is_met]
-    yield f"{len(needs) - len(missed)} of {len(needs)} needs lie within their limits, each taken"
-    yield "alone. What a node spends in all is the sum over its roles: processor time for control"
+    unmet = [need for need in needs if not need.is_met]
+    yield f"{len(needs) - len(unmet)} of {len(needs)} needs lie within their limits, each taken"
+    yield "alone. A node's total is the sum over its roles: processor time for control"
     cores = sum(need.amount for need in needs if need.unit == "cores a node")
     memory = sum(need.amount for need in needs if need.unit == "MB a node")
-    yield f"comes to {cores * 100:.2f}% of a core, memory to {memory:.1f} MB beside the process's"
-    yield "own base and its history cache (a setting)."
+    yield f"comes to {cores * 100:.2f}% of a core, memory to {memory:.1f} MB in addition to the"
+    yield "process's base memory and its history cache (a setting)."
     yield ""
     yield from _data_lines(path)
-    yield "## Days on which things fail"
+    yield "## Failures"
     yield ""
     yield from _failure_lines()
 
 
 def _data_lines(path: PathFigures) -> Iterator[str]:
     share = path.core_share_at_node_load * 100
-    yield "## Data, counted apart"
+    yield "## Data plane"
     yield ""
-    yield "Answers pass through one entry host, and two where the caller came to another than the"
+    yield "Answers pass through one entry host, or two if the caller's entry host is not the"
     yield f"owner. `bayhinge bench path` measures {path.cpu_us_per_call:,.0f} us a call and"
     yield f"{path.cpu_us_per_token:g} us a token, the store's and the engines' stand-ins included,"
     yield f"so {share:.0f}% of a core at a node's 12 requests and 3,714 tokens a second. The next"
-    yield "change is to pass several tokens on in one write."
+    yield "change is to forward several tokens in one write."
     yield ""
 
 
@@ -365,33 +368,33 @@
         (
             "11 hosts die, 78 restart, a day",
             "89 seals; at most 8 successors read each journal once; look-ups follow seals that "
-            "are kept in memory",
-            "tested one by one; journals are not trimmed yet, so each grows with its host's life",
+            "are cached in memory",
+            "tested one by one; journals are not trimmed yet, so each grows with its host's uptime",
         ),
         (
             "a rack or a switch",
             "each journal is sealed by the first survivor in its own order, 0.5 s apart",
-            "tested with 2 of 5 hosts at once",
+            "tested with 2 of 5 hosts failing at once",
         ),
         (
             "a hall",
-            "the same; programs of a quarter of all hosts are read and adopted",
+            "the same; the programs of a quarter of all hosts are read and adopted",
             "not measured at that size",
         ),
         (
-            "regions apart for an hour",
-            "with a store on each side, each side goes on alone; with one store, the side without "
-            "it is in an outage",
-            "the outage is tested for an hour; configuration across two stores is not built",
+            "regions partitioned for an hour",
+            "with a store on each side, each side continues alone; with one store, the side "
+            "without it is in an outage",
+            "the outage is tested for an hour; configuration across two stores is not implemented",
         ),
         (
-            "the store away for an hour",
-            "nobody is held dead; answers are streamed and confirmed once they are recorded; new "
-            "actions that may not be repeated are refused as not run",
+            "store outage of an hour",
+            "no host is declared dead; answers are streamed and confirmed once they are recorded; "
+            "new actions that may not be repeated are refused as not run",
             "tested for 1 s, 60 s and an hour",
         ),
     )
-    yield "| event | what it costs | state |"
+    yield "| event | effect | status |"
     yield "| --- | --- | --- |"
     for event, cost, state in rows:
         yield f"| {event} | {cost} | {state} |"
--- a/src/bayhinge/_internal/bench/decisions/__init__.py
+++ b/src/bayhinge/_internal/bench/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decision bench: the daemon's own scheduler against modelled engines, in virtual time."""
+"""Benchmarks of scheduling decisions: the daemon's scheduler with simulated engines."""
--- a/src/bayhinge/_internal/bench/decisions/cost.py
+++ b/src/bayhinge/_internal/bench/decisions/cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs, by the number of engines and live programs."""
+"""Processor time of a scheduling decision, by the number of engines and live programs."""
 
 import math
 from time import perf_counter
@@ -25,7 +25,7 @@
 
 
 def measure_cost(engines: int, rounds: int = 3000) -> CostSample:
-    """Measures offers and ends of calls over all cells of a pool."""
+    """Measures offers and completions of calls over all cells of a pool."""
     pool = _Pool(engines)
     programs = engines * PROGRAMS_PER_ENGINE
     for number in range(programs):
@@ -42,14 +42,14 @@
 
 
 def slope(samples: list[CostSample]) -> float:
-    """Returns the exponent with which cost grows with size; 1 would be linear."""
+    """Returns the exponent of the cost's growth with size; 1 is linear."""
     first, last = samples[0], samples[-1]
     growth = last.decision_us / first.decision_us
     return math.log(growth) / math.log(last.engines / first.engines)
 
 
 class _Pool:
-    """Every cell of a pool, as their homes hold them."""
+    """The schedulers of all cells of a pool."""
 
     def __init__(self, engines: int) -> None:
         listed = [
--- a/src/bayhinge/_internal/bench/decisions/report.py
+++ b/src/bayhinge/_internal/bench/decisions/report.py
@@ -1,4 +1,4 @@
-"""Figures of a run, and the policies that are compared."""
+"""The compared policies and sites, and the figures of a run."""
 
 import bisect
 import statistics
@@ -7,11 +7,11 @@
 import attrs
 
 from bayhinge._internal.bench.decisions.simulation import (
+    InjectedFaults,
     LiveProgram,
     RunOutcome,
     RunSettings,
     Simulation,
-    Trouble,
     latencies,
 )
 from bayhinge._internal.bench.decisions.workload import (
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Policy:
-    """A combination of policies under a name."""
+    """A named combination of queue order, placement, early refusal and cache release."""
 
     name: str
     order: str
@@ -58,9 +58,9 @@
     """A user's pool and workload.
 
     Attributes:
-        cache_tokens: memory of one engine; the letter leaves it open.
-        capacity: the pool's capacity as a share of the letter's rate, measured: the
-            highest rate at which every program of a steady run finishes.
+        cache_tokens: KV cache of one engine, in tokens; an assumption.
+        capacity: highest rate at which every program of a steady run finishes, as a share
+            of ``REQUESTS_PER_ENGINE_S``.
     """
 
     name: str
@@ -77,22 +77,23 @@
 
 @attrs.frozen
 class RunFigures:
-    """What a run is judged by.
+    """Results of a run.
 
     Attributes:
         p50_s: median program latency.
         p95_s: 95th percentile of program latency.
         p99_s: 99th percentile of program latency.
-        finished_per_hour: programs finished, an hour of virtual time.
-        finished_share: the part of the programs that finished.
-        wasted_tokens: tokens read again although they had been computed before.
-        wasted_share: those, as a share of all tokens read.
+        finished_per_hour: programs finished per hour of virtual time.
+        finished_share: share of the programs that finished.
+        wasted_tokens: prompt tokens recomputed.
+        wasted_share: recomputed tokens as a share of all prompt tokens computed.
         refusals: calls refused.
-        needless_share: refusals in whose patience a program could have begun, as a
+        needless_share: refusals of calls that could have started within their patience, as a
             share of all calls offered.
-        worst_account: the slowest account's median slowdown against the median account.
-        first_token_p95_s: 95th percentile of the time to the first token, once sent.
-        messages_per_call: messages between owners and home a call.
+        worst_account: median latency a turn of the slowest account, relative to the median
+            account.
+        first_token_p95_s: 95th percentile of the time from sending to the first token.
+        messages_per_call: messages per call between owners and queue dispatchers.
         decision_us: processor time of one decision.
     """
 
@@ -122,9 +123,19 @@
     seconds: float,
     seed: int,
     speed: ModelSpeed | None = None,
-    trouble: Trouble | None = None,
+    faults: InjectedFaults | None = None,
 ) -> RunFigures:
-    """Runs one policy on one site and returns its figures."""
+    """Runs one policy on one site.
+
+    Args:
+        site: the pool and workload.
+        policy: the policy to run.
+        load: request rate as a share of the site's capacity.
+        seconds: virtual seconds in which programs arrive.
+        seed: seed of the workload.
+        speed: speed of the engines; by default that of the site.
+        faults: faults to inject; none by default.
+    """
     speed = speed or ModelSpeed(cache_tokens=site.cache_tokens)
     rate = load * site.capacity
     plans = make_programs(site.shape, site.engines, rate, seconds, seed)
@@ -138,7 +149,7 @@
         early_refusal=policy.early_refusal,
         releases=policy.releases,
     )
-    settings = RunSettings(cell, speed, site.engines, site.halls, trouble or Trouble())
+    settings = RunSettings(cell, speed, site.engines, site.halls, faults or InjectedFaults())
     outcome = Simulation(settings, plans).run()
     return _figures(site, policy, load, seconds, seed, outcome)
 
@@ -146,29 +157,29 @@
 def _figures(
     site: Site, policy: Policy, load: float, seconds: float, seed: int, outcome: RunOutcome
 ) -> RunFigures:
-    spans = sorted(latencies(outcome, WARM_UP_S, seconds))
+    latencies_s = sorted(latencies(outcome, WARM_UP_S, seconds))
     measured = [item for item in outcome.programs if item.plan.arrives_at >= WARM_UP_S]
     finished = [item for item in measured if item.finished_at is not None]
-    in_time = [
+    finished_in_window = [
         item for item in outcome.programs if WARM_UP_S <= (item.finished_at or 0.0) <= seconds
     ]
     wasted = sum(engine.wasted_tokens for engine in outcome.engines)
-    read = sum(engine.prefilled_tokens for engine in outcome.engines)
+    prefilled = sum(engine.prefilled_tokens for engine in outcome.engines)
     calls = sum(item.turn + item.calls_refused for item in outcome.programs)
     return RunFigures(
         site=site.name,
         policy=policy.name,
         load=load,
         seed=seed,
-        p50_s=round(percentile(spans, 50), 2),
-        p95_s=round(percentile(spans, 95), 2),
-        p99_s=round(percentile(spans, 99), 2),
-        finished_per_hour=round(len(in_time) * 3600 / max(1.0, seconds - WARM_UP_S), 1),
+        p50_s=round(percentile(latencies_s, 50), 2),
+        p95_s=round(percentile(latencies_s, 95), 2),
+        p99_s=round(percentile(latencies_s, 99), 2),
+        finished_per_hour=round(len(finished_in_window) * 3600 / max(1.0, seconds - WARM_UP_S), 1),
         finished_share=round(len(finished) / max(1, len(measured)), 4),
         wasted_tokens=wasted,
-        wasted_share=round(wasted / max(1, read), 4),
+        wasted_share=round(wasted / max(1, prefilled), 4),
         refusals=len(outcome.refusals),
-        needless_share=round(_needless(outcome) / max(1, calls), 4),
+        needless_share=round(_count_needless(outcome) / max(1, calls), 4),
         worst_account=round(_worst_account(finished), 2),
         first_token_p95_s=round(percentile(sorted(outcome.first_tokens_s), 95), 3),
         messages_per_call=round(outcome.messages / max(1, calls), 2),
@@ -183,13 +194,13 @@
     return ordered[min(len(ordered) - 1, int(len(ordered) * percent / 100))]
 
 
-def _needless(outcome: RunOutcome) -> int:
-    """Counts refusals in whose patience the cell had room with nobody waiting."""
-    idle = outcome.idle_moments
+def _count_needless(outcome: RunOutcome) -> int:
+    """Counts refusals of calls within whose patience the cell had a free slot and no queue."""
+    idle = outcome.idle_times_s
     count = 0
-    for note in outcome.refusals:
-        place = bisect.bisect_left(idle, note.at)
-        count += place < len(idle) and idle[place] <= note.at + note.patience_s
+    for refusal in outcome.refusals:
+        index = bisect.bisect_left(idle, refusal.at)
+        count += index < len(idle) and idle[index] <= refusal.at + refusal.patience_s
     return count
 
 
@@ -197,7 +208,7 @@
     """Compares each account's median latency a turn with the median of all accounts."""
     per_turn: dict[str, list[float]] = defaultdict(list)
     for program in finished:
-        span = (program.finished_at or 0.0) - program.plan.arrives_at
-        per_turn[program.plan.account].append(span / len(program.plan.turns))
+        latency_s = (program.finished_at or 0.0) - program.plan.arrives_at
+        per_turn[program.plan.account].append(latency_s / len(program.plan.turns))
     medians = [statistics.median(values) for values in per_turn.values() if len(values) >= 5]
     return max(medians) / statistics.median(medians) if medians else 0.0
--- a/src/bayhinge/_internal/bench/decisions/run.py
+++ b/src/bayhinge/_internal/bench/decisions/run.py
@@ -1,4 +1,4 @@
-"""``bayhinge bench decisions``: policies compared, in one run."""
+"""``bayhinge bench decisions``: compares scheduling policies on the same workloads."""
 
 import statistics
 from collections.abc import Iterator
@@ -16,28 +16,28 @@
     Site,
     run_policy,
 )
-from bayhinge._internal.bench.decisions.simulation import Trouble
+from bayhinge._internal.bench.decisions.simulation import InjectedFaults
 from bayhinge_standins.engine_model import ModelSpeed
 
 QUICK_SECONDS = 340.0
-QUICK_CROWD_SECONDS = 200.0
+QUICK_OVERLOAD_SECONDS = 200.0
 FULL_SECONDS = 600.0
 HIGH_LOAD = 0.9
 OVERLOAD = 1.3
-CUT_OFF_FACTOR = 3.0
+DEADLINE_FACTOR = 3.0
 FULL_SEEDS = (1, 2, 3)
 FULL_LOADS = (0.5, 0.7, 0.9, 1.1, 1.3)
 COST_SIZES = (6, 60, 630)
 CACHE_SIZES = (500_000, 700_000, 1_000_000, 1_500_000)
-TROUBLES = {
-    "half the engines lost at 200 s for 60 s": Trouble(lose_engines_at=200.0),
-    "one engine four times slower": Trouble(slow_engine=4.0),
+FAULT_SCENARIOS = {
+    "half the engines lost at 200 s for 60 s": InjectedFaults(lose_engines_at=200.0),
+    "one engine four times slower": InjectedFaults(first_engine_slow_factor=4.0),
 }
 
 
 @attrs.frozen
 class Headline:
-    """The ratios against the baseline, in one run."""
+    """The default policy's figures, with ratios against the baseline."""
 
     navdesk_p95_ratio: float
     navdesk_finished_share: float
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Comparison:
-    """Two policies on the same programs."""
+    """Figures of two policies on the same programs."""
 
     baseline: RunFigures
     chosen: RunFigures
@@ -64,35 +64,37 @@
     seconds: float,
     seed: int,
     speed: ModelSpeed | None = None,
-    trouble: Trouble | None = None,
+    faults: InjectedFaults | None = None,
 ) -> Comparison:
     """Runs the baseline and the default policy."""
     baseline, chosen = (
-        run_policy(site, POLICIES_BY_NAME[name], load, seconds, seed, speed, trouble)
+        run_policy(site, POLICIES_BY_NAME[name], load, seconds, seed, speed, faults)
         for name in (BASELINE, "default")
     )
     return Comparison(baseline, chosen)
 
 
-def with_cut_off(site: Site) -> Site:
-    """Returns a site whose programs are given up when they are too late."""
-    return attrs.evolve(site, shape=attrs.evolve(site.shape, cut_off_factor=CUT_OFF_FACTOR))
+def with_deadline(site: Site) -> Site:
+    """Returns the site with programs that their agents give up after a deadline."""
+    return attrs.evolve(site, shape=attrs.evolve(site.shape, deadline_factor=DEADLINE_FACTOR))
 
 
 def run_quick(seed: int = 1) -> Headline:
-    """Runs what the headline needs, with one seed."""
-    return _headline([seed], QUICK_SECONDS, QUICK_CROWD_SECONDS)
+    """Computes the headline from one seed and short runs."""
+    return _headline([seed], QUICK_SECONDS, QUICK_OVERLOAD_SECONDS)
 
 
 def run_headline(seeds: tuple[int, ...] = FULL_SEEDS) -> Headline:
-    """Runs what the headline needs, with several seeds; the medians count."""
+    """Computes the headline as the medians over several seeds."""
     return _headline(list(seeds), FULL_SECONDS, FULL_SECONDS)
 
 
-def _headline(seeds: list[int], seconds: float, crowd_seconds: float) -> Headline:
+def _headline(seeds: list[int], seconds: float, overload_seconds: float) -> Headline:
     navdesk = [compare(NAVDESK_SITE, HIGH_LOAD, seconds, seed) for seed in seeds]
     booking = [compare(BOOKING_SITE, HIGH_LOAD, seconds, seed) for seed in seeds]
-    crowd = [compare(with_cut_off(NAVDESK_SITE), OVERLOAD, crowd_seconds, seed) for seed in seeds]
+    overload = [
+        compare(with_deadline(NAVDESK_SITE), OVERLOAD, overload_seconds, seed) for seed in seeds
+    ]
     costs = measure_costs()
     return Headline(
         navdesk_p95_ratio=_median(
@@ -107,16 +109,17 @@
         ),
         booking_finished_share=_median(item.chosen.finished_share for item in booking),
         overload_finished_ratio=_median(
-            _ratio(item.chosen.finished_per_hour, item.baseline.finished_per_hour) for item in crowd
+            _ratio(item.chosen.finished_per_hour, item.baseline.finished_per_hour)
+            for item in overload
         ),
-        needless_refusal_share=_median(item.chosen.needless_share for item in crowd),
+        needless_refusal_share=_median(item.chosen.needless_share for item in overload),
         decision_us=round(costs[-1].decision_us, 1),
         decision_us_slope=round(slope(costs), 3),
     )
 
 
 def measure_costs() -> list[CostSample]:
-    """Measures a decision's cost at growing sizes."""
+    """Measures the cost of a decision at each of ``COST_SIZES``."""
     return [measure_cost(engines) for engines in COST_SIZES]
 
 
@@ -130,22 +133,22 @@
 
 
 def run_sensitivity(seed: int = 1) -> Iterator[tuple[str, Comparison]]:
-    """Yields comparisons at high load under other settings and under trouble."""
+    """Yields comparisons at high load with other cache sizes, without a burst, and with faults."""
     for tokens in CACHE_SIZES:
         speed = ModelSpeed(cache_tokens=tokens)
         comparison = compare(NAVDESK_SITE, HIGH_LOAD, QUICK_SECONDS, seed, speed)
         yield f"{tokens} tokens of cache an engine", comparison
     steady = attrs.evolve(
-        NAVDESK_SITE, shape=attrs.evolve(NAVDESK_SITE.shape, dawn_at=None, dawn_programs=0)
+        NAVDESK_SITE, shape=attrs.evolve(NAVDESK_SITE.shape, burst_at=None, burst_programs=0)
     )
-    yield "no rush", compare(steady, HIGH_LOAD, QUICK_SECONDS, seed)
-    for name, trouble in TROUBLES.items():
-        yield name, compare(steady, HIGH_LOAD, QUICK_SECONDS, seed, trouble=trouble)
+    yield "no burst", compare(steady, HIGH_LOAD, QUICK_SECONDS, seed)
+    for name, faults in FAULT_SCENARIOS.items():
+        yield name, compare(steady, HIGH_LOAD, QUICK_SECONDS, seed, faults=faults)
 
 
 def plot_loads(figures: list[RunFigures], folder: Path) -> list[Path]:
-    """Draws program latency and waste over load, a picture for each site."""
-    # Loaded here alone: it takes a second, and nothing else draws.
+    """Plots program latency and recomputed tokens over load, one file per site."""
+    # Imported here because it takes a second and only this function needs it.
     import matplotlib as mpl
 
     mpl.use("Agg")
@@ -154,7 +157,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     paths: list[Path] = []
     for site in sorted({item.site for item in figures}):
-        picture, (left, right) = plt.subplots(1, 2, figsize=(11, 4.5))
+        figure, (left, right) = plt.subplots(1, 2, figsize=(11, 4.5))
         for policy in POLICIES_BY_NAME:
             own = [item for item in figures if (item.site, item.policy) == (site, policy)]
             loads = sorted({item.load for item in own})
@@ -166,12 +169,12 @@
             left.plot(loads, p95, marker="o", label=policy)
             right.plot(loads, waste, marker="o", label=policy)
         left.set(xlabel="load", ylabel="p95 program latency, s", title=site)
-        right.set(xlabel="load", ylabel="tokens read again, millions", title=site)
+        right.set(xlabel="load", ylabel="tokens recomputed, millions", title=site)
         right.legend(fontsize=7)
-        picture.tight_layout()
+        figure.tight_layout()
         path = folder / f"decisions-{site}.svg"
-        picture.savefig(path)
-        plt.close(picture)
+        figure.savefig(path)
+        plt.close(figure)
         paths.append(path)
     return paths
 
--- a/src/bayhinge/_internal/bench/decisions/simulation.py
+++ b/src/bayhinge/_internal/bench/decisions/simulation.py
@@ -1,4 +1,4 @@
-"""Runs programs through the real scheduler and modelled engines, event by event."""
+"""Discrete-event simulation of programs with the daemon's scheduler and simulated engines."""
 
 import functools
 import heapq
@@ -15,45 +15,45 @@
 from bayhinge_standins.engine_model import EngineModel, ModelRequest, ModelSpeed
 
 TICK_S = 0.2
-GIVE_UP_AFTER = 4
-"""Refusals of one call after which its agent gives the program up."""
+MAX_CALL_REFUSALS = 4
+"""Refusals of one call in a row after which its agent gives the program up."""
 
 
 @attrs.frozen
-class Trouble:
-    """What goes wrong in a run.
+class InjectedFaults:
+    """Faults of a run.
 
     Attributes:
-        lose_engines_at: when half of the engines die, or None.
-        back_after_s: when they come back.
-        slow_engine: how many times slower engine 0 is.
+        lose_engines_at: when half of the engines fail, or None.
+        recover_after_s: how long they stay down.
+        first_engine_slow_factor: factor by which engine 0 is slower than the others.
     """
 
     lose_engines_at: float | None = None
-    back_after_s: float = 60.0
-    slow_engine: float = 1.0
+    recover_after_s: float = 60.0
+    first_engine_slow_factor: float = 1.0
 
 
 @attrs.frozen
 class RunSettings:
-    """One run of the bench."""
+    """Settings of one run."""
 
     cell: CellSettings
     speed: ModelSpeed
     engines: int
     halls: int
-    trouble: Trouble = Trouble()
+    faults: InjectedFaults = InjectedFaults()
     horizon_s: float = 3600.0
 
 
 @attrs.define(eq=False)
 class LiveProgram:
-    """A program under way."""
+    """A running program."""
 
     plan: ProgramPlan
     turn: int = 0
     history: int = 0
-    seen: int = 0
+    computed_tokens: int = 0
     attained_s: float = 0.0
     refusals: int = 0
     calls_refused: int = 0
@@ -66,8 +66,8 @@
 
 
 @attrs.define
-class RefusalNote:
-    """When a program's call was refused, and how long its caller would have waited."""
+class RefusalRecord:
+    """When a call was refused, and how long its caller would have waited."""
 
     at: float
     patience_s: float
@@ -75,12 +75,12 @@
 
 @attrs.define
 class RunOutcome:
-    """What a run came to."""
+    """Results of a run."""
 
     programs: list[LiveProgram]
     engines: list[EngineModel]
-    refusals: list[RefusalNote]
-    idle_moments: list[float]
+    refusals: list[RefusalRecord]
+    idle_times_s: list[float]
     decisions: int
     decision_s: float
     messages: int
@@ -96,10 +96,9 @@
 
 
 class Simulation:
-    """One run."""
+    """One simulation run."""
 
     def __init__(self, settings: RunSettings, plans: Iterable[ProgramPlan]) -> None:
-        """Takes the settings and the programs."""
         self._settings = settings
         self._scheduler = CellScheduler(settings.cell)
         self._engines = {
@@ -107,29 +106,31 @@
             for number in range(settings.engines)
         }
         self._dead: set[str] = set()
-        self._programs = [LiveProgram(plan, history=plan.shared_tokens, seen=0) for plan in plans]
+        self._programs = [
+            LiveProgram(plan, history=plan.shared_tokens, computed_tokens=0) for plan in plans
+        ]
         self._events: list[_Event] = []
         self._order = itertools.count()
         self._grants: dict[str, tuple[LiveProgram, Offer]] = {}
         self._requests: dict[str, tuple[LiveProgram, str]] = {}
         self._engine_version: dict[str, int] = dict.fromkeys(self._engines, 0)
-        self._left = len(self._programs)
+        self._remaining = len(self._programs)
         self._outcome = RunOutcome(
             self._programs, list(self._engines.values()), [], [], 0, 0.0, 0, [], 0.0
         )
 
     def run(self) -> RunOutcome:
         """Runs until every program has ended or the horizon is reached."""
-        trouble = self._settings.trouble
-        self._engines["engine-0"].slow_factor = trouble.slow_engine
+        faults = self._settings.faults
+        self._engines["engine-0"].slow_factor = faults.first_engine_slow_factor
         self._publish(0.0)
         for program in self._programs:
-            self._at(program.plan.arrives_at, functools.partial(self._call, program))
-        if trouble.lose_engines_at is not None:
-            self._at(trouble.lose_engines_at, self._lose_half)
-        self._at(TICK_S, self._tick)
+            self._schedule(program.plan.arrives_at, functools.partial(self._offer_call, program))
+        if faults.lose_engines_at is not None:
+            self._schedule(faults.lose_engines_at, self._fail_half_of_engines)
+        self._schedule(TICK_S, self._tick)
         now = 0.0
-        while self._events and self._left and now < self._settings.horizon_s:
+        while self._events and self._remaining and now < self._settings.horizon_s:
             event = heapq.heappop(self._events)
             now = event.at
             event.act(now)
@@ -138,14 +139,14 @@
 
     # ---- events ----
 
-    def _at(self, at: float, act: Callable[[float], None]) -> None:
+    def _schedule(self, at: float, act: Callable[[float], None]) -> None:
         heapq.heappush(self._events, _Event(at, next(self._order), act))
 
     def _tick(self, now: float) -> None:
         self._decide(lambda: self._scheduler.tick(now), now)
         if self._scheduler.has_room(now):
-            self._outcome.idle_moments.append(now)
-        self._at(now + TICK_S, self._tick)
+            self._outcome.idle_times_s.append(now)
+        self._schedule(now + TICK_S, self._tick)
 
     def _publish(self, now: float) -> None:
         listed = [
@@ -157,7 +158,7 @@
         ]
         self._decide(lambda: self._scheduler.set_endpoints(listed, now), now)
 
-    def _call(self, program: LiveProgram, now: float) -> None:
+    def _offer_call(self, program: LiveProgram, now: float) -> None:
         plan = program.plan
         offer = Offer(
             grant=f"{plan.name}/{program.turn}/{program.refusals}/{next(self._order)}",
@@ -183,17 +184,17 @@
         self._outcome.decision_s += perf_counter() - began
         self._outcome.decisions += 1
         for action in actions:
-            self._carry_out(action, now)
+            self._execute(action, now)
 
-    def _carry_out(self, action: Action, now: float) -> None:
+    def _execute(self, action: Action, now: float) -> None:
         if isinstance(action, Grant):
-            self._start(action, now)
+            self._on_grant(action, now)
         elif isinstance(action, Reject):
-            self._refuse(action, now)
+            self._on_reject(action, now)
         elif isinstance(action, Release) and action.endpoint in self._engines:
             self._engines[action.endpoint].cache.drop(action.program)
 
-    def _start(self, grant: Grant, now: float) -> None:
+    def _on_grant(self, grant: Grant, now: float) -> None:
         program, offer = self._grants[grant.offer.grant]
         plan = program.plan
         turn = plan.turns[program.turn]
@@ -204,44 +205,44 @@
             turn.answer_tokens,
             plan.shared,
             plan.shared_tokens,
-            min(program.seen, offer.prompt_tokens),
+            min(program.computed_tokens, offer.prompt_tokens),
         )
         self._requests[offer.grant] = (program, grant.endpoint)
         self._outcome.messages += 1
         engine = self._engines[grant.endpoint]
         if grant.endpoint in self._dead:
-            self._fail(request, now)
+            self._fail_request(request, now)
             return
         self._finish_all(engine, engine.submit(request, now), now)
-        self._watch(engine)
+        self._schedule_advance(engine)
 
-    def _watch(self, engine: EngineModel) -> None:
-        """Plans a look at an engine's next event; an older plan becomes void."""
+    def _schedule_advance(self, engine: EngineModel) -> None:
+        """Schedules the engine's next event, in place of the one scheduled before."""
         at = engine.next_event()
         if at is None:
             return
         self._engine_version[engine.name] += 1
         version = self._engine_version[engine.name]
-        self._at(at, lambda now: self._look(engine, version, now))
+        self._schedule(at, lambda now: self._advance_engine(engine, version, now))
 
-    def _look(self, engine: EngineModel, version: int, now: float) -> None:
+    def _advance_engine(self, engine: EngineModel, version: int, now: float) -> None:
         if self._engine_version[engine.name] != version:
             return
         self._finish_all(engine, engine.advance(now + 1e-9), now)
-        self._watch(engine)
+        self._schedule_advance(engine)
 
     def _finish_all(
         self, engine: EngineModel, finished: Iterable[ModelRequest], now: float
     ) -> None:
         for request in finished:
-            self._finish(request, now)
+            self._finish_request(request, now)
 
-    def _finish(self, request: ModelRequest, now: float) -> None:
+    def _finish_request(self, request: ModelRequest, now: float) -> None:
         program, _ = self._requests.pop(request.request_id)
         self._grants.pop(request.request_id)
         turn = program.plan.turns[program.turn]
         program.history = request.prompt_tokens + request.answer_tokens
-        program.seen = program.history
+        program.computed_tokens = program.history
         program.attained_s += request.finished_at - request.submitted_at
         program.turn += 1
         program.refusals = 0
@@ -259,40 +260,40 @@
         self._decide(lambda: self._scheduler.done(done, now), now)
         if program.turn == len(program.plan.turns):
             program.finished_at = now
-            self._end(program, now)
+            self._end_program(program, now)
             return
-        if self._is_too_late(program, now):
+        if self._give_up_if_late(program, now):
             return
-        self._at(now + turn.pause_s, lambda later: self._call(program, later))
+        self._schedule(now + turn.pause_s, lambda later: self._offer_call(program, later))
 
-    def _is_too_late(self, program: LiveProgram, now: float) -> bool:
-        cut_off_s = program.plan.cut_off_s
-        if cut_off_s is None or now - program.plan.arrives_at <= cut_off_s:
+    def _give_up_if_late(self, program: LiveProgram, now: float) -> bool:
+        deadline_s = program.plan.deadline_s
+        if deadline_s is None or now - program.plan.arrives_at <= deadline_s:
             return False
         program.given_up_at = now
-        self._end(program, now)
+        self._end_program(program, now)
         return True
 
-    def _end(self, program: LiveProgram, now: float) -> None:
-        self._left -= 1
+    def _end_program(self, program: LiveProgram, now: float) -> None:
+        self._remaining -= 1
         self._decide(lambda: self._scheduler.program_ended(program.plan.name, now), now)
 
-    def _refuse(self, reject: Reject, now: float) -> None:
+    def _on_reject(self, reject: Reject, now: float) -> None:
         program, offer = self._grants.pop(reject.offer.grant)
         program.refusals += 1
         program.calls_refused += 1
-        self._outcome.refusals.append(RefusalNote(now, offer.patience_s))
-        if self._is_too_late(program, now):
+        self._outcome.refusals.append(RefusalRecord(now, offer.patience_s))
+        if self._give_up_if_late(program, now):
             return
-        if program.refusals >= GIVE_UP_AFTER:
+        if program.refusals >= MAX_CALL_REFUSALS:
             program.given_up_at = now
-            self._end(program, now)
+            self._end_program(program, now)
             return
-        self._at(now + reject.retry_after_s, lambda later: self._call(program, later))
+        self._schedule(now + reject.retry_after_s, lambda later: self._offer_call(program, later))
 
-    # ---- trouble ----
+    # ---- faults ----
 
-    def _lose_half(self, now: float) -> None:
+    def _fail_half_of_engines(self, now: float) -> None:
         lost = list(self._engines)[: len(self._engines) // 2]
         self._dead.update(lost)
         for name in lost:
@@ -300,16 +301,16 @@
             self._finish_all(engine, engine.advance(now), now)
             self._engine_version[name] += 1
             for request in engine.cancel_all():
-                self._fail(request, now)
-        self._at(now + 2.0, self._publish)
-        self._at(now + self._settings.trouble.back_after_s, self._bring_back)
+                self._fail_request(request, now)
+        self._schedule(now + 2.0, self._publish)
+        self._schedule(now + self._settings.faults.recover_after_s, self._restore_engines)
 
-    def _bring_back(self, now: float) -> None:
+    def _restore_engines(self, now: float) -> None:
         self._dead.clear()
         self._publish(now)
 
-    def _fail(self, request: ModelRequest, now: float) -> None:
-        """An engine died under a call: its owner tries another one."""
+    def _fail_request(self, request: ModelRequest, now: float) -> None:
+        """Fails a call whose engine died; its owner retries it on another engine."""
         program, endpoint = self._requests.pop(request.request_id)
         _, offer = self._grants.pop(request.request_id)
         done = Done(request.request_id, Outcome.FAILED)
@@ -321,13 +322,13 @@
         )
         self._grants[again.grant] = (program, again)
         retry_at = now + 0.1
-        self._at(
+        self._schedule(
             retry_at, lambda later: self._decide(lambda: self._scheduler.offer(again, later), later)
         )
 
 
 def latencies(outcome: RunOutcome, after_s: float, before_s: float) -> Iterator[float]:
-    """Yields the latency of programs that arrived in a span and have finished."""
+    """Yields the latencies of finished programs that arrived in the given interval."""
     for program in outcome.programs:
         arrived = program.plan.arrives_at
         if after_s <= arrived < before_s and program.finished_at is not None:
--- a/src/bayhinge/_internal/bench/path.py
+++ b/src/bayhinge/_internal/bench/path.py
@@ -1,7 +1,7 @@
-"""``bayhinge bench path``: what the whole path adds, over real loopback sockets.
+"""``bayhinge bench path``: latency and processor time that a host adds to a call.
 
-The same calls go to an engine directly and through a host, in one run. Everything
-shares one process, so that processor time is told apart by subtraction.
+The same calls go to an engine directly and through a host, in one run over loopback sockets.
+Both sides share one process, so the host's processor time is the difference of the two.
 """
 
 import asyncio
@@ -32,15 +32,15 @@
 
 @attrs.frozen
 class PathFigures:
-    """What the bench prints.
+    """What ``bayhinge bench path`` prints.
 
     Attributes:
-        direct_first_token_p95_ms: time to the first token from the engine itself.
-        added_first_token_p50_ms: what the path adds to the median.
-        added_first_token_p95_ms_at_50: what it adds to the 95th percentile, at 50 calls/s.
+        direct_first_token_p95_ms: time to the first token, straight from the engine.
+        added_first_token_p50_ms: what a host adds to the median.
+        added_first_token_p95_ms_at_50: what a host adds to the 95th percentile, at 50 calls/s.
         added_per_token_p95_ms_at_50: the same for the time between tokens.
-        cpu_us_per_call: processor time that the path adds to a call.
-        cpu_us_per_token: processor time that it adds to each token.
+        cpu_us_per_call: processor time that a host adds to a call.
+        cpu_us_per_token: processor time that a host adds to each token.
         core_share_at_node_load: share of a core at 12 requests and 3,714 tokens a second.
     """
 
@@ -55,8 +55,8 @@
 
 @attrs.define
 class _Samples:
-    first_ms: list[float] = attrs.field(factory=list)
-    between_ms: list[float] = attrs.field(factory=list)
+    first_token_ms: list[float] = attrs.field(factory=list)
+    token_gap_ms: list[float] = attrs.field(factory=list)
     cpu_s: float = 0.0
 
 
@@ -73,30 +73,32 @@
     await world.start()
     try:
         await _configure(world)
-        direct, through = _direct_call(world), _path_call(world)
-        # The first calls open connections and fill caches; they are not counted.
-        await _drive(through, 20, FEW_TOKENS)
-        few = [await _drive(call, calls, FEW_TOKENS) for call in (direct, through)]
-        many = [await _drive(call, calls, MANY_TOKENS) for call in (direct, through)]
+        direct, proxied = _direct_call(world), _proxied_call(world)
+        # Warm-up: opens connections and fills caches.
+        await _drive(proxied, 20, FEW_TOKENS)
+        few_tokens = [await _drive(call, calls, FEW_TOKENS) for call in (direct, proxied)]
+        many_tokens = [await _drive(call, calls, MANY_TOKENS) for call in (direct, proxied)]
     finally:
         await world.stop()
-    return _figures(calls, few, many)
+    return _figures(calls, few_tokens, many_tokens)
 
 
-def _figures(calls: int, few: list[_Samples], many: list[_Samples]) -> PathFigures:
-    added_few = few[1].cpu_s - few[0].cpu_s
-    added_many = many[1].cpu_s - many[0].cpu_s
+def _figures(calls: int, few_tokens: list[_Samples], many_tokens: list[_Samples]) -> PathFigures:
+    added_few = few_tokens[1].cpu_s - few_tokens[0].cpu_s
+    added_many = many_tokens[1].cpu_s - many_tokens[0].cpu_s
     per_token = max(0.0, added_many - added_few) / (calls * (MANY_TOKENS - FEW_TOKENS))
     per_call = max(0.0, added_few / calls - per_token * FEW_TOKENS)
-    direct, through = many
+    direct, proxied = many_tokens
     return PathFigures(
-        direct_first_token_p95_ms=round(_at(direct.first_ms, 95), 2),
-        added_first_token_p50_ms=round(_at(through.first_ms, 50) - _at(direct.first_ms, 50), 2),
+        direct_first_token_p95_ms=round(_percentile(direct.first_token_ms, 95), 2),
+        added_first_token_p50_ms=round(
+            _percentile(proxied.first_token_ms, 50) - _percentile(direct.first_token_ms, 50), 2
+        ),
         added_first_token_p95_ms_at_50=round(
-            _at(through.first_ms, 95) - _at(direct.first_ms, 95), 2
+            _percentile(proxied.first_token_ms, 95) - _percentile(direct.first_token_ms, 95), 2
         ),
         added_per_token_p95_ms_at_50=round(
-            _at(through.between_ms, 95) - _at(direct.between_ms, 95), 2
+            _percentile(proxied.token_gap_ms, 95) - _percentile(direct.token_gap_ms, 95), 2
         ),
         cpu_us_per_call=round(per_call * 1e6, 1),
         cpu_us_per_token=round(per_token * 1e6, 1),
@@ -104,20 +106,20 @@
     )
 
 
-def _at(values: list[float], percent: float) -> float:
+def _percentile(values: list[float], percent: float) -> float:
     return percentile(sorted(values), percent)
 
 
 async def _drive(call: Call, calls: int, tokens: int) -> _Samples:
     samples = _Samples()
-    source = random.Random(tokens)
+    rng = random.Random(tokens)
     began = process_time()
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         tasks: list[asyncio.Task[None]] = []
         for number in range(calls):
             tasks.append(asyncio.create_task(call(session, number, tokens, samples)))
-            await asyncio.sleep(source.expovariate(CALLS_PER_SECOND))
+            await asyncio.sleep(rng.expovariate(CALLS_PER_SECOND))
         await asyncio.gather(*tasks)
     samples.cpu_s = process_time() - began
     return samples
@@ -128,23 +130,23 @@
         session: aiohttp.ClientSession, number: int, tokens: int, samples: _Samples
     ) -> None:
         engine = world.engines[number % len(world.engines)]
-        await _read(session, engine.base_url, {}, number, tokens, samples)
+        await _read_stream(session, engine.base_url, {}, number, tokens, samples)
 
     return call
 
 
-def _path_call(world: World) -> Call:
+def _proxied_call(world: World) -> Call:
     async def call(
         session: aiohttp.ClientSession, number: int, tokens: int, samples: _Samples
     ) -> None:
         host = world.hosts[number % len(world.hosts)]
         headers = {"Authorization": f"Bearer {KEY}"}
-        await _read(session, host.base_url, headers, number, tokens, samples)
+        await _read_stream(session, host.base_url, headers, number, tokens, samples)
 
     return call
 
 
-async def _read(
+async def _read_stream(
     session: aiohttp.ClientSession,
     base_url: str,
     headers: dict[str, str],
@@ -172,7 +174,7 @@
             if b'"content"' not in line:
                 continue
             now = loop.time()
-            (samples.first_ms if first else samples.between_ms).append((now - last) * 1000)
+            (samples.first_token_ms if first else samples.token_gap_ms).append((now - last) * 1000)
             first, last = False, now
 
 
--- a/src/bayhinge/_internal/bench/recovery.py
+++ b/src/bayhinge/_internal/bench/recovery.py
@@ -1,4 +1,4 @@
-"""``bayhinge bench recovery``: the journal's costs, takeover, memory, failure schedules."""
+"""``bayhinge bench recovery``: journal cost, takeover time, memory, random failure schedules."""
 
 import asyncio
 import random
@@ -46,23 +46,24 @@
 
 @attrs.frozen
 class RecoveryFigures:
-    """What the bench prints.
+    """What ``bayhinge bench recovery`` prints.
 
     Attributes:
-        store_writes_per_call: journal writes a model call, at 50 calls a second.
-        baseline_writes_per_call: the same with one write for each call.
-        journal_ms_at_1: milliseconds that the journal adds to a call, at one a second.
+        store_writes_per_call: journal writes per model call, at 50 calls a second.
+        baseline_writes_per_call: the same without group commit.
+        journal_ms_at_1: mean delay of a call by the journal, at one call a second.
         journal_ms_at_50: at 50 calls a second.
         journal_ms_at_400: at 400 calls a second.
-        takeover_p50_s: from a death to the first resumed call, over 100 programs.
-        takeover_p99_s: the slowest but one in a hundred.
-        takeover_1000_p99_s: the same with 1,000 programs (full run alone, else 0).
-        schedules: random failure schedules that were run.
-        violations: schedules in which a promise broke.
-        first_violation: the seed and what broke, if anything.
+        takeover_p50_s: median time from an owner's death to the end of a program's next call,
+            over 100 programs.
+        takeover_p99_s: 99th percentile of that time.
+        takeover_1000_p99_s: the same with 1,000 programs; 0 in a quick run.
+        schedules: number of random failure schedules that were run.
+        violations: number of schedules that violated a guarantee.
+        first_violation: seed and first violation of the first such schedule, or empty.
         idle_bytes_per_program: memory of an evicted program of 71 calls.
-        rebuild_ms_per_mb: processor time to rebuild a history.
-        cpu_us_per_record: processor time to encode, write and settle a record.
+        rebuild_ms_per_mb: time to rebuild a history.
+        cpu_us_per_record: time to encode, write and acknowledge a record.
     """
 
     store_writes_per_call: float
@@ -82,24 +83,24 @@
 
 
 def run(quick: bool, first_seed: int = 0, schedules: int = 0) -> RecoveryFigures:
-    """Runs the whole bench."""
+    """Runs the bench; ``schedules`` of 0 stands for the default number."""
     count = schedules or (QUICK_SCHEDULES if quick else FULL_SCHEDULES)
     loads = {rate: run_virtual(_journal_load(rate)) for rate in (1.0, 50.0, 400.0)}
-    spans = run_virtual(_takeover(100))
-    many = [] if quick else run_virtual(_takeover(1000))
-    broken = _broken_schedules(first_seed, count)
-    first = f"seed {broken[0].seed}: {broken[0].broken[0]}" if broken else ""
+    takeover_s = run_virtual(_takeover(100))
+    takeover_1000_s = [] if quick else run_virtual(_takeover(1000))
+    failed = _failed_schedules(first_seed, count)
+    first = f"seed {failed[0].seed}: {failed[0].violations[0]}" if failed else ""
     return RecoveryFigures(
         store_writes_per_call=round(loads[50.0].writes_per_call, 3),
         baseline_writes_per_call=1.0,
         journal_ms_at_1=round(loads[1.0].added_ms, 2),
         journal_ms_at_50=round(loads[50.0].added_ms, 2),
         journal_ms_at_400=round(loads[400.0].added_ms, 2),
-        takeover_p50_s=round(percentile(spans, 50), 2),
-        takeover_p99_s=round(percentile(spans, 99), 2),
-        takeover_1000_p99_s=round(percentile(many, 99), 2),
+        takeover_p50_s=round(percentile(takeover_s, 50), 2),
+        takeover_p99_s=round(percentile(takeover_s, 99), 2),
+        takeover_1000_p99_s=round(percentile(takeover_1000_s, 99), 2),
         schedules=count,
-        violations=len(broken),
+        violations=len(failed),
         first_violation=first,
         idle_bytes_per_program=idle_bytes_per_program(),
         rebuild_ms_per_mb=round(asyncio.run(_rebuild_ms_per_mb()), 2),
@@ -114,63 +115,63 @@
 
 
 async def _journal_load(calls_per_second: float) -> _JournalLoad:
-    """Appends one record a call at a steady rate, and measures the wait for durability."""
+    """Appends a record per call, with Poisson arrivals, and measures the wait for durability."""
     objects = MemoryObjects()
     store = MemoryObjectStore(objects, StoreFaults(delay_s=STORE_DELAY_S))
-    source = random.Random(1)
+    rng = random.Random(1)
     pacer = WritePacer(DEFAULT_WRITES_PER_SECOND, DEFAULT_BURST)
-    journal = Journal(store, PREFIX, "bench~1", pacer, source.random)
+    journal = Journal(store, PREFIX, "bench~1", pacer, rng.random)
     writer = asyncio.create_task(journal.run())
-    waits: list[float] = []
+    waits_s: list[float] = []
     loop = asyncio.get_running_loop()
 
-    async def one() -> None:
+    async def append_one() -> None:
         began = loop.time()
         await journal.append(b"r" * RECORD_BYTES)
-        waits.append(loop.time() - began)
+        waits_s.append(loop.time() - began)
 
     calls = int(MEASURED_S * calls_per_second)
     tasks = []
     for _ in range(calls):
-        tasks.append(asyncio.create_task(one()))
-        await asyncio.sleep(source.expovariate(calls_per_second))
+        tasks.append(asyncio.create_task(append_one()))
+        await asyncio.sleep(rng.expovariate(calls_per_second))
     await asyncio.gather(*tasks)
     writer.cancel()
     writes = objects.calls[Operation.CREATE]
-    return _JournalLoad(writes / calls, sum(waits) / len(waits) * 1000)
+    return _JournalLoad(writes / calls, sum(waits_s) / len(waits_s) * 1000)
 
 
 async def _takeover(programs: int) -> list[float]:
-    """Kills an owner and returns, for each program, how long its next call takes to end."""
+    """Kills an owner and returns the sorted times until each program's next call has ended."""
     world = World(seed=programs)
     await world.start(hosts=4, engines=8)
     await world.create_account("desk", 100_000_000)
     opened = [await world.open("desk", "entry-1") for _ in range(programs)]
-    await asyncio.gather(*(world.think(program, 0, "first", "entry-1") for program in opened))
+    await asyncio.gather(*(world.call_model(program, 0, "first", "entry-1") for program in opened))
     await world.kill("entry-1")
     loop = asyncio.get_running_loop()
-    died = loop.time()
+    killed_at = loop.time()
 
     async def resume(number: int, program: str) -> float:
-        at = f"entry-{2 + number % 3}"
+        host_name = f"entry-{2 + number % 3}"
         while True:
-            outcome = await world.think(program, 1, "second", at)
+            outcome = await world.call_model(program, 1, "second", host_name)
             if outcome.is_answer:
-                return loop.time() - died
+                return loop.time() - killed_at
             await asyncio.sleep(0.2)
 
-    spans = await asyncio.gather(*(resume(number, item) for number, item in enumerate(opened)))
+    takeover_s = await asyncio.gather(*(resume(number, item) for number, item in enumerate(opened)))
     await world.close()
-    return sorted(spans)
+    return sorted(takeover_s)
 
 
-def _broken_schedules(first_seed: int, count: int) -> list[ScheduleReport]:
+def _failed_schedules(first_seed: int, count: int) -> list[ScheduleReport]:
     reports = (run_schedule(seed) for seed in range(first_seed, first_seed + count))
-    return [report for report in reports if report.broken]
+    return [report for report in reports if report.violations]
 
 
 def idle_bytes_per_program() -> int:
-    """Measures the memory of programs whose messages are evicted."""
+    """Measures the memory of a program whose messages are evicted."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     programs = [_program(number) for number in range(MEASURED_PROGRAMS)]
@@ -191,14 +192,14 @@
 
 
 async def _rebuild_ms_per_mb() -> float:
-    """Rebuilds the largest history from its journal, and returns the time for a megabyte."""
+    """Rebuilds the largest history from its journal; returns milliseconds per megabyte."""
     store = MemoryObjectStore(MemoryObjects())
     journal = Journal(store, PREFIX, "bench~1", WritePacer(1e6, 100), random.random)
     writer = asyncio.create_task(journal.run())
     state = ProgramState(ProgramId("bench~1", 0), "desk", None, 0)
     turn_bytes = LONGEST_HISTORY_TOKENS * BYTES_PER_TOKEN // LONGEST_TURNS
     for index in range(LONGEST_TURNS):
-        finished = _finished(state, index, turn_bytes)
+        finished = _finished_record(state, index, turn_bytes)
         apply_finished(state, finished, await journal.append(encode_finished(finished)))
     writer.cancel()
     cache = HistoryCache(JournalReader(store, PREFIX), 10**9)
@@ -208,7 +209,7 @@
     return seconds * 1000 / (sum(len(message) for message in messages) / 1e6)
 
 
-def _finished(state: ProgramState, index: int, size: int) -> wire.CallFinished:
+def _finished_record(state: ProgramState, index: int, size: int) -> wire.CallFinished:
     message = orjson.dumps({"role": "user", "content": "x" * size})
     end = AnswerEnd(index, 200, "application/json", b"", "stop", Usage(size, 300, 0), None, "m")
     return wire.CallFinished(
@@ -230,7 +231,7 @@
 
 
 async def _cpu_us_per_record(records: int = 5_000) -> float:
-    """Encodes, queues, writes and settles records, as a call's end does."""
+    """Encodes, queues, writes and acknowledges records, as the end of a call does."""
     store = MemoryObjectStore(MemoryObjects())
     journal = Journal(store, PREFIX, "bench~1", WritePacer(1e6, 100), random.random)
     writer = asyncio.create_task(journal.run())
@@ -238,7 +239,7 @@
     began = perf_counter()
     futures = []
     for index in range(records):
-        finished = _finished(state, index, RECORD_BYTES)
+        finished = _finished_record(state, index, RECORD_BYTES)
         futures.append(journal.append(encode_finished(finished)))
         if index % 20 == 0:
             await asyncio.sleep(0)
--- a/src/bayhinge/_internal/bench/schedules.py
+++ b/src/bayhinge/_internal/bench/schedules.py
@@ -1,8 +1,7 @@
 """Random failure schedules: agents run while hosts, store and endpoints fail.
 
-One seed is one schedule, the same each time. The agents repeat a call until they
-get an answer or a final refusal, as a careful caller does; then the records of the
-store, the engines and the services are judged.
+A schedule is reproducible from its seed. Agents retry a call until they get an answer or a
+final refusal. Then the guarantees are checked on the records of engines and services.
 """
 
 import asyncio
@@ -15,33 +14,33 @@
 from bayhinge._internal.bench.world.world import Outcome, World
 from bayhinge._internal.models.refusals import RefusalCode, RefusedError, RunState
 
-CALLS_OF_A_PROGRAM = 8
-LONGEST_PAUSE_S = 4.0
-FINAL_CODES = frozenset(
+CALLS_PER_PROGRAM = 8
+MAX_PAUSE_S = 4.0
+FINAL_REFUSAL_CODES = frozenset(
     {RefusalCode.OUTCOME_UNKNOWN, RefusalCode.BUDGET_EXCEEDED, RefusalCode.PROGRAM_ENDED}
 )
 RETRY_S = 0.7
 CALLER_TIMEOUT_S = 25.0
-HEALED_S = 300.0
-"""Virtual seconds in which every program must finish once nothing fails any more."""
+COMPLETION_TIMEOUT_S = 300.0
+"""Virtual seconds within which every program must finish after all faults are cleared."""
 
 
 @attrs.frozen
 class ScheduleShape:
-    """How large a schedule is."""
+    """Size of a schedule."""
 
     hosts: int = 4
     programs: int = 5
     failures: int = 6
-    longest_gap_s: float = 3.0
+    max_gap_s: float = 3.0
 
 
 @attrs.frozen
 class ScheduleReport:
-    """What one schedule came to; ``history`` tells what was done, for a reader."""
+    """Results of one schedule; ``history`` lists its faults and refusals as text."""
 
     seed: int
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
     history: tuple[str, ...]
     finished: int
     programs: int
@@ -50,23 +49,23 @@
 
 
 @attrs.define
-class _Run:
+class _ScheduleRun:
     world: World
-    source: random.Random
+    rng: random.Random
     shape: ScheduleShape
     history: list[str] = attrs.field(factory=list)
     finished: int = 0
     answers: int = 0
-    unknown: int = 0
-    next_host: int = 0
+    unknown_outcomes: int = 0
+    last_host_number: int = 0
     frozen: set[str] = attrs.field(factory=set)
 
-    def note(self, text: str) -> None:
+    def record(self, text: str) -> None:
         now = asyncio.get_running_loop().time()
         self.history.append(f"{now:8.2f} s  {text}")
 
-    def some_host(self) -> str:
-        return self.source.choice(sorted(self.world.hosts_by_name))
+    def random_host(self) -> str:
+        return self.rng.choice(sorted(self.world.hosts_by_name))
 
 
 def run_schedule(seed: int, shape: ScheduleShape | None = None) -> ScheduleReport:
@@ -76,36 +75,38 @@
 
 async def _run(seed: int, shape: ScheduleShape) -> ScheduleReport:
     world = World(seed)
-    run = _Run(world, random.Random(seed), shape, next_host=shape.hosts)
+    run = _ScheduleRun(world, random.Random(seed), shape, last_host_number=shape.hosts)
     await world.start(shape.hosts)
     await world.create_account("desk", 10_000_000)
     agents = [
         asyncio.create_task(_agent(run, f"p{number}", random.Random(f"{seed}/{number}")))
         for number in range(shape.programs)
     ]
-    await _fail(run)
-    _heal(run)
-    _, unfinished = await asyncio.wait(agents, timeout=HEALED_S)
-    broken = world.broken_promises()
-    broken.extend(_faults_of_agents(agents))
+    await _inject_faults(run)
+    _clear_faults(run)
+    _, unfinished = await asyncio.wait(agents, timeout=COMPLETION_TIMEOUT_S)
+    violations = world.find_violations()
+    violations.extend(_agent_errors(agents))
     if unfinished:
-        broken.append(f"{len(unfinished)} programs did not finish once all was well again")
+        violations.append(
+            f"{len(unfinished)} programs did not finish after all faults were cleared"
+        )
     for agent in agents:
         agent.cancel()
     await asyncio.gather(*agents, return_exceptions=True)
     await world.close()
     return ScheduleReport(
         seed,
-        tuple(broken),
+        tuple(violations),
         tuple(run.history),
         run.finished,
         shape.programs,
         run.answers,
-        run.unknown,
+        run.unknown_outcomes,
     )
 
 
-def _faults_of_agents(agents: list[asyncio.Task[None]]) -> list[str]:
+def _agent_errors(agents: list[asyncio.Task[None]]) -> list[str]:
     ended = [agent for agent in agents if agent.done() and not agent.cancelled()]
     faults = [agent.exception() for agent in ended]
     return [f"an agent failed: {fault!r}" for fault in faults if fault is not None]
@@ -114,173 +115,177 @@
 # ---- agents ----
 
 
-async def _agent(run: _Run, name: str, source: random.Random) -> None:
+async def _agent(run: _ScheduleRun, name: str, rng: random.Random) -> None:
     program = await _open(run, name)
-    for index in range(CALLS_OF_A_PROGRAM):
-        await asyncio.sleep(source.random() * LONGEST_PAUSE_S)
-        kind = source.choice(("think", "think", "act", "look"))
-        await _repeat(run, program, index, kind, f"{name}-{index}")
+    for index in range(CALLS_PER_PROGRAM):
+        await asyncio.sleep(rng.random() * MAX_PAUSE_S)
+        kind = rng.choice(("think", "think", "act", "look"))
+        await _call_until_final(run, program, index, kind, f"{name}-{index}")
     run.finished += 1
 
 
-async def _open(run: _Run, name: str) -> str:
+async def _open(run: _ScheduleRun, name: str) -> str:
     while True:
-        at = run.some_host()
+        host_name = run.random_host()
         try:
             async with asyncio.timeout(CALLER_TIMEOUT_S):
-                return await run.world.open("desk", at, key=f"open-{name}")
+                return await run.world.open("desk", host_name, key=f"open-{name}")
         except (RefusedError, TimeoutError) as error:
-            run.note(f"{name} could not be opened at {at}: {error or 'no answer'}")
+            run.record(f"{name} could not be opened at {host_name}: {error or 'no answer'}")
             await asyncio.sleep(RETRY_S)
 
 
-async def _repeat(run: _Run, program: str, index: int, kind: str, text: str) -> None:
+async def _call_until_final(
+    run: _ScheduleRun, program: str, index: int, kind: str, text: str
+) -> None:
     while True:
-        at = run.some_host()
-        outcome = await _call(run.world, program, index, kind, text, at)
+        host_name = run.random_host()
+        outcome = await _call(run.world, program, index, kind, text, host_name)
         if outcome.is_answer:
             run.answers += 1
             return
         refusal = outcome.refusal
         why = "the connection broke" if refusal is None else f"{refusal.code}, {refusal.run_state}"
-        run.note(f"{program} call {index} ({kind}) at {at}: {why}")
-        if refusal is not None and refusal.code in FINAL_CODES:
-            run.unknown += refusal.run_state is RunState.MAY_HAVE_RUN
+        run.record(f"{program} call {index} ({kind}) at {host_name}: {why}")
+        if refusal is not None and refusal.code in FINAL_REFUSAL_CODES:
+            run.unknown_outcomes += refusal.run_state is RunState.MAY_HAVE_RUN
             return
         await asyncio.sleep(RETRY_S)
 
 
-async def _call(world: World, program: str, index: int, kind: str, text: str, at: str) -> Outcome:
+async def _call(
+    world: World, program: str, index: int, kind: str, text: str, host_name: str
+) -> Outcome:
     if kind == "think":
-        call = world.think(program, index, text, at)
+        call = world.call_model(program, index, text, host_name)
     elif kind == "act":
-        call = world.act(program, index, text, at)
+        call = world.call_unrepeatable(program, index, text, host_name)
     else:
-        call = world.look_up(program, index, text, at)
+        call = world.call_repeatable(program, index, text, host_name)
     try:
-        # A frozen host never answers: the caller goes elsewhere after a while.
+        # A frozen host never answers; on a timeout the caller tries another host.
         async with asyncio.timeout(CALLER_TIMEOUT_S):
             return await call
     except TimeoutError:
         return Outcome(disconnected=True)
 
 
-# ---- failures ----
+# ---- faults ----
 
 
-async def _fail(run: _Run) -> None:
-    failures: list[Callable[[_Run], Awaitable[None]]] = [
-        _kill,
-        _kill,
-        _stop,
-        _freeze,
-        _store_away,
-        _store_slow,
-        _store_loses,
-        _service_dies,
-        _engine_breaks,
-        _cut,
-        _rack,
+async def _inject_faults(run: _ScheduleRun) -> None:
+    failures: list[Callable[[_ScheduleRun], Awaitable[None]]] = [
+        _kill_host,
+        _kill_host,
+        _stop_host,
+        _freeze_host,
+        _store_outage,
+        _slow_store,
+        _lose_store_replies,
+        _break_service,
+        _break_engine_stream,
+        _partition_hosts,
+        _kill_two_hosts,
     ]
     for _ in range(run.shape.failures):
-        await asyncio.sleep(run.source.random() * run.shape.longest_gap_s)
-        await run.source.choice(failures)(run)
+        await asyncio.sleep(run.rng.random() * run.shape.max_gap_s)
+        await run.rng.choice(failures)(run)
 
 
-async def _replace(run: _Run) -> None:
-    run.next_host += 1
-    name = f"entry-{run.next_host}"
+async def _start_replacement(run: _ScheduleRun) -> None:
+    run.last_host_number += 1
+    name = f"entry-{run.last_host_number}"
     await run.world.add_host(name)
-    run.note(f"{name} starts")
+    run.record(f"{name} starts")
 
 
-async def _kill(run: _Run) -> None:
-    name = run.some_host()
-    run.note(f"{name} is killed")
+async def _kill_host(run: _ScheduleRun) -> None:
+    name = run.random_host()
+    run.record(f"{name} is killed")
     run.frozen.discard(name)
     await run.world.kill(name)
-    await _replace(run)
+    await _start_replacement(run)
 
 
-async def _rack(run: _Run) -> None:
+async def _kill_two_hosts(run: _ScheduleRun) -> None:
     for _ in range(2):
-        await _kill(run)
+        await _kill_host(run)
 
 
-async def _stop(run: _Run) -> None:
-    name = run.some_host()
+async def _stop_host(run: _ScheduleRun) -> None:
+    name = run.random_host()
     if name in run.frozen:
         return
-    run.note(f"{name} begins a planned stop")
-    await _replace(run)
+    run.record(f"{name} starts a planned stop")
+    await _start_replacement(run)
     await run.world.stop(name)
-    run.note(f"{name} has stopped")
+    run.record(f"{name} has stopped")
 
 
-async def _freeze(run: _Run) -> None:
-    name = run.some_host()
-    run.note(f"{name} is frozen")
+async def _freeze_host(run: _ScheduleRun) -> None:
+    name = run.random_host()
+    run.record(f"{name} is frozen")
     run.frozen.add(name)
     run.world.freeze(name)
-    await asyncio.sleep(run.source.random() * 12)
+    await asyncio.sleep(run.rng.random() * 12)
     if name in run.world.hosts_by_name:
-        run.note(f"{name} wakes")
-        run.world.wake(name)
+        run.record(f"{name} is unfrozen")
+        run.world.unfreeze(name)
         run.frozen.discard(name)
 
 
-async def _store_away(run: _Run) -> None:
-    seconds = run.source.choice((1.0, 5.0, 60.0))
-    run.note(f"the store is away for {seconds:g} s")
+async def _store_outage(run: _ScheduleRun) -> None:
+    seconds = run.rng.choice((1.0, 5.0, 60.0))
+    run.record(f"the store is unavailable for {seconds:g} s")
     run.world.store_faults.down = True
     await asyncio.sleep(seconds)
     run.world.store_faults.down = False
 
 
-async def _store_slow(run: _Run) -> None:
-    run.note("the store takes 2 s a call for 10 s")
+async def _slow_store(run: _ScheduleRun) -> None:
+    run.record("the store takes 2 s a call for 10 s")
     run.world.store_faults.delay_s = 2.0
     await asyncio.sleep(10)
     run.world.store_faults.delay_s = 0.0
 
 
-async def _store_loses(run: _Run) -> None:
-    run.note("the store loses the answers of 3 writes")
+async def _lose_store_replies(run: _ScheduleRun) -> None:
+    run.record("the store loses the replies to 3 writes")
     run.world.store_faults.lose_answers = 3
 
 
-async def _service_dies(run: _Run) -> None:
+async def _break_service(run: _ScheduleRun) -> None:
     faults = run.world.faults_of("submissions-1")
-    fault = run.source.choice(("die_after_acting", "die_before_acting", "hang", "down"))
-    run.note(f"submissions-1: {fault} for 5 s")
+    fault = run.rng.choice(("die_after_acting", "die_before_acting", "hang", "down"))
+    run.record(f"submissions-1: {fault} for 5 s")
     setattr(faults, fault, True)
     await asyncio.sleep(5)
     setattr(faults, fault, False)
 
 
-async def _engine_breaks(run: _Run) -> None:
-    run.note("engine-1 breaks its next stream after 3 tokens")
+async def _break_engine_stream(run: _ScheduleRun) -> None:
+    run.record("engine-1 breaks its next stream after 3 tokens")
     run.world.faults_of("engine-1").break_stream_after = 3
 
 
-async def _cut(run: _Run) -> None:
+async def _partition_hosts(run: _ScheduleRun) -> None:
     names = sorted(run.world.hosts_by_name)
-    one, other = run.source.sample(names, 2)
-    run.note(f"{one} and {other} are cut off from each other for 5 s")
+    one, other = run.rng.sample(names, 2)
+    run.record(f"{one} and {other} are partitioned from each other for 5 s")
     pair = frozenset({one, other})
-    run.world.network.cut.add(pair)
+    run.world.network.partitions.add(pair)
     await asyncio.sleep(5)
-    run.world.network.cut.discard(pair)
+    run.world.network.partitions.discard(pair)
 
 
-def _heal(run: _Run) -> None:
-    run.note("all is well again")
+def _clear_faults(run: _ScheduleRun) -> None:
+    run.record("all faults are cleared")
     faults = run.world.store_faults
     faults.down, faults.delay_s, faults.lose_answers = False, 0.0, 0
-    run.world.network.cut.clear()
+    run.world.network.partitions.clear()
     for name in sorted(run.frozen):
         if name in run.world.hosts_by_name:
-            run.world.wake(name)
+            run.world.unfreeze(name)
     for endpoint_faults in run.world.endpoints.faults_by_endpoint.values():
         endpoint_faults.hang = endpoint_faults.down = False
         endpoint_faults.die_after_acting = endpoint_faults.die_before_acting = False
--- a/src/bayhinge/_internal/bench/world/__init__.py
+++ b/src/bayhinge/_internal/bench/world/__init__.py
@@ -1,1 +1,1 @@
-"""A whole system in virtual time, for tests and benches: real hosts over seams without sockets."""
+"""A deployment in virtual time, for tests and benchmarks: real hosts over in-memory transports."""
--- a/src/bayhinge/_internal/bench/world/endpoints.py
+++ b/src/bayhinge/_internal/bench/world/endpoints.py
@@ -1,4 +1,4 @@
-"""Engines and services without sockets, with faults and a record to judge by."""
+"""In-memory engines and services, with injectable faults and records of what they did."""
 
 import asyncio
 from collections import Counter
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class EngineRecord:
-    """One request that an engine took."""
+    """One request that an engine received."""
 
     program: str
     endpoint: str
@@ -41,7 +41,7 @@
 
 @attrs.define
 class EndpointRecords:
-    """The engines' and services' own records, shared by all hosts of a world."""
+    """What engines and services did, shared by all hosts of a world."""
 
     engine_requests: list[EngineRecord] = attrs.field(factory=list)
     engine_tokens_by_program: Counter[str] = attrs.field(factory=Counter)
@@ -52,8 +52,8 @@
     held: set[str] = attrs.field(factory=set)
 
 
-class EndpointWorld:
-    """Every endpoint of a test world."""
+class SimulatedEndpoints:
+    """All endpoints of a world."""
 
     def __init__(self) -> None:
         self.records = EndpointRecords()
@@ -62,11 +62,11 @@
         self.running: Counter[str] = Counter()
 
     def add(self, name: str, pool: str, hall: str) -> None:
-        """Adds an endpoint to the list."""
+        """Adds a live endpoint to the list."""
         self.faults_by_endpoint[name] = EndpointFaults()
         self.listed.append(Endpoint(name, pool, hall, f"at-{name}", EndpointState.LIVE))
 
-    def leave(self, name: str) -> None:
+    def mark_leaving(self, name: str) -> None:
         """Lists an endpoint as leaving."""
         self.listed = [
             attrs.evolve(item, state=EndpointState.LEAVING) if item.name == name else item
@@ -74,10 +74,10 @@
         ]
 
 
-class WorldEndpointList(EndpointList):
-    """The list as one host reads it."""
+class SimulatedEndpointList(EndpointList):
+    """The endpoint list as a host reads it."""
 
-    def __init__(self, world: EndpointWorld) -> None:
+    def __init__(self, world: SimulatedEndpoints) -> None:
         self._world = world
 
     async def fetch(self) -> list[Endpoint] | None:
@@ -85,10 +85,10 @@
         return list(self._world.listed)
 
 
-class WorldEndpointClient(EndpointClient):
-    """The way of one host to all endpoints."""
+class SimulatedEndpointClient(EndpointClient):
+    """A host's client for all endpoints."""
 
-    def __init__(self, world: EndpointWorld, gate: Gate) -> None:
+    def __init__(self, world: SimulatedEndpoints, gate: Gate) -> None:
         self._world = world
         self._gate = gate
 
@@ -117,7 +117,7 @@
         records.engine_tokens_by_program[body["program"]] += prompt_tokens
         if faults.hang:
             await asyncio.sleep(HANG_TIMEOUT_S)
-            raise EndpointError(endpoint, "no byte came", may_have_run=True)
+            raise EndpointError(endpoint, "no response in time", may_have_run=True)
         count = min(ANSWER_TOKENS, int(body["max_tokens"]))
         skipped, sent = int(body.get("resume_offset", 0)), 0
         position = 0
@@ -168,7 +168,7 @@
             raise EndpointError(endpoint, "the connection broke", may_have_run=True)
         if faults.hang:
             await asyncio.sleep(timeout_s)
-            raise EndpointError(endpoint, "it did not answer in time", may_have_run=True)
+            raise EndpointError(endpoint, "no answer in time", may_have_run=True)
         await asyncio.sleep(SERVICE_S * faults.slow_factor)
         self._act(call)
         await self._gate.pass_through()
@@ -186,4 +186,4 @@
         if faults.down:
             raise EndpointError(endpoint, "connection refused", may_have_run=False)
         if faults.draining:
-            raise EndpointError(endpoint, "it drains", may_have_run=False, draining=True)
+            raise EndpointError(endpoint, "endpoint is draining", may_have_run=False, draining=True)
--- a/src/bayhinge/_internal/bench/world/network.py
+++ b/src/bayhinge/_internal/bench/world/network.py
@@ -1,4 +1,4 @@
-"""Hosts connected without sockets, with cuts, delays and freezes."""
+"""An in-memory network between hosts, with partitions, delays and frozen hosts."""
 
 import asyncio
 import contextlib
@@ -12,31 +12,31 @@
 from bayhinge.coordination.clock import HybridClock
 
 PEER_DELAY_S = 0.0015
-"""One way between halls, as the users measured it."""
+"""One-way delay between halls."""
 
 
 class Gate:
-    """Lets nothing through while its host is frozen; what waits goes on when it wakes."""
+    """Blocks a host's input and output while the host is frozen."""
 
     def __init__(self) -> None:
         self._open = asyncio.Event()
         self._open.set()
 
     def freeze(self) -> None:
-        """Holds everything back from now on."""
+        """Blocks callers of `pass_through`."""
         self._open.clear()
 
-    def wake(self) -> None:
-        """Lets everything through again."""
+    def unfreeze(self) -> None:
+        """Lets blocked and new callers through."""
         self._open.set()
 
     async def pass_through(self) -> None:
-        """Waits while the gate is closed."""
+        """Waits until the host is not frozen."""
         await self._open.wait()
 
 
 @attrs.define
-class _Listening:
+class _ListeningHost:
     handler: PeerHandler
     clock: HybridClock
     gate: Gate
@@ -44,9 +44,9 @@
 
 
 class _Stream:
-    """One stream: a task on the serving side, a queue on the asking side."""
+    """One stream: a task on the server's side, a queue on the client's side."""
 
-    def __init__(self, listening: _Listening, method: str, payload: bytes) -> None:
+    def __init__(self, listening: _ListeningHost, method: str, payload: bytes) -> None:
         self.queue: asyncio.Queue[bytes | Exception | None] = asyncio.Queue()
         self.broken = False
         self._listening = listening
@@ -62,7 +62,7 @@
         except RefusedError as error:
             self.queue.put_nowait(PeerFailureError(error.refusal.to_json()))
 
-    def break_off(self, address: str) -> None:
+    def abort(self, address: str) -> None:
         """Ends the stream as a broken connection does."""
         self.broken = True
         self.task.cancel()
@@ -70,25 +70,25 @@
 
 
 class LocalNetwork:
-    """All hosts of a test world."""
+    """The network between all hosts of a world."""
 
     def __init__(self) -> None:
-        self.listening_by_address: dict[str, _Listening] = {}
-        self.cut: set[frozenset[str]] = set()
+        self.listening_by_address: dict[str, _ListeningHost] = {}
+        self.partitions: set[frozenset[str]] = set()
         self._next_port = 9000
 
-    def member(self, name: str, gate: Gate) -> PeerNetwork:
+    def network_for(self, name: str, gate: Gate) -> PeerNetwork:
         """Returns the network as one host sees it."""
         return _Member(self, name, gate)
 
     def next_address(self, name: str) -> str:
-        """Returns an address that nobody has."""
+        """Returns an unused address."""
         self._next_port += 1
         return f"{name}:{self._next_port}"
 
-    def is_cut(self, one: str, other: str) -> bool:
-        """Tells whether two hosts are cut off from each other."""
-        return frozenset({one, other}) in self.cut
+    def is_partitioned(self, one: str, other: str) -> bool:
+        """Tells whether two hosts can't reach each other."""
+        return frozenset({one, other}) in self.partitions
 
 
 class _Member(PeerNetwork):
@@ -103,12 +103,12 @@
 
     def listen(self, address: str, handler: PeerHandler, clock: HybridClock) -> PeerListener:
         """See :class:`PeerNetwork`."""
-        listening = _Listening(handler, clock, self._gate)
+        listening = _ListeningHost(handler, clock, self._gate)
         return _LocalListener(self._network, self._name, listening)
 
 
 class _LocalListener(PeerListener):
-    def __init__(self, network: LocalNetwork, name: str, listening: _Listening) -> None:
+    def __init__(self, network: LocalNetwork, name: str, listening: _ListeningHost) -> None:
         self._network = network
         self._listening = listening
         self._address = network.next_address(name)
@@ -122,7 +122,7 @@
         """See :class:`PeerListener`."""
         self._network.listening_by_address.pop(self._address, None)
         for stream in list(self._listening.streams):
-            stream.break_off(self._address)
+            stream.abort(self._address)
 
 
 class _LocalPeers(Peers):
@@ -145,7 +145,7 @@
         await asyncio.sleep(PEER_DELAY_S)
         listening = self._network.listening_by_address.get(address)
         other = address.partition(":")[0]
-        if self._closed or listening is None or self._network.is_cut(self._name, other):
+        if self._closed or listening is None or self._network.is_partitioned(self._name, other):
             raise PeerUnreachableError(address, "connection refused", sent=False)
         listening.clock.observe(self._clock.tick())
         stream = _Stream(listening, method, payload)
--- a/src/bayhinge/_internal/bench/world/virtual_time.py
+++ b/src/bayhinge/_internal/bench/world/virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs coroutines in virtual time: sleeping costs nothing, and the order is the same each run."""
+"""Runs coroutines in virtual time: sleeps return at once, and the order is deterministic."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,7 +13,7 @@
 
 
 def run_virtual(work: Coroutine[Any, Any, Result]) -> Result:
-    """Runs a coroutine on a loop whose time jumps to the next event."""
+    """Runs a coroutine on an event loop whose time jumps to the next event."""
     loop = looptime.new_event_loop(start=0.0, idle_step=None, noop_cycles=0)
     try:
         asyncio.set_event_loop(loop)
@@ -33,7 +33,7 @@
 
 
 class LoopClock(Clock):
-    """A wall clock that follows the loop's time, with an error of its own."""
+    """A wall clock that follows the loop's time, with a constant error."""
 
     def __init__(self, offset_ms: int = 0) -> None:
         self._offset_ms = offset_ms
--- a/src/bayhinge/_internal/bench/world/world.py
+++ b/src/bayhinge/_internal/bench/world/world.py
@@ -1,4 +1,4 @@
-"""A whole system in virtual time: real hosts over seams that need no sockets."""
+"""A deployment in virtual time: real hosts with an in-memory store, network and endpoints."""
 
 import asyncio
 import random
@@ -11,9 +11,9 @@
 from bayhinge._internal import status_codes
 from bayhinge._internal.bench.world.endpoints import (
     ANSWER_TOKENS,
-    EndpointWorld,
-    WorldEndpointClient,
-    WorldEndpointList,
+    SimulatedEndpointClient,
+    SimulatedEndpointList,
+    SimulatedEndpoints,
 )
 from bayhinge._internal.bench.world.network import Gate, LocalNetwork
 from bayhinge._internal.bench.world.virtual_time import LoopClock
@@ -56,7 +56,7 @@
 
 
 class GatedStore(ObjectStore):
-    """A host's way to the store: nothing passes while the host is frozen or dead."""
+    """A host's client for the store: calls block while the host is frozen or dead."""
 
     def __init__(self, inner: MemoryObjectStore, gate: Gate) -> None:
         self.inner = inner
@@ -103,7 +103,7 @@
 
 @attrs.define
 class Outcome:
-    """What a caller got."""
+    """What a caller received for a call."""
 
     text: str = ""
     end: AnswerEnd | None = None
@@ -112,18 +112,18 @@
 
     @property
     def is_answer(self) -> bool:
-        """True for a whole answer."""
+        """True for a complete answer."""
         return self.end is not None
 
     @property
     def run_state(self) -> RunState | None:
-        """What a refusal says of the work."""
+        """Whether a refused call may have run; None if it was not refused."""
         return None if self.refusal is None else self.refusal.run_state
 
 
 @attrs.define
 class WorldHost:
-    """A host with its seams."""
+    """A host with its gate and store client."""
 
     name: str
     host: Host
@@ -134,39 +134,39 @@
 
 
 @attrs.define
-class SaidTurn:
-    """A turn as the caller knows it: what it said, and the whole answer it got."""
+class CallerTurn:
+    """A turn as the caller knows it: its message and the complete answer."""
 
     text: str
     answer: str
 
 
 class World:
-    """Hosts, store and endpoints, and what callers did and got."""
+    """Hosts, store and endpoints, and a record of the callers' calls and answers."""
 
     def __init__(self, seed: int = 1) -> None:
         self.random = random.Random(seed)
         self.objects = MemoryObjects()
         self.store_faults = StoreFaults()
         self.network = LocalNetwork()
-        self.endpoints = EndpointWorld()
+        self.endpoints = SimulatedEndpoints()
         self.hosts_by_name: dict[str, WorldHost] = {}
         self.all_hosts: list[WorldHost] = []
-        self.turns_by_program: dict[str, list[SaidTurn]] = {}
+        self.turns_by_program: dict[str, list[CallerTurn]] = {}
         self.account_by_program: dict[str, str] = {}
         self.budget_by_account: dict[str, int] = {}
         self.not_run_references: set[str] = set()
-        self.lies: list[str] = []
+        self.false_refusals: list[str] = []
         self.answered_references: list[str] = []
         self.membership = MembershipSettings(
             beat_seconds=1.0, dead_after_seconds=3.7, address_keep_seconds=5.0, drain_seconds=60.0
         )
         self.history_bytes = 64_000_000
 
-    # ---- building ----
+    # ---- setup ----
 
     async def start(self, hosts: int, engines: int = 2) -> None:
-        """Starts hosts and endpoints, and waits until the hosts know each other."""
+        """Starts hosts and endpoints, and waits until the hosts have discovered each other."""
         for number in range(engines):
             self.endpoints.add(f"engine-{number + 1}", MODEL, HALLS[number % len(HALLS)])
         for service in ("prices", "submissions"):
@@ -183,11 +183,11 @@
         number = len(self.all_hosts)
         outside = Outside(
             GatedStore(store, gate),
-            WorldEndpointList(self.endpoints),
-            WorldEndpointClient(self.endpoints, gate),
+            SimulatedEndpointList(self.endpoints),
+            SimulatedEndpointClient(self.endpoints, gate),
             LoopClock(CLOCK_ERRORS_MS[number % len(CLOCK_ERRORS_MS)]),
             random.Random(self.random.getrandbits(32)).random,
-            self.network.member(name, gate),
+            self.network.network_for(name, gate),
             serves_http=False,
         )
         host = Host(self._settings(name, number), outside)
@@ -214,7 +214,7 @@
         )
 
     async def create_account(self, name: str, budget: int, extra: str = "") -> None:
-        """Creates a client account, and the template of all accounts where it is missing."""
+        """Creates a client account, and the accounts' template if it is missing."""
         if not any(item.name == "standard" for item in self.any_host().parts.feed.all("template")):
             text = f"[template]\nmodels = {MODEL}\nservices = prices, submissions\n"
             await self.configure("template", "standard", text)
@@ -224,7 +224,7 @@
         await asyncio.sleep(5)
 
     async def configure(self, kind: str, name: str, text: str) -> None:
-        """Applies an edit through any host."""
+        """Applies a configuration edit through any host."""
         feed = self.any_host().parts.feed
         base = max((item.revision for item in feed.history(kind, name)), default=0)
         edit = ConfigEdit(kind, name, text, base, "operator")
@@ -240,7 +240,7 @@
         """Returns a living host."""
         return self.hosts_by_name[name]
 
-    # ---- failures ----
+    # ---- faults ----
 
     async def kill(self, name: str) -> None:
         """Kills a host without warning."""
@@ -258,15 +258,15 @@
         world_host.died.set()
 
     def freeze(self, name: str) -> None:
-        """Freezes a host: nothing gets in or out, and its time goes on."""
+        """Freezes a host: its input and output block, while its timers continue."""
         self.host(name).gate.freeze()
 
-    def wake(self, name: str) -> None:
-        """Wakes a frozen host; what it was about to do then happens, late."""
-        self.host(name).gate.wake()
+    def unfreeze(self, name: str) -> None:
+        """Unfreezes a host; its blocked operations then proceed."""
+        self.host(name).gate.unfreeze()
 
     def faults_of(self, endpoint: str) -> EndpointFaults:
-        """Returns the faults of an endpoint, to be changed."""
+        """Returns the mutable faults of an endpoint."""
         return self.endpoints.faults_by_endpoint[endpoint]
 
     async def close(self) -> None:
@@ -276,9 +276,9 @@
 
     # ---- callers ----
 
-    async def open(self, account: str, at: str, key: str | None = None) -> str:
+    async def open(self, account: str, host_name: str, key: str | None = None) -> str:
         """Opens a program."""
-        host = self.host(at).host
+        host = self.host(host_name).host
         opened = await host.service.open_program(host.parts.accounts.find(account).ok, None, key)
         if opened.is_error():
             raise RefusedError(opened.error)
@@ -287,26 +287,26 @@
         self.account_by_program[program] = account
         return program
 
-    async def open_refusal(self, account: str, at: str, patience_s: float = 2.0) -> str:
-        """Tries to open a program, and says what came of it."""
+    async def try_open(self, account: str, host_name: str, patience_s: float = 2.0) -> str:
+        """Tries to open a program and describes the result."""
         try:
             async with asyncio.timeout(patience_s):
-                return f"opened as {await self.open(account, at)}"
+                return f"opened as {await self.open(account, host_name)}"
         except TimeoutError:
-            return f"no answer in {patience_s:g} s, for its beginning can't be recorded"
+            return f"no answer in {patience_s:g} s, because its start can't be recorded"
         except RefusedError as error:
             return f"refused, {error.refusal.run_state}: {error.refusal.why}"
 
-    async def think(
+    async def call_model(
         self,
         program: str,
         index: int | None,
         text: str,
-        at: str,
+        host_name: str,
         patience_s: float = 30.0,
         max_tokens: int = ANSWER_TOKENS,
     ) -> Outcome:
-        """Makes a model call that sends only what is new."""
+        """Makes a model call that sends only the new message."""
         body = orjson.dumps(
             {
                 "model": MODEL,
@@ -316,14 +316,19 @@
         )
         incoming = self._incoming(program, index, CallKind.MODEL, MODEL, "POST", "", body)
         incoming = attrs.evolve(incoming, patience_s=patience_s)
-        outcome = await self.send(incoming, at)
+        outcome = await self.send(incoming, host_name)
         turns = self.turns_by_program[program]
         if outcome.is_answer and not any(turn.text == text for turn in turns):
-            turns.append(SaidTurn(text, outcome.text))
+            turns.append(CallerTurn(text, outcome.text))
         return outcome
 
-    async def act(
-        self, program: str, index: int | None, reference: str, at: str, patience_s: float = 30.0
+    async def call_unrepeatable(
+        self,
+        program: str,
+        index: int | None,
+        reference: str,
+        host_name: str,
+        patience_s: float = 30.0,
     ) -> Outcome:
         """Makes a call that may not be repeated."""
         path = f"/act/{reference}"
@@ -331,42 +336,44 @@
         incoming = attrs.evolve(
             incoming, repeatable=False, idempotency_key=reference, patience_s=patience_s
         )
-        # A new attempt may run what an earlier one was refused for.
+        # A new attempt may run although an earlier one was refused.
         self.not_run_references.discard(reference)
         before = self.endpoints.records.effects[reference]
-        outcome = await self.send(incoming, at)
+        outcome = await self.send(incoming, host_name)
         if outcome.run_state is RunState.NOT_RUN:
             self.not_run_references.add(reference)
             if self.endpoints.records.effects[reference] > before:
-                self.lies.append(f"{reference} was refused as not run after it ran")
+                self.false_refusals.append(f"{reference} was refused as not run after it ran")
         elif outcome.is_answer:
             self.answered_references.append(reference)
         return outcome
 
-    async def look_up(self, program: str, index: int | None, what: str, at: str) -> Outcome:
+    async def call_repeatable(
+        self, program: str, index: int | None, what: str, host_name: str
+    ) -> Outcome:
         """Makes a call that may be repeated."""
         path = f"/lookup/{what}"
         return await self.send(
-            self._incoming(program, index, CallKind.SERVICE, "prices", "GET", path), at
+            self._incoming(program, index, CallKind.SERVICE, "prices", "GET", path), host_name
         )
 
-    async def send(self, incoming: IncomingCall, at: str) -> Outcome:
-        """Sends a call to one host and follows its answer as long as that host lives."""
-        world_host = self.host(at)
+    async def send(self, incoming: IncomingCall, host_name: str) -> Outcome:
+        """Sends a call to a host and reads its answer until it ends or the host dies."""
+        world_host = self.host(host_name)
         outcome = Outcome()
-        reading = asyncio.create_task(self._read(world_host.host, incoming, outcome))
-        dying = asyncio.create_task(world_host.died.wait())
-        await asyncio.wait({reading, dying}, return_when=asyncio.FIRST_COMPLETED)
-        is_cut = world_host.died.is_set() or not reading.done()
-        reading.cancel()
-        dying.cancel()
-        await asyncio.gather(reading, dying, return_exceptions=True)
-        if is_cut:
+        reader = asyncio.create_task(self._read_answer(world_host.host, incoming, outcome))
+        death = asyncio.create_task(world_host.died.wait())
+        await asyncio.wait({reader, death}, return_when=asyncio.FIRST_COMPLETED)
+        is_disconnected = world_host.died.is_set() or not reader.done()
+        reader.cancel()
+        death.cancel()
+        await asyncio.gather(reader, death, return_exceptions=True)
+        if is_disconnected:
             return Outcome(outcome.text, disconnected=True)
-        reading.result()
+        reader.result()
         return outcome
 
-    async def _read(self, host: Host, incoming: IncomingCall, outcome: Outcome) -> None:
+    async def _read_answer(self, host: Host, incoming: IncomingCall, outcome: Outcome) -> None:
         try:
             async for item in host.service.call(incoming):
                 if isinstance(item, AnswerPart):
@@ -403,31 +410,33 @@
             resume_offset=0,
         )
 
-    # ---- judging, from the records of store and endpoints ----
+    # ---- checks of the guarantees, on the endpoints' records ----
 
     def events(self) -> list[Event]:
-        """Returns the events of all hosts, the dead ones included, in one order."""
+        """Returns the events of all hosts, dead ones included, in order of their stamps."""
         found = [event for item in self.all_hosts for event in item.host.parts.timeline.all()]
         return sorted(found, key=lambda event: (event.stamp, event.host))
 
-    def broken_promises(self) -> list[str]:
-        """Returns every broken promise; an empty list is what a test wants."""
-        return [*self._effects(), *self._histories(), *self._budgets()]
+    def find_violations(self) -> list[str]:
+        """Returns a line per violated guarantee; empty if all hold."""
+        return [*self._effect_violations(), *self._history_violations(), *self._budget_violations()]
 
-    def _effects(self) -> list[str]:
+    def _effect_violations(self) -> list[str]:
         effects = self.endpoints.records.effects
-        twice = [f"{name} ran {count} times" for name, count in effects.items() if count > 1]
-        lies = [
-            f"{name} is said not to have run" for name in self.not_run_references if effects[name]
+        ran_twice = [f"{name} ran {count} times" for name, count in effects.items() if count > 1]
+        false_refusals = [
+            f"{name} ran but was refused as not run"
+            for name in self.not_run_references
+            if effects[name]
         ]
-        lost = [
-            f"{name} was answered and never ran"
+        answered_but_never_ran = [
+            f"{name} was answered but never ran"
             for name in self.answered_references
             if not effects[name]
         ]
-        return [*twice, *self.lies, *lies, *lost]
+        return [*ran_twice, *self.false_refusals, *false_refusals, *answered_but_never_ran]
 
-    def _histories(self) -> list[str]:
+    def _history_violations(self) -> list[str]:
         problems: list[str] = []
         requests = self.endpoints.records.engine_requests
         for program, turns in self.turns_by_program.items():
@@ -438,14 +447,14 @@
                 messages.append({"role": "user", "content": turn.text})
                 prompts = {item.messages for item in requests if item.program == program}
                 if tuple(expected) not in prompts:
-                    problems.append(f"{program}: no engine saw '{turn.text}' with its history")
+                    problems.append(f"{program}: no engine got '{turn.text}' with its history")
                 if turn.answer != answer_text(messages, ANSWER_TOKENS):
-                    problems.append(f"{program}: the answer to '{turn.text}' is not whole")
+                    problems.append(f"{program}: the answer to '{turn.text}' is incomplete")
                 expected.append(turn.answer)
                 messages.append({"role": "assistant", "content": turn.answer})
         return problems
 
-    def _budgets(self) -> list[str]:
+    def _budget_violations(self) -> list[str]:
         used: dict[str, int] = {}
         for program, tokens in self.endpoints.records.engine_tokens_by_program.items():
             account = self.account_by_program[program]
--- a/tests/functional/conftest.py
+++ b/tests/functional/conftest.py
@@ -108,11 +108,11 @@
     world, program_id = stage.world, stage.programs_by_name[program]
     call = f"{program}.{index}"
     if kind == "think":
-        stage.start(call, world.think(program_id, index, what, host))
+        stage.start(call, world.call_model(program_id, index, what, host))
     elif kind == "act":
-        stage.start(call, world.act(program_id, index, what, host))
+        stage.start(call, world.call_unrepeatable(program_id, index, what, host))
     else:
-        stage.start(call, world.look_up(program_id, index, what, host))
+        stage.start(call, world.call_repeatable(program_id, index, what, host))
     return call
 
 
@@ -178,12 +178,12 @@
 
 @when(parsers.parse("{host} wakes"))
 def wake(stage: Stage, host: str) -> None:
-    stage.world.wake(host)
+    stage.world.unfreeze(host)
 
 
 @when(parsers.parse("{one} and {other} are cut off from each other"))
 def cut(stage: Stage, one: str, other: str) -> None:
-    stage.world.network.cut.add(frozenset({one, other}))
+    stage.world.network.partitions.add(frozenset({one, other}))
 
 
 @when("the store goes away")
@@ -236,7 +236,7 @@
 
 @when(parsers.parse("the platform lists endpoint {name} as leaving"))
 def endpoint_leaves(stage: Stage, name: str) -> None:
-    stage.world.endpoints.leave(name)
+    stage.world.endpoints.mark_leaving(name)
 
 
 @when(parsers.parse('the budget of "{name}" is set to {tokens:d} tokens'))
@@ -300,7 +300,7 @@
     program = next(iter(stage.programs_by_name.values()))
     owner_host = sorted(stage.world.hosts_by_name)[0]
     for number in range(6):
-        outcome = stage.run(stage.world.think(program, None, f"later {number}", owner_host))
+        outcome = stage.run(stage.world.call_model(program, None, f"later {number}", owner_host))
         assert outcome.is_answer
     assert _calls_at(stage, name) == before
 
@@ -312,7 +312,7 @@
 
 @then("every promise holds")
 def promises_hold(stage: Stage) -> None:
-    assert stage.world.broken_promises() == []
+    assert stage.world.find_violations() == []
 
 
 @then(parsers.parse('nobody took over the programs of "{host}"'))
@@ -355,7 +355,7 @@
         host = hosts[number % len(hosts)]
         program = await world.open(account, host)
         for index in range(60):
-            outcome = await world.think(program, index, f"{number}/{index}", host)
+            outcome = await world.call_model(program, index, f"{number}/{index}", host)
             if not outcome.is_answer:
                 assert outcome.refusal is not None
                 assert outcome.refusal.code is RefusalCode.BUDGET_EXCEEDED
@@ -379,7 +379,7 @@
         program = await world.open(account, host)
         for attempt in range(60):
             text = f"{number}/{attempt} " + "long " * 160
-            outcome = await world.think(program, None, text, host)
+            outcome = await world.call_model(program, None, text, host)
             refusal = outcome.refusal
             if refusal is not None and refusal.code is RefusalCode.BUDGET_EXCEEDED:
                 return
--- a/tests/functional/test_rolling_restart.py
+++ b/tests/functional/test_rolling_restart.py
@@ -34,9 +34,11 @@
         while not self.is_over:
             at = source.choice(self.addresses)
             if source.random() < 0.3:
-                outcome = await self.world.act(program, index, f"{number}-{index}", at)
+                outcome = await self.world.call_unrepeatable(
+                    program, index, f"{number}-{index}", at
+                )
             else:
-                outcome = await self.world.think(program, index, f"{number}/{index}", at)
+                outcome = await self.world.call_model(program, index, f"{number}/{index}", at)
             self.outcomes.append(outcome)
             index += 1
             await asyncio.sleep(source.random() * PAUSE_S)
@@ -60,7 +62,7 @@
         await roll(world)
         callers.is_over = True
         await asyncio.gather(*running, refreshing)
-        broken = world.broken_promises()
+        broken = world.find_violations()
         await world.close()
         return callers.outcomes, broken
 
--- a/tests/functional/test_schedules.py
+++ b/tests/functional/test_schedules.py
@@ -15,12 +15,12 @@
 @pytest.mark.parametrize("seed", [8, 33, 47, 108, 10228, 10937, 10951, 11520])
 def test_no_promise_breaks_under_a_schedule_of_failures(seed: int) -> None:
     report = run_schedule(seed)
-    assert report.broken == (), "\n".join(report.history)
+    assert report.violations == (), "\n".join(report.history)
     assert report.finished == report.programs
 
 
 def find_broken(seeds: range) -> list[str]:
-    return [line for seed in seeds for line in run_schedule(seed).broken]
+    return [line for seed in seeds for line in run_schedule(seed).violations]
 
 
 def test_the_judge_sees_a_call_that_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -33,8 +33,8 @@
         for endpoint in ("submissions-1", "submissions-2"):
             world.faults_of(endpoint).die_after_acting = True
         program = await world.open("desk", "entry-1")
-        await world.act(program, 0, "nav", "entry-1")
-        broken = world.broken_promises()
+        await world.call_unrepeatable(program, 0, "nav", "entry-1")
+        broken = world.find_violations()
         await world.close()
         return broken
 
@@ -45,7 +45,7 @@
     # The behaviour before the fault was mended: a host that slept through its own
     # takeover kept its programs, and refused their calls for ever.
     monkeypatch.setattr(ProgramRegistry, "remove_all", lambda registry: None)
-    monkeypatch.setattr(schedules, "HEALED_S", 60.0)
+    monkeypatch.setattr(schedules, "COMPLETION_TIMEOUT_S", 60.0)
     assert any("did not finish" in line for line in find_broken(range(40, 60)))
 
 
--- a/tests/unit/test_placing_play.py
+++ b/tests/unit/test_placing_play.py
@@ -7,7 +7,11 @@
 
 import pytest
 
-from bayhinge._internal.bench.decisions.placing import PlacingPlay, ProgramLoad, SiteShape
+from bayhinge._internal.bench.decisions.placement_simulation import (
+    PlacementSimulation,
+    ProgramLoad,
+    SiteShape,
+)
 from bayhinge._internal.decisions import placement_weights
 from bayhinge_standins.engine_model import ModelSpeed
 
@@ -15,10 +19,10 @@
 
 
 def test_a_burst_leaves_programs_in_time_and_prompts_are_read_once() -> None:
-    outcome = PlacingPlay(SiteShape(), BURST).run()
+    outcome = PlacementSimulation(SiteShape(), BURST).run()
     # By shares of slots alone: 0.651 in time, 15.5 million tokens read.
-    assert outcome.share_in_time >= 0.98
-    assert outcome.tokens_read <= 1.25 * outcome.tokens_new
+    assert outcome.share_on_time >= 0.98
+    assert outcome.prefilled_tokens <= 1.25 * outcome.new_prompt_tokens
 
 
 @pytest.mark.parametrize(
@@ -30,18 +34,18 @@
 ) -> None:
     monkeypatch.setattr(placement_weights, name, value)
     load = ProgramLoad(per_s=36, burst=1.8)
-    assert PlacingPlay(SiteShape(), load).run().share_in_time <= 1.0 - least_lost
+    assert PlacementSimulation(SiteShape(), load).run().share_on_time <= 1.0 - least_lost
 
 
 @pytest.mark.parametrize(
     "shape",
     [
-        SiteShape(halls=2, engines_a_hall=3),
-        SiteShape(halls=4, engines_a_hall=4, slots=32, speed=ModelSpeed(max_batch=32)),
-        SiteShape(halls=3, engines_a_hall=2, slots=64, speed=ModelSpeed(max_batch=64)),
+        SiteShape(halls=2, engines_per_hall=3),
+        SiteShape(halls=4, engines_per_hall=4, slots=32, speed=ModelSpeed(max_batch=32)),
+        SiteShape(halls=3, engines_per_hall=2, slots=64, speed=ModelSpeed(max_batch=64)),
     ],
 )
 def test_sites_of_other_shapes_serve_the_same_load_an_engine(shape: SiteShape) -> None:
-    engines = shape.halls * shape.engines_a_hall
-    outcome = PlacingPlay(shape, ProgramLoad(per_s=engines, burst=1.8, length_s=15)).run()
-    assert outcome.share_in_time >= 0.98
+    engines = shape.halls * shape.engines_per_hall
+    outcome = PlacementSimulation(shape, ProgramLoad(per_s=engines, burst=1.8, length_s=15)).run()
+    assert outcome.share_on_time >= 0.98
--- a/tests/unit/test_quota_ways.py
+++ b/tests/unit/test_quota_ways.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from bayhinge._internal.bench.decisions.quota_ways import (
+from bayhinge._internal.bench.decisions.quota_strategies import (
     FixedShares,
-    Home,
+    GossipedDemand,
     Load,
     Outcome,
-    ToldDemand,
-    Way,
-    play,
+    QuotaCoordinator,
+    QuotaStrategy,
+    simulate,
 )
 from bayhinge._internal.decisions.quota_bucket import QuotaMargin
 from bayhinge._internal.models.account_keys import Quota
@@ -25,11 +25,14 @@
 SEEDS = range(1, 9)
 
 
-def _plays(way: type[FixedShares | Home | ToldDemand], rate: float, load: Load) -> list[Outcome]:
+def _plays(
+    way: type[FixedShares | QuotaCoordinator | GossipedDemand], rate: float, load: Load
+) -> list[Outcome]:
     quota = Quota(rate, rate)
-    ways: list[Way] = [way(quota, MARGIN, HOSTS) for _ in SEEDS]
+    ways: list[QuotaStrategy] = [way(quota, MARGIN, HOSTS) for _ in SEEDS]
     return [
-        play(one, quota, MARGIN, load, HOSTS, seed) for one, seed in zip(ways, SEEDS, strict=True)
+        simulate(one, quota, MARGIN, load, HOSTS, seed)
+        for one, seed in zip(ways, SEEDS, strict=True)
     ]
 
 
@@ -39,12 +42,12 @@
     rate: float, hot: float
 ) -> None:
     load = Load(0.62, hot)
-    home = _plays(Home, rate, load)
-    assert max(one.most for one in home) <= 1.0
-    for other in (FixedShares, ToldDemand):
+    home = _plays(QuotaCoordinator, rate, load)
+    assert max(one.peak for one in home) <= 1.0
+    for other in (FixedShares, GossipedDemand):
         others = _plays(other, rate, load)
-        assert mean(one.whole for one in home) >= mean(one.whole for one in others)
+        assert mean(one.completed for one in home) >= mean(one.completed for one in others)
 
 
 def test_usual_load_of_a_large_account_is_not_refused() -> None:
-    assert mean(one.refused for one in _plays(Home, 125.0, Load(0.62))) < 0.001
+    assert mean(one.refused for one in _plays(QuotaCoordinator, 125.0, Load(0.62))) < 0.001
