--- a/examples/coordination_example.py
+++ b/examples/coordination_example.py
@@ -1,4 +1,4 @@
-"""Two hosts share a journal's work, a budget and configuration, with no daemon.
+"""Uses journals, a budget escrow and a configuration feed without the daemon.
 
 Run it with ``python examples/coordination_example.py``.
 """
@@ -21,11 +21,11 @@
 
 
 async def main() -> None:
-    """Appends, seals, reads, lends and configures."""
+    """Seals and reads a journal, spends from a budget and proposes a configuration change."""
     store = MemoryObjectStore(MemoryObjects())
-    source = random.SystemRandom()
+    rng = random.SystemRandom()
 
-    journal = Journal(store, "example/journal", "one~1", WritePacer(20, 4), source.random)
+    journal = Journal(store, "example/journal", "one~1", WritePacer(20, 4), rng.random)
     writer = asyncio.create_task(journal.run())
     position = await journal.append(b"something that must last")
     print(f"durable at {position}")
@@ -40,13 +40,13 @@
     contents = await JournalReader(store, "example/journal").read_all("one~1")
     print(f"the successor reads {[record.data for record in contents.records]}")
 
-    escrow = Escrow(store, "example/ledgers", "two~1", source.random)
+    escrow = Escrow(store, "example/ledgers", "two~1", rng.random)
     reservation = await escrow.reserve("desk", units=300, budget=1000)
     escrow.settle(reservation, used=120)
     await escrow.write_back(keep_units=0)
     print(f"the ledger: {await escrow.view('desk')}")
 
-    feed = ConfigFeed(store, "example/config", SystemClock(), source.random, FeedTimes())
+    feed = ConfigFeed(store, "example/config", SystemClock(), rng.random, FeedTimes())
     changed = await feed.propose("template", "standard", "[template]\n", "me", base_revision=0)
     print(f"accepted as revision {changed.revision}")
 
--- a/src/bayhinge/_internal/bench/decisions/report.py
+++ b/src/bayhinge/_internal/bench/decisions/report.py
@@ -163,7 +163,7 @@
     finished_in_window = [
         item for item in outcome.programs if WARM_UP_S <= (item.finished_at or 0.0) <= seconds
     ]
-    wasted = sum(engine.wasted_tokens for engine in outcome.engines)
+    wasted = sum(engine.recomputed_tokens for engine in outcome.engines)
     prefilled = sum(engine.prefilled_tokens for engine in outcome.engines)
     calls = sum(item.turn + item.calls_refused for item in outcome.programs)
     return RunFigures(
--- a/src/bayhinge/_internal/demo/__init__.py
+++ b/src/bayhinge/_internal/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration: a whole system with stand-ins in one process."""
+"""The demonstration: hosts and stand-ins of outside systems in one process."""
--- a/src/bayhinge/_internal/demo/client.py
+++ b/src/bayhinge/_internal/demo/client.py
@@ -1,4 +1,4 @@
-"""A caller as any team would write one: it asks for addresses, and keeps them a while."""
+"""An HTTP client of the daemon that caches host addresses and retries at other hosts."""
 
 import asyncio
 from typing import Any
@@ -21,8 +21,8 @@
 
 
 @attrs.frozen
-class Answered:
-    """What a caller got: the status, and the body as JSON where it is some."""
+class ApiResponse:
+    """The status and decoded JSON body of a response; the body is None if it is empty."""
 
     status: int
     body: Any
@@ -34,7 +34,7 @@
 
     @property
     def run_state(self) -> str:
-        """What a refusal says of the work; empty for an answer."""
+        """Whether a refused call may have run; empty for an answer."""
         return "" if self.is_ok else str(self.body["error"]["run_state"])
 
 
@@ -42,18 +42,17 @@
     """Calls on behalf of one client account."""
 
     def __init__(self, addresses: list[str], key: str) -> None:
-        """Takes some addresses to begin with, and the account's key."""
         self._addresses = list(addresses)
         self._key = key
         self._session = aiohttp.ClientSession()
-        self._turn = 0
+        self._request_count = 0
 
     async def close(self) -> None:
         """Closes the connections."""
         await self._session.close()
 
     async def refresh(self) -> None:
-        """Asks for addresses."""
+        """Fetches the current host addresses."""
         found = await self.request("GET", "/v1/addresses")
         self._addresses = list(found.body["addresses"])
 
@@ -62,15 +61,15 @@
         body = {} if parent is None else {"parent": parent}
         opened = await self.request("POST", "/v1/programs", body)
         if not opened.is_ok:
-            raise RuntimeError(f"the program was refused: {opened.body}")
+            raise RuntimeError(f"could not open a program: {opened.body}")
         return str(opened.body["id"])
 
-    async def end(self, program: str) -> Answered:
+    async def end(self, program: str) -> ApiResponse:
         """Ends a program."""
         return await self.request("POST", f"/v1/programs/{program}/end")
 
-    async def chat(self, program: str, index: int, text: str, max_tokens: int = 16) -> Answered:
-        """Makes a model call that sends only what is new."""
+    async def chat(self, program: str, index: int, text: str, max_tokens: int = 16) -> ApiResponse:
+        """Makes a model call that sends only the new message."""
         body = {
             "model": "agent-llm",
             "messages": [{"role": "user", "content": text}],
@@ -86,7 +85,7 @@
 
     async def service(
         self, program: str, index: int, method: str, service: str, path: str, key: str = ""
-    ) -> Answered:
+    ) -> ApiResponse:
         """Calls a plain service."""
         headers = {PROGRAM_HEADER: program, CALL_HEADER: str(index)}
         if key:
@@ -99,28 +98,31 @@
         path: str,
         body: dict[str, Any] | None = None,
         headers: dict[str, str] | None = None,
-    ) -> Answered:
-        """Sends a request, at another address where one does not answer.
+    ) -> ApiResponse:
+        """Sends a request, and retries at the next address after a connection error or a 503.
 
-        Repeating is safe: a call bears its index, so that it runs once.
+        Retries are safe: a call runs at most once because it carries its index.
+
+        Raises:
+            RuntimeError: no address answered within ``RETRIES`` attempts.
         """
-        last = ""
-        self._turn += 1
-        first = self._turn
+        last_error = ""
+        self._request_count += 1
+        first = self._request_count
         for attempt in range(RETRIES):
-            # Each request goes round by itself: with one turn for all, requests that
-            # run side by side met the same dead address every time.
+            # The rotation is per request: with a shared position, concurrent requests can
+            # hit the same dead address on every retry.
             address = self._addresses[(first + attempt) % len(self._addresses)]
             try:
-                answered = await self._send(method, address + path, body, headers)
+                response = await self._send(method, address + path, body, headers)
             except (aiohttp.ClientError, TimeoutError, ConnectionError) as error:
-                last = str(error)
+                last_error = str(error)
                 await asyncio.sleep(RETRY_S / 5)
                 continue
-            if answered.status != status_codes.HTTP_UNAVAILABLE:
-                return answered
+            if response.status != status_codes.HTTP_UNAVAILABLE:
+                return response
             await asyncio.sleep(RETRY_S)
-        raise RuntimeError(f"{method} {path}: no address answered; the last error: {last}")
+        raise RuntimeError(f"{method} {path}: no address answered; last error: {last_error}")
 
     async def _send(
         self,
@@ -128,7 +130,7 @@
         url: str,
         body: dict[str, Any] | None,
         headers: dict[str, str] | None,
-    ) -> Answered:
+    ) -> ApiResponse:
         all_headers = {"Authorization": f"Bearer {self._key}", **(headers or {})}
         data = None if body is None else orjson.dumps(body)
         timeout = aiohttp.ClientTimeout(total=60)
@@ -136,4 +138,4 @@
             method, url, data=data, headers=all_headers, timeout=timeout
         ) as response:
             text = await response.read()
-            return Answered(response.status, orjson.loads(text) if text else None)
+            return ApiResponse(response.status, orjson.loads(text) if text else None)
--- a/src/bayhinge/_internal/demo/run.py
+++ b/src/bayhinge/_internal/demo/run.py
@@ -1,4 +1,4 @@
-"""The demonstration: both workloads, one host killed, another stopped as planned."""
+"""Runs both demo workloads while one host is killed and another is stopped as planned."""
 
 import asyncio
 import random
@@ -22,7 +22,7 @@
 HALLS = ("kc-clifton", "kc-korangi", "kc-saddar")
 KILL_AFTER_S = 0.4
 STOP_AFTER_S = 0.4
-CONFIG_LOOK_S = 0.05
+CONFIG_POLL_S = 0.05
 TIMELINE_LINES = 60
 
 TEMPLATES = {
@@ -38,11 +38,11 @@
 
 @attrs.frozen
 class DemoResult:
-    """What the demonstration came to, counted from the stand-ins' own records.
+    """Results of the demonstration, counted from the stand-ins' records.
 
     Attributes:
         run_twice: actions that the services carried out more than once.
-        lost_turns: turns that no engine saw with the whole history before them.
+        lost_turns: turns that no engine finished with their complete history.
         refused_not_run: calls refused as not run.
     """
 
@@ -64,7 +64,7 @@
 
 async def run_demo(seed: int = 1) -> DemoResult:
     """Runs the demonstration on free loopback ports."""
-    # The stand-ins and the callers are seeded; who answers first is up to the machine.
+    # Only the stand-ins and callers are seeded; the order of answers still varies between runs.
     random.seed(seed)
     world = World(WorldShape(HALLS, hosts=3, engines=2, services=SERVICES, seed=seed))
     await world.start()
@@ -74,7 +74,7 @@
         addresses = [host.base_url for host in world.hosts]
         clients = {account: DemoClient(addresses, key_of(account)) for account in Account}
         reports, killed, stopped = await _run_with_failures(world, clients)
-        return _judge(world, reports, killed, stopped)
+        return _summarize(world, reports, killed, stopped)
     finally:
         for client in clients.values():
             await client.close()
@@ -82,11 +82,11 @@
 
 
 async def configure(world: World) -> None:
-    """Creates templates and accounts as an operator would, and waits until all hosts agree."""
+    """Creates templates and accounts, and waits until all hosts have applied them."""
     revision = await configure_at(world.hosts[0].base_url)
     for host in world.hosts:
         while host.parts.feed.revision < revision:
-            await asyncio.sleep(CONFIG_LOOK_S)
+            await asyncio.sleep(CONFIG_POLL_S)
 
 
 async def configure_at(base_url: str) -> int:
@@ -106,7 +106,7 @@
         for path, text in texts:
             async with session.put(f"{base}/{path}", data=text) as response:
                 if response.status != status_codes.HTTP_OK:
-                    raise RuntimeError(f"{path} was refused: {await response.text()}")
+                    raise RuntimeError(f"could not configure {path}: {await response.text()}")
                 revision = int(orjson.loads(await response.read())["revision"])
     return revision
 
@@ -129,7 +129,9 @@
     return max(hosts, key=lambda host: host.parts.registry.live_count)
 
 
-def _judge(world: World, reports: list[ProgramReport], killed: Host, stopped: Host) -> DemoResult:
+def _summarize(
+    world: World, reports: list[ProgramReport], killed: Host, stopped: Host
+) -> DemoResult:
     hosts = [*world.retired, *world.hosts]
     events = sorted(
         (event for host in hosts for event in _events(host)),
@@ -154,38 +156,37 @@
 
 
 def _lost_turns(world: World, report: ProgramReport) -> int:
-    """Counts turns that no engine saw with the whole history before them.
+    """Counts turns that no engine finished with their complete history.
 
-    The expected prompt of each turn is built from what the caller said and got; an
-    engine must have finished a request with exactly that prompt.
+    The expected prompt of a turn is built from the caller's messages and answers.
     """
-    seen = {
+    finished_prompts = {
         (record.program, record.prompt_digest)
         for engine in world.engines
         for record in engine.records
         if record.finished
     }
     messages: list[dict[str, object]] = []
-    lost = 0
+    lost_turns = 0
     for turn in report.turns:
         messages.append({"role": "user", "content": turn.text})
         digest = list(prompt_parts(messages))[-1].digest
-        lost += (report.program, digest) not in seen
+        lost_turns += (report.program, digest) not in finished_prompts
         messages.append({"role": "assistant", "content": turn.answer})
-    return lost + sum(_lost_turns(world, child) for child in report.children)
+    return lost_turns + sum(_lost_turns(world, child) for child in report.children)
 
 
 def summary_lines(result: DemoResult) -> Iterator[str]:
-    """Yields the summary for a newcomer."""
-    yield "What happened, in the order of cause and effect over all hosts:"
+    """Yields the summary that ``bayhinge demo`` prints."""
+    yield "Events of all hosts, in causal order:"
     yield ""
     yield from timeline_lines(result.event_list[:TIMELINE_LINES])
     if result.events > TIMELINE_LINES:
-        yield f"... and {result.events - TIMELINE_LINES} events more (see --html)."
+        yield f"... and {result.events - TIMELINE_LINES} more events (see --html)."
     yield ""
     yield f"{result.programs} agent programs ran on 3 hosts, 2 engines and 4 services."
-    yield f"Host {result.killed} was killed in mid-program; {result.stopped} made a planned stop."
-    yield f"{result.finished} of {result.programs} programs finished all the same."
+    yield f"Host {result.killed} was killed; {result.stopped} was stopped as planned."
+    yield f"{result.finished} of {result.programs} programs finished."
     yield f"Actions that ran twice: {result.run_twice}. Turns lost: {result.lost_turns}."
     yield f"Calls refused as not run: {result.refused_not_run}."
-    yield "The figures are counted from the stand-ins' own records."
+    yield "The figures are counted from the stand-ins' records."
--- a/src/bayhinge/_internal/demo/workloads.py
+++ b/src/bayhinge/_internal/demo/workloads.py
@@ -1,4 +1,4 @@
-"""The two workloads of the demonstration, as agents that run against any host."""
+"""The agents of the two demo workloads."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -6,10 +6,10 @@
 
 import attrs
 
-from bayhinge._internal.demo.client import Answered, DemoClient
+from bayhinge._internal.demo.client import ApiResponse, DemoClient
 
 ROUNDS = 3
-DAWN_APPLICANTS = 6
+BOOKING_APPLICANTS = 6
 
 
 class Account(StrEnum):
@@ -21,13 +21,13 @@
 
 
 def key_of(account: Account) -> str:
-    """Returns the key of a demonstration account."""
+    """Returns the API key of a demo account."""
     return f"key-of-{account}"
 
 
 @attrs.frozen
 class Turn:
-    """What a caller said, and the answer that it got."""
+    """A caller's message and the answer to it."""
 
     text: str
     answer: str
@@ -35,11 +35,11 @@
 
 @attrs.define
 class ProgramReport:
-    """What a program's caller saw."""
+    """A program as its caller sees it."""
 
     program: str
     workload: str
-    answers: list[Answered] = attrs.field(factory=list)
+    answers: list[ApiResponse] = attrs.field(factory=list)
     turns: list[Turn] = attrs.field(factory=list)
     finished: bool = False
     children: list["ProgramReport"] = attrs.field(factory=list)
@@ -54,82 +54,84 @@
 
 
 class _Session:
-    """A program's calls, numbered in order."""
+    """Makes a program's calls and numbers them; a call refused as not run keeps its index."""
 
     def __init__(self, client: DemoClient, report: ProgramReport) -> None:
         self._client = client
         self._report = report
         self._index = 0
 
-    async def think(self, text: str) -> str:
-        answered = await self._client.chat(self._report.program, self._index, text)
-        self._take(answered)
-        if not answered.is_ok:
+    async def call_model(self, text: str) -> str:
+        response = await self._client.chat(self._report.program, self._index, text)
+        self._record_response(response)
+        if not response.is_ok:
             return ""
-        answer = str(answered.body["choices"][0]["message"]["content"])
+        answer = str(response.body["choices"][0]["message"]["content"])
         self._report.turns.append(Turn(text, answer))
         return answer
 
-    async def look_up(self, service: str, what: str) -> None:
+    async def call_repeatable(self, service: str, what: str) -> None:
         path = f"/lookup/{what}"
         program = self._report.program
-        self._take(await self._client.service(program, self._index, "GET", service, path))
+        self._record_response(
+            await self._client.service(program, self._index, "GET", service, path)
+        )
 
-    async def act(self, service: str, reference: str) -> None:
+    async def call_unrepeatable(self, service: str, reference: str) -> None:
         program = self._report.program
-        self._take(
+        self._record_response(
             await self._client.service(
                 program, self._index, "POST", service, f"/act/{reference}", key=reference
             )
         )
 
-    def _take(self, answered: Answered) -> None:
-        self._report.answers.append(answered)
-        if answered.is_ok or answered.run_state != "not_run":
+    def _record_response(self, response: ApiResponse) -> None:
+        self._report.answers.append(response)
+        if response.is_ok or response.run_state != "not_run":
             self._index += 1
 
 
 async def value_fund(client: DemoClient, name: str) -> ProgramReport:
-    """NAVDesk: looks prices up, thinks between, and submits once."""
+    """NAVDesk: alternates price lookups and model calls, then submits once."""
     report = ProgramReport(await client.open(), "navdesk")
     session = _Session(client, report)
-    await session.think(f"You guide the net asset value submission of fund {name}.")
+    await session.call_model(f"You guide the net asset value submission of fund {name}.")
     for number in range(ROUNDS):
-        await session.look_up("prices", f"{name}/bond-{number}")
-        await session.think(f"The price of bond {number} is on the page. Go on.")
-    await session.act("submissions", f"nav-{name}")
-    await session.think("The submission is in. Sum up.")
+        await session.call_repeatable("prices", f"{name}/bond-{number}")
+        await session.call_model(f"The price of bond {number} is on the page. Go on.")
+    await session.call_unrepeatable("submissions", f"nav-{name}")
+    await session.call_model("The submission is in. Sum up.")
     report.finished = (await client.end(report.program)).is_ok
     return report
 
 
 async def review_exceptions(client: DemoClient, name: str) -> ProgramReport:
-    """NAVDesk: a longer review, with a sub-agent for the circulars."""
+    """NAVDesk: a longer review with a sub-agent that summarizes circulars."""
     report = ProgramReport(await client.open(), "navdesk")
     session = _Session(client, report)
-    await session.think(f"You review the pricing exceptions of {name}.")
+    await session.call_model(f"You review the pricing exceptions of {name}.")
     helper = ProgramReport(await client.open(parent=report.program), "navdesk")
     report.children.append(helper)
     sub_agent = _Session(client, helper)
-    await sub_agent.look_up("prices", "circulars/2026-11")
-    finding = await sub_agent.think("Summarize the circular.")
+    await sub_agent.call_repeatable("prices", "circulars/2026-11")
+    finding = await sub_agent.call_model("Summarize the circular.")
     helper.finished = (await client.end(helper.program)).is_ok
     for number in range(ROUNDS + 2):
-        await session.think(f"Exception {number}. The circular says: {finding[:40]}")
+        await session.call_model(f"Exception {number}. The circular says: {finding[:40]}")
     report.finished = (await client.end(report.program)).is_ok and helper.finished
     return report
 
 
 async def book_slot(client: DemoClient, name: str) -> ProgramReport:
-    """Booking Desk: at dawn, many at once look the same page up and pay once each."""
+    """Booking Desk: many programs look up the same pages at once, and each pays once."""
     report = ProgramReport(await client.open(), "booking")
     session = _Session(client, report)
-    await session.think("You secure embassy appointment slots. The release is at dawn.")
+    await session.call_model("You secure embassy appointment slots. The release is at dawn.")
     for number in range(ROUNDS):
-        await session.look_up("slots", f"accra/{number}")
-        await session.think(f"Slot page {number} is read. Choose for {name}.")
-    await session.act("payments", f"pay-{name}")
-    await session.think("The payment is made. Confirm to the applicant.")
+        await session.call_repeatable("slots", f"accra/{number}")
+        await session.call_model(f"Slot page {number} is read. Choose for {name}.")
+    await session.call_unrepeatable("payments", f"pay-{name}")
+    await session.call_model("The payment is made. Confirm to the applicant.")
     report.finished = (await client.end(report.program)).is_ok
     return report
 
@@ -137,11 +139,11 @@
 async def run_all(
     client_of: Callable[[Account], DemoClient], on_progress: Callable[[int], None]
 ) -> list[ProgramReport]:
-    """Runs every program of both workloads at once.
+    """Runs all programs of both workloads concurrently.
 
     Args:
-        client_of: gives the client of an account.
-        on_progress: is told how many programs have ended.
+        client_of: returns the client of an account.
+        on_progress: called with the number of ended programs whenever one ends.
     """
     jobs: list[tuple[Account, Agent, str]] = [
         (Account.FUND_DESK, value_fund, "karachi-income"),
@@ -150,15 +152,15 @@
     ]
     jobs.extend(
         (Account.BOOKING_DESK, book_slot, f"applicant-{number}")
-        for number in range(DAWN_APPLICANTS)
+        for number in range(BOOKING_APPLICANTS)
     )
     ended = 0
 
-    async def one(account: Account, agent: Agent, name: str) -> ProgramReport:
+    async def run_one(account: Account, agent: Agent, name: str) -> ProgramReport:
         nonlocal ended
         report = await agent(client_of(account), name)
         ended += 1
         on_progress(ended)
         return report
 
-    return list(await asyncio.gather(*(one(*job) for job in jobs)))
+    return list(await asyncio.gather(*(run_one(*job) for job in jobs)))
--- a/src/bayhinge/_internal/demo/world.py
+++ b/src/bayhinge/_internal/demo/world.py
@@ -1,4 +1,4 @@
-"""A whole small system on free loopback ports, in one process and one loop."""
+"""Hosts and stand-ins on free loopback ports, in one process and one event loop."""
 
 import asyncio
 import logging
@@ -21,8 +21,8 @@
     StoreSettings,
 )
 from bayhinge._internal.services.host import Host
+from bayhinge_standins.endpoint_list import EndpointListServer, ListedEndpoint, ListedState
 from bayhinge_standins.engine import EngineServer, EngineSpeed
-from bayhinge_standins.host_list import HostListServer, ListedEndpoint, ListedState
 from bayhinge_standins.object_api import ObjectApiServer
 from bayhinge_standins.tool_service import ToolRecord, ToolServer
 
@@ -31,13 +31,13 @@
 OPERATOR_KEY = "operator-key-of-the-demo"
 MODEL = "agent-llm"
 POOL = "agent-llm"
-LOOK_S = 0.02
+POLL_S = 0.02
 ANY_PORT = "127.0.0.1:0"
 
 
 @attrs.frozen
 class WorldShape:
-    """How large the system is, and how quickly it notices things."""
+    """Numbers of hosts and endpoints, and their speed and timeouts."""
 
     halls: tuple[str, ...]
     hosts: int = 3
@@ -59,11 +59,10 @@
     """Stand-ins and hosts as mode services."""
 
     def __init__(self, shape: WorldShape) -> None:
-        """Takes the size."""
         super().__init__()
         self.shape = shape
         self.store = ObjectApiServer()
-        self.host_list = HostListServer(lag_s=0.2)
+        self.endpoint_list = EndpointListServer(lag_s=0.2)
         self.engines = [
             EngineServer(f"engine-{number}", MODEL, shape.speed, seed=shape.seed + number)
             for number in range(shape.engines)
@@ -85,28 +84,28 @@
         await self._wait_for_hosts()
 
     async def on_stop(self) -> None:
-        """Stops what is left."""
+        """Stops the remaining hosts and the stand-ins."""
         for host in list(self.hosts):
             await host.crash()
         for standin in self._standins():
             await standin.stop()
 
     def publish_endpoints(self, leaving: Iterable[str] = ()) -> None:
-        """Publishes the list of endpoints, some of them as leaving."""
+        """Publishes the endpoint list, with the given endpoints marked as leaving."""
         halls = self.shape.halls
-        gone = set(leaving)
+        leaving_names = set(leaving)
         listed = [
             ListedEndpoint(
                 server.name,
                 pool,
                 halls[number % len(halls)],
                 server.base_url,
-                ListedState.LEAVING if server.name in gone else ListedState.LIVE,
+                ListedState.LEAVING if server.name in leaving_names else ListedState.LIVE,
             )
             for pool, servers in self._pools()
             for number, server in enumerate(servers)
         ]
-        self.host_list.publish(listed)
+        self.endpoint_list.publish(listed)
 
     async def add_host(self, name: str) -> Host:
         """Starts a host."""
@@ -138,7 +137,7 @@
                 peer_address=ANY_PORT,
             ),
             store=StoreSettings(url=self.store.base_url, writes_per_second=shape.writes_per_second),
-            endpoints=EndpointListSettings(self.host_list.base_url, poll_seconds=0.2),
+            endpoints=EndpointListSettings(self.endpoint_list.base_url, poll_seconds=0.2),
             operators=OperatorSettings((hash_key(OPERATOR_KEY),)),
             membership=shape.membership,
             config=shape.config,
@@ -153,7 +152,7 @@
 
     def _standins(self) -> list[Service]:
         tools = [tool for group in self.tools_by_service.values() for tool in group]
-        return [self.store, self.host_list, *self.engines, *tools]
+        return [self.store, self.endpoint_list, *self.engines, *tools]
 
     def _pools(self) -> list[tuple[str, list[EngineServer] | list[ToolServer]]]:
         pools: list[tuple[str, list[EngineServer] | list[ToolServer]]] = [(POOL, self.engines)]
@@ -161,7 +160,7 @@
         return pools
 
     async def _wait_for_hosts(self) -> None:
-        """Waits until every host sees all others, so that a run begins from one view."""
-        wanted = len(self.hosts)
-        while any(len(host.parts.membership.alive()) < wanted for host in self.hosts):
-            await asyncio.sleep(LOOK_S)
+        """Waits until every host has discovered all others."""
+        expected = len(self.hosts)
+        while any(len(host.parts.membership.alive()) < expected for host in self.hosts):
+            await asyncio.sleep(POLL_S)
--- a/src/bayhinge_standins/__init__.py
+++ b/src/bayhinge_standins/__init__.py
@@ -1,5 +1,4 @@
-"""Stand-ins for the outside systems that bayhinge talks to.
+"""Stand-ins for the outside systems that bayhinge talks to, for tests and the demo.
 
-Each is small, seeded, fails on request, and keeps a record of its own for tests
-to judge by. Each speaks HTTP, so that a real system could take its place.
+They speak HTTP, are seeded, inject faults on request, and record what they did.
 """
--- a/src/bayhinge_standins/host_list.py
+++ b/src/bayhinge_standins/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of live and leaving endpoints, and the weight store."""
+"""The platform's endpoint list, which lags behind its changes, and its store of model weights."""
 
 import asyncio
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class ListedState(StrEnum):
-    """What the list says of an endpoint."""
+    """State of an endpoint in the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -29,15 +29,14 @@
 
 @attrs.define
 class _Version:
-    at: float
+    published_at: float
     endpoints: list[ListedEndpoint]
 
 
-class HostListServer(StandinServer):
-    """Serves the list as it was ``lag_s`` ago."""
+class EndpointListServer(StandinServer):
+    """Serves the endpoint list as it was ``lag_s`` ago."""
 
     def __init__(self, lag_s: float = 1.0, port: int = 0) -> None:
-        """Takes the lag in seconds."""
         super().__init__(port)
         self.lag_s = lag_s
         self._versions: list[_Version] = []
@@ -47,26 +46,25 @@
         app.router.add_get("/v1/endpoints", self._get)
 
     def publish(self, endpoints: list[ListedEndpoint]) -> None:
-        """Replaces the list; readers see it after the lag, the first one at once."""
+        """Replaces the list; readers see it after the lag, but the first list at once."""
         now = asyncio.get_running_loop().time()
         self._versions.append(_Version(now if self._versions else now - self.lag_s, endpoints))
 
     async def _get(self, request: web.Request) -> web.Response:
         horizon = asyncio.get_running_loop().time() - self.lag_s
-        visible = [version for version in self._versions if version.at <= horizon]
+        visible = [version for version in self._versions if version.published_at <= horizon]
         endpoints = visible[-1].endpoints if visible else []
         return web.json_response({"endpoints": [attrs.asdict(item) for item in endpoints]})
 
 
 class WeightStoreServer(StandinServer):
-    """Hands out model weights at a limited rate."""
+    """Simulates downloads of model weights, whose rate all readers share."""
 
     def __init__(self, bytes_per_s: float = 1e9, port: int = 0) -> None:
-        """Takes the rate that all readers share."""
         super().__init__(port)
         self.bytes_per_s = bytes_per_s
         self.readers = 0
-        self.most_readers = 0
+        self.max_readers = 0
 
     def add_routes(self, app: web.Application) -> None:
         """Registers ``GET /v1/weights/{model}?bytes=``."""
@@ -74,7 +72,7 @@
 
     async def _get(self, request: web.Request) -> web.Response:
         self.readers += 1
-        self.most_readers = max(self.most_readers, self.readers)
+        self.max_readers = max(self.max_readers, self.readers)
         try:
             size = float(request.query.get("bytes", "0"))
             await asyncio.sleep(size * self.readers / self.bytes_per_s)
--- a/src/bayhinge_standins/engine.py
+++ b/src/bayhinge_standins/engine.py
@@ -1,7 +1,7 @@
-"""A model engine: continuous batching, prefix cache, streams, cancel, resume, orders.
+"""A simulated LLM engine: continuous batching, prefix cache, streams, cancel, resume, orders.
 
-Its answers depend on the prompt alone, so a stream resumed elsewhere goes on with
-the same text. It speaks the OpenAI chat protocol; the fields beyond it are
+Answers depend on the prompt alone, so a stream resumed at another engine continues with the
+same text. It speaks the OpenAI chat protocol with the additional fields
 ``priority``, ``request_id``, ``program``, ``hold`` and ``resume_offset``.
 """
 
@@ -51,7 +51,7 @@
 
 @attrs.define
 class EngineRequestRecord:
-    """The engine's own record of one request; ``prompt_digest`` names the whole prompt."""
+    """The engine's record of one request; ``prompt_digest`` identifies the complete prompt."""
 
     request_id: str
     program: str
@@ -65,7 +65,7 @@
 
 @attrs.define
 class HeldCache:
-    """Cache kept for a paused program."""
+    """Cached prefix held for a paused program."""
 
     program: str
     parts: list[PrefixPart]
@@ -74,7 +74,7 @@
 
 @attrs.frozen
 class CacheEvent:
-    """A prefix that came into the cache."""
+    """A prefix that was added to the cache."""
 
     number: int
     digest: str
@@ -82,22 +82,21 @@
 
 
 class PriorityLock:
-    """A lock that goes to the waiter of the highest priority, then to the first."""
+    """A lock that is granted to the waiter of the highest priority; FIFO among equals."""
 
     def __init__(self) -> None:
-        """Starts free."""
         self._is_held = False
         self._waiters: list[tuple[int, int, asyncio.Future[None]]] = []
         self._order = 0
 
     @contextlib.asynccontextmanager
     async def hold(self, priority: int) -> AsyncIterator[None]:
-        """Holds the lock for the length of a block."""
+        """Holds the lock within a ``with`` block."""
         await self._acquire(priority)
         try:
             yield
         finally:
-            self._pass_on()
+            self._hand_over()
 
     async def _acquire(self, priority: int) -> None:
         if not self._is_held:
@@ -110,10 +109,10 @@
             await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled():
-                self._pass_on()
+                self._hand_over()
             raise
 
-    def _pass_on(self) -> None:
+    def _hand_over(self) -> None:
         while self._waiters:
             _, _, waiter = heapq.heappop(self._waiters)
             if not waiter.done():
@@ -124,7 +123,7 @@
 
 @attrs.define
 class EngineOrders:
-    """What the engine was told to run, and by which fencing number."""
+    """The models and role that the engine was ordered to run, and the latest fencing number."""
 
     fencing: int = 0
     models: list[str] = attrs.field(factory=list)
@@ -138,7 +137,6 @@
     def __init__(
         self, name: str, model: str, speed: EngineSpeed | None = None, seed: int = 0, port: int = 0
     ) -> None:
-        """Takes the engine's name, the model that it serves, its speed and a seed."""
         super().__init__(port)
         self.name = name
         self.speed = speed or EngineSpeed()
@@ -152,7 +150,7 @@
         self._running: dict[str, asyncio.Task[None] | None] = {}
         self._cancelled: set[str] = set()
         self._prefill = PriorityLock()
-        self._load_seen_at = 0.0
+        self._load_refreshed_at = 0.0
         self._load: dict[str, object] = {}
 
     def add_routes(self, app: web.Application) -> None:
@@ -169,7 +167,7 @@
 
     @property
     def running(self) -> int:
-        """Requests in the batch."""
+        """Number of requests in the batch."""
         return len(self._running)
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
@@ -204,7 +202,7 @@
             await self._decode(response, body, record, parts)
         finally:
             self.cache.unpin(parts)
-            self._hold(body, program, parts)
+            self._hold_cache(body, program, parts)
         return response
 
     async def _decode(
@@ -238,7 +236,7 @@
         if after is not None and record.completion_tokens >= after:
             if not self.faults.breaks_every_stream:
                 self.faults.break_stream_after = None
-            raise ConnectionResetError("the engine broke the stream on request")
+            raise ConnectionResetError("injected fault: stream broken")
 
     async def _apply_faults(self, request: web.Request) -> None:
         if self.faults.down and request.transport is not None:
@@ -248,7 +246,7 @@
         if self.faults.hang:
             await asyncio.Event().wait()
 
-    def _hold(self, body: dict[str, object], program: str, parts: list[PrefixPart]) -> None:
+    def _hold_cache(self, body: dict[str, object], program: str, parts: list[PrefixPart]) -> None:
         hold_s = float(str(body.get("hold") or 0))
         if hold_s <= 0:
             return
@@ -279,9 +277,9 @@
     async def _get_load(self, request: web.Request) -> web.Response:
         await self._apply_faults(request)
         now = asyncio.get_running_loop().time()
-        # The report lags by design: it is refreshed once a second.
-        if now - self._load_seen_at >= 1.0 or not self._load:
-            self._load_seen_at = now
+        # The report lags like that of real engines: it is refreshed once a second.
+        if now - self._load_refreshed_at >= 1.0 or not self._load:
+            self._load_refreshed_at = now
             self._load = {
                 "running": self.running,
                 "cache_used_tokens": self.cache.used_tokens,
@@ -293,7 +291,7 @@
     async def _get_events(self, request: web.Request) -> web.Response:
         after = int(request.query.get("after", "-1"))
         horizon = asyncio.get_running_loop().time() - EVENT_LAG_S
-        # Late by design, and with gaps where faults drop some.
+        # Events are delayed like those of real engines; `drop_cache_events` leaves gaps.
         visible = [event for event in self.events[after + 1 :] if event.at <= horizon]
         return web.json_response(
             {"events": [{"n": event.number, "digest": event.digest} for event in visible]}
@@ -331,7 +329,7 @@
         fencing = int(body["fencing"])
         if fencing < self.orders.fencing and not self.faults.ignore_fencing:
             self.orders.refused += 1
-            raise web.HTTPConflict(text=f"fencing number {fencing} is old")
+            raise web.HTTPConflict(text=f"fencing number {fencing} is outdated")
         self.orders.fencing = max(self.orders.fencing, fencing)
         if body["order"] == "load_model":
             self.orders.models = [str(body["value"])]
@@ -351,15 +349,15 @@
 
 
 def answer_words(prompt_digest: str, count: int) -> Iterator[str]:
-    """Yields the answer to a prompt, word by word; the same prompt gets the same answer."""
-    source = random.Random(prompt_digest)
+    """Yields the words of the answer to a prompt; the same prompt gets the same answer."""
+    rng = random.Random(prompt_digest)
     for position in range(count):
-        word = source.choice(WORDS)
+        word = rng.choice(WORDS)
         yield word if position == 0 else f" {word}"
 
 
 def answer_text(messages: list[dict[str, object]], count: int) -> str:
-    """Returns the whole answer that any engine gives to these messages."""
+    """Returns the complete answer that any engine gives to these messages."""
     parts = list(prompt_parts(messages))
     return "".join(answer_words(parts[-1].digest, count))
 
--- a/src/bayhinge_standins/engine_model.py
+++ b/src/bayhinge_standins/engine_model.py
@@ -1,9 +1,8 @@
-"""An engine's speed and cache as a model in virtual time, for policy benches.
+"""A discrete-event model of an engine with continuous batching and a prefix cache.
 
-Work goes in steps, as continuous batching does: a step gives every decoding sequence
-one token and reads at most one chunk of one prompt. A step takes
-``base + per_sequence * batch + chunk / prefill_rate``. Nothing is simulated step by
-step: between two changes of the batch all steps are alike and are taken at once.
+A step gives every decoding sequence one token and prefills at most one chunk of one prompt.
+It takes ``base + per_sequence * batch + chunk / prefill_rate``. Steps between two changes of
+the batch take equally long and are simulated at once.
 """
 
 import heapq
@@ -28,17 +27,18 @@
 class ModelRequest:
     """One request.
 
-    ``shared`` names a prefix that other programs have too. ``seen_tokens`` are those at
-    the front of the prompt that some engine has computed for this program before.
+    Attributes:
+        shared_prefix: name of a prefix that other programs share; empty for none.
+        computed_tokens: leading prompt tokens that an engine has computed for the program before.
     """
 
     request_id: str
     program: str
     prompt_tokens: int
     answer_tokens: int
-    shared: str = ""
+    shared_prefix: str = ""
     shared_tokens: int = 0
-    seen_tokens: int = 0
+    computed_tokens: int = 0
     submitted_at: float = 0.0
     started_at: float = 0.0
     first_token_at: float = 0.0
@@ -53,10 +53,9 @@
 
 
 class ModelCache:
-    """Prefixes by owner, least recently used first out; pinned ones stay."""
+    """An LRU cache of prefix lengths by owner; pinned entries are not evicted."""
 
     def __init__(self, capacity_tokens: int) -> None:
-        """Starts empty."""
         self.capacity_tokens = capacity_tokens
         self.used_tokens = 0
         self.pinned_tokens = 0
@@ -68,7 +67,7 @@
         return 0 if entry is None else entry.tokens
 
     def pin(self, owner: str, tokens: int) -> None:
-        """Makes an entry at least so large and keeps it until :meth:`unpin`."""
+        """Grows an entry to at least ``tokens`` and retains it until :meth:`unpin`."""
         entry = self._entries.setdefault(owner, _Cached(0))
         entry.pins += 1
         if entry.pins == 1:
@@ -77,7 +76,7 @@
         self._entries.move_to_end(owner)
 
     def grow(self, owner: str, tokens: int) -> None:
-        """Makes an entry larger."""
+        """Grows an entry to at least ``tokens``."""
         entry = self._entries[owner]
         growth = max(0, tokens - entry.tokens)
         self.used_tokens += growth
@@ -86,7 +85,7 @@
         self._evict()
 
     def unpin(self, owner: str) -> None:
-        """Lets an entry be evicted again."""
+        """Allows an entry to be evicted once it has no other pins."""
         entry = self._entries[owner]
         entry.pins -= 1
         if not entry.pins:
@@ -102,7 +101,7 @@
             self.used_tokens -= entry.tokens
 
     def clear(self) -> None:
-        """Forgets everything."""
+        """Removes all entries."""
         self._entries.clear()
         self.used_tokens = 0
         self.pinned_tokens = 0
@@ -120,16 +119,15 @@
     """One engine; the caller advances it from event to event."""
 
     def __init__(self, name: str, speed: ModelSpeed) -> None:
-        """Starts idle at time 0."""
         self.name = name
         self.speed = speed
         self.cache = ModelCache(speed.cache_tokens)
         self.prefilled_tokens = 0
-        self.wasted_tokens = 0
+        self.recomputed_tokens = 0
         self.slow_factor = 1.0
         self._waiting: deque[ModelRequest] = deque()
         self._prefilling: deque[ModelRequest] = deque()
-        self._prefill_left = 0
+        self._prefill_remaining = 0
         self._decoding: list[tuple[int, int, ModelRequest]] = []
         self._steps = 0
         self._clock = 0.0
@@ -137,11 +135,11 @@
 
     @property
     def running(self) -> int:
-        """Requests in the engine, its own queue included."""
+        """Number of requests in the engine, including its queue."""
         return len(self._waiting) + len(self._prefilling) + len(self._decoding)
 
     def submit(self, request: ModelRequest, now: float) -> list[ModelRequest]:
-        """Takes a request; returns what finished up to now."""
+        """Queues a request; returns the requests that finished by ``now``."""
         finished = self.advance(now)
         request.submitted_at = now
         self._waiting.append(request)
@@ -149,22 +147,22 @@
         return finished
 
     def cancel_all(self) -> list[ModelRequest]:
-        """Drops every request, as a death does, and returns them."""
+        """Drops all requests and the cache, as a crash does; returns the requests."""
         dropped = [*self._waiting, *self._prefilling, *(item[2] for item in self._decoding)]
         self._waiting.clear()
         self._prefilling.clear()
         self._decoding.clear()
-        self._prefill_left = 0
+        self._prefill_remaining = 0
         self.cache.clear()
         return dropped
 
     def next_event(self) -> float | None:
-        """Returns when the batch changes next, or None while idle."""
+        """Returns the time of the batch's next change, or None if idle."""
         steps = self._steps_to_change()
         return None if steps is None else self._clock + steps * self._step_s()
 
     def advance(self, now: float) -> list[ModelRequest]:
-        """Runs up to now and returns what finished."""
+        """Runs until ``now`` and returns the requests that finished."""
         finished: list[ModelRequest] = []
         while True:
             steps = self._steps_to_change()
@@ -175,13 +173,13 @@
             possible = int((now - self._clock) / step_s + 1e-9)
             if possible <= 0:
                 return finished
-            taken = min(steps, possible)
-            self._take_steps(taken, step_s)
-            finished.extend(self._collect())
+            count = min(steps, possible)
+            self._run_steps(count, step_s)
+            finished.extend(self._collect_finished())
 
     def _step_s(self) -> float:
         speed = self.speed
-        chunk = min(speed.chunk_tokens, self._prefill_left) if self._prefilling else 0
+        chunk = min(speed.chunk_tokens, self._prefill_remaining) if self._prefilling else 0
         batch = len(self._decoding) + bool(self._prefilling)
         seconds = (
             speed.step_base_s
@@ -193,28 +191,28 @@
     def _steps_to_change(self) -> int | None:
         candidates: list[int] = []
         if self._prefilling:
-            whole = self._prefill_left // self.speed.chunk_tokens
-            # The last, smaller chunk is a step of its own.
+            whole = self._prefill_remaining // self.speed.chunk_tokens
+            # The last, smaller chunk takes a separate step.
             candidates.append(max(1, whole))
         if self._decoding:
             candidates.append(max(1, self._decoding[0][0] - self._steps))
         return min(candidates) if candidates else None
 
-    def _take_steps(self, count: int, step_s: float) -> None:
+    def _run_steps(self, count: int, step_s: float) -> None:
         self._clock += count * step_s
         self._steps += count
         if self._prefilling:
-            self._prefill_left -= count * self.speed.chunk_tokens
+            self._prefill_remaining -= count * self.speed.chunk_tokens
 
-    def _collect(self) -> list[ModelRequest]:
+    def _collect_finished(self) -> list[ModelRequest]:
         finished: list[ModelRequest] = []
         while self._decoding and self._decoding[0][0] <= self._steps:
             request = heapq.heappop(self._decoding)[2]
             request.finished_at = self._clock
-            self.cache.grow(request.program, _own(request) + request.answer_tokens)
+            self.cache.grow(request.program, _unshared_tokens(request) + request.answer_tokens)
             self.cache.unpin(request.program)
             finished.append(request)
-        if self._prefilling and self._prefill_left <= 0:
+        if self._prefilling and self._prefill_remaining <= 0:
             self._begin_decode(self._prefilling.popleft())
             self._next_prefill()
         if finished:
@@ -224,8 +222,8 @@
     def _begin_decode(self, request: ModelRequest) -> None:
         request.first_token_at = self._clock
         self._order += 1
-        ends = self._steps + max(1, request.answer_tokens)
-        heapq.heappush(self._decoding, (ends, self._order, request))
+        end_step = self._steps + max(1, request.answer_tokens)
+        heapq.heappush(self._decoding, (end_step, self._order, request))
 
     def _admit(self, now: float) -> None:
         while self._waiting and len(self._decoding) + len(self._prefilling) < self.speed.max_batch:
@@ -233,41 +231,41 @@
                 return
             request = self._waiting.popleft()
             request.started_at = now
-            self._place(request)
+            self._reserve_cache(request)
             self._prefilling.append(request)
             if len(self._prefilling) == 1:
                 self._next_prefill()
 
     def _has_memory(self, request: ModelRequest) -> bool:
-        """Running requests must fit the memory; an engine that runs nothing takes any."""
+        """Tells whether a request fits the memory; an idle engine accepts any."""
         needed = request.prompt_tokens + request.answer_tokens
         is_idle = not self._decoding and not self._prefilling
         return is_idle or self.cache.pinned_tokens + needed <= self.cache.capacity_tokens
 
-    def _place(self, request: ModelRequest) -> None:
+    def _reserve_cache(self, request: ModelRequest) -> None:
         request.cached_tokens = self._match(request)
         new_tokens = request.prompt_tokens - request.cached_tokens
         self.prefilled_tokens += new_tokens
-        self.wasted_tokens += max(0, request.seen_tokens - request.cached_tokens)
-        if request.shared:
-            self.cache.pin(f"shared/{request.shared}", request.shared_tokens)
-            self.cache.unpin(f"shared/{request.shared}")
-        self.cache.pin(request.program, _own(request))
+        self.recomputed_tokens += max(0, request.computed_tokens - request.cached_tokens)
+        if request.shared_prefix:
+            self.cache.pin(f"shared/{request.shared_prefix}", request.shared_tokens)
+            self.cache.unpin(f"shared/{request.shared_prefix}")
+        self.cache.pin(request.program, _unshared_tokens(request))
 
     def _match(self, request: ModelRequest) -> int:
         own = self.cache.tokens(request.program)
-        if not request.shared:
+        if not request.shared_prefix:
             return min(request.prompt_tokens, own)
-        shared = self.cache.tokens(f"shared/{request.shared}")
+        shared = self.cache.tokens(f"shared/{request.shared_prefix}")
         # A program's own prefix is useless without the shared one in front of it.
         return min(request.prompt_tokens, shared + own) if shared else 0
 
     def _next_prefill(self) -> None:
         if self._prefilling:
             request = self._prefilling[0]
-            self._prefill_left = max(1, request.prompt_tokens - request.cached_tokens)
+            self._prefill_remaining = max(1, request.prompt_tokens - request.cached_tokens)
 
 
-def _own(request: ModelRequest) -> int:
-    """Returns the tokens of a prompt that no other program has."""
-    return request.prompt_tokens - (request.shared_tokens if request.shared else 0)
+def _unshared_tokens(request: ModelRequest) -> int:
+    """Returns the number of prompt tokens after the shared prefix."""
+    return request.prompt_tokens - (request.shared_tokens if request.shared_prefix else 0)
--- a/src/bayhinge_standins/faults.py
+++ b/src/bayhinge_standins/faults.py
@@ -1,21 +1,21 @@
-"""Faults that a test or the demo can switch on, and the errors they cause."""
+"""Faults that a test or the demo can switch on."""
 
 import attrs
 
 
 @attrs.define
 class StoreFaults:
-    """What is wrong with the object API just now.
+    """Current faults of the object API.
 
     Attributes:
         down: every call fails and has no effect.
         delay_s: seconds added to every call.
-        lose_answers: so many of the next writes take effect, and their answer is lost.
-        lose_writes: so many of the next writes have no effect, and their answer is lost.
+        lose_answers: number of next writes that take effect and whose answer is lost.
+        lose_writes: number of next writes that have no effect and whose answer is lost.
         mute_watches: watches stay open and deliver nothing.
-        stale_reads: reads and listings answer from before this many changes.
-        writes_per_second: the rate limit for writes; None for no limit.
-        reads_per_second: the rate limit for reads, a waiting watch counted as one.
+        stale_reads: listings lag by this many changes.
+        writes_per_second: rate limit for writes; None for no limit.
+        reads_per_second: rate limit for reads; opening a watch counts as one read.
     """
 
     down: bool = False
@@ -30,19 +30,19 @@
 
 @attrs.define
 class EndpointFaults:
-    """What is wrong with an endpoint just now.
+    """Current faults of an endpoint.
 
     Attributes:
         down: connections are refused.
-        hang: requests are taken and never answered.
-        die_after_acting: the side effect happens, and the connection breaks before the answer.
-        die_before_acting: the connection breaks before anything happens.
-        slow_factor: every duration is multiplied by this.
-        break_stream_after: so many tokens into the next stream, its connection breaks.
-        breaks_every_stream: and into each stream after that one.
-        drop_cache_events: the share of cache events that are lost, 0 to 1.
-        ignore_fencing: orders are obeyed whatever their fencing number.
-        draining: new work is refused with 503, running work goes on.
+        hang: requests are accepted and never answered.
+        die_after_acting: the side effect happens, then the connection breaks without an answer.
+        die_before_acting: the connection breaks before the side effect.
+        slow_factor: factor on every duration.
+        break_stream_after: the next stream breaks after this many tokens; None for no break.
+        breaks_every_stream: applies ``break_stream_after`` to all later streams too.
+        drop_cache_events: share of cache events that are lost, 0 to 1.
+        ignore_fencing: orders are accepted whatever their fencing number.
+        draining: new work is refused with 503; running work continues.
     """
 
     down: bool = False
--- a/src/bayhinge_standins/http_service.py
+++ b/src/bayhinge_standins/http_service.py
@@ -1,4 +1,4 @@
-"""What every stand-in that serves HTTP shares: a mode service on a loopback port."""
+"""Base of the HTTP stand-ins: a mode service on a loopback port."""
 
 from abc import abstractmethod
 from collections.abc import Awaitable, Callable
@@ -14,7 +14,7 @@
 
 @web.middleware
 async def _ignore_lost_connections(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """A caller that leaves is no fault of the stand-in's; it only ends the request."""
+    """Ends a request quietly if its client has disconnected."""
     try:
         return await handler(request)
     except ConnectionError:
@@ -29,7 +29,7 @@
     abstract = True
 
     def __init__(self, port: int = 0, max_body_bytes: int = 64_000_000) -> None:
-        """Port 0 picks a free one; see :attr:`port` after the start."""
+        """Port 0 selects a free port; :attr:`port` holds it after the start."""
         super().__init__()
         self.port = port
         self._max_body_bytes = max_body_bytes
@@ -41,7 +41,7 @@
 
     @property
     def base_url(self) -> str:
-        """The address to give to bayhinge's settings."""
+        """Base URL of the running server."""
         return f"http://{LOOPBACK}:{self.port}"
 
     async def on_start(self) -> None:
--- a/src/bayhinge_standins/object_api.py
+++ b/src/bayhinge_standins/object_api.py
@@ -2,14 +2,14 @@
 
 ==========================================  =====================================
 ``GET /v1/objects/{key}``                   value, ``ETag: "<version>"``; 404
-``PUT`` with ``If-None-Match: *``           creates; 412 where the key is taken
+``PUT`` with ``If-None-Match: *``           creates; 412 if the key exists
 ``PUT`` with ``If-Match: "<version>"``      updates; 412 at another version
 ``DELETE`` with ``If-Match``                deletes; 412 at another version
 ``GET /v1/objects?prefix=&after=&limit=``   a page, as JSON
 ``GET /v1/watch?prefix=&after=``            changes, a line of JSON each
 ==========================================  =====================================
 
-429 with ``Retry-After`` says that a rate is reached; an outage closes the connection.
+429 with ``Retry-After`` means that the rate limit is reached; an outage closes the connection.
 """
 
 import base64
@@ -30,10 +30,9 @@
 
 
 class ObjectApiServer(StandinServer):
-    """Serves a memory store on a real socket."""
+    """Serves a `MemoryObjectStore` over HTTP."""
 
     def __init__(self, port: int = 0) -> None:
-        """Starts with no objects; port 0 picks a free one."""
         super().__init__(port, max_body_bytes=2 * MAX_VALUE_BYTES)
         self.objects = MemoryObjects()
         self.store = MemoryObjectStore(self.objects)
--- a/src/bayhinge_standins/object_store.py
+++ b/src/bayhinge_standins/object_store.py
@@ -1,4 +1,4 @@
-"""An object store in memory: versions, conditional updates, watches, faults, counts."""
+"""An in-memory object store with conditional updates, watches, faults and call counts."""
 
 import asyncio
 from collections import Counter
@@ -24,8 +24,8 @@
 )
 from bayhinge_standins.faults import StoreFaults
 
-KEPT_CHANGES = 10_000
-"""Changes kept for watches; an older starting revision ends the watch."""
+RETAINED_CHANGES = 10_000
+"""Changes retained for watches; a watch that starts at an older revision ends."""
 
 
 class Operation(StrEnum):
@@ -59,10 +59,9 @@
 
 
 class MemoryObjects:
-    """The objects themselves, shared by any number of clients. Never fails."""
+    """The stored objects, shared by all clients."""
 
     def __init__(self) -> None:
-        """Starts empty at revision 0."""
         self.objects_by_key: SortedDict[str, StoredObject] = SortedDict()
         self.revision = 0
         self.changes: list[Change] = []
@@ -73,7 +72,11 @@
         self._reads = _RateWindow()
 
     def count(self, operation: Operation, now: float, faults: StoreFaults, subject: str) -> None:
-        """Counts a call, and refuses it beyond the rate."""
+        """Counts a call.
+
+        Raises:
+            StoreRateLimitedError: the rate limit in ``faults`` is exceeded.
+        """
         self.calls[operation] += 1
         is_write = operation in WRITES
         window = self._writes if is_write else self._reads
@@ -82,9 +85,14 @@
             raise StoreRateLimitedError(f"{operation} {subject}", retry_after_s=1 - now % 1)
 
     async def put(self, key: str, value: bytes, version: int | None) -> StoredObject:
-        """Writes conditionally; ``version`` None means that the key must be free."""
+        """Creates an object if ``version`` is None; otherwise updates that version.
+
+        Raises:
+            AlreadyExistsError: the key to create exists.
+            VersionConflictError: the object to update has another version or does not exist.
+        """
         if len(value) > MAX_VALUE_BYTES:
-            raise ValueError(f"{key}: {len(value)} bytes, the store takes {MAX_VALUE_BYTES}")
+            raise ValueError(f"{key}: {len(value)} bytes, the limit is {MAX_VALUE_BYTES}")
         current = self.objects_by_key.get(key)
         if version is None and current is not None:
             raise AlreadyExistsError(key)
@@ -97,7 +105,11 @@
         return stored
 
     async def remove(self, key: str, version: int) -> None:
-        """Deletes conditionally."""
+        """Deletes an object at the given version.
+
+        Raises:
+            VersionConflictError: the object has another version or does not exist.
+        """
         current = self.objects_by_key.get(key)
         if current is None or current.version != version:
             raise VersionConflictError(key, version)
@@ -121,85 +133,84 @@
 
     async def _publish(self, change: Change) -> None:
         self.changes.append(change)
-        del self.changes[:-KEPT_CHANGES]
+        del self.changes[:-RETAINED_CHANGES]
         async with self.changed:
             self.changed.notify_all()
 
 
 class MemoryObjectStore(ObjectStore):
-    """One client's way to the objects, with faults of its own.
+    """A client of shared objects, with its own faults.
 
-    Several clients over the same :class:`MemoryObjects` stand for several hosts; a
-    client whose faults say ``down`` stands on the wrong side of a cut.
+    Several clients of the same :class:`MemoryObjects` represent several hosts; a client
+    that is ``down`` is partitioned from the store.
     """
 
     def __init__(self, objects: MemoryObjects, faults: StoreFaults | None = None) -> None:
-        """Takes the shared objects and this client's faults."""
         self.objects = objects
         self.faults = faults or StoreFaults()
 
     async def get(self, key: str) -> StoredObject | None:
         """See :class:`ObjectStore`."""
-        await self._enter(Operation.GET, key)
+        await self._begin_call(Operation.GET, key)
         stored: StoredObject | None = self.objects.objects_by_key.get(key)
         self.objects.bytes_out += len(stored.value) if stored else 0
         return stored
 
     async def create(self, key: str, value: bytes) -> StoredObject:
         """See :class:`ObjectStore`."""
-        await self._enter(Operation.CREATE, key)
+        await self._begin_call(Operation.CREATE, key)
         self._maybe_lose_write(f"create {key}")
         stored = await self.objects.put(key, value, None)
-        self._maybe_lose_answer(f"create {key}")
+        self._maybe_lose_reply(f"create {key}")
         return stored
 
     async def update(self, key: str, value: bytes, version: int) -> StoredObject:
         """See :class:`ObjectStore`."""
-        await self._enter(Operation.UPDATE, key)
+        await self._begin_call(Operation.UPDATE, key)
         self._maybe_lose_write(f"update {key}")
         stored = await self.objects.put(key, value, version)
-        self._maybe_lose_answer(f"update {key}")
+        self._maybe_lose_reply(f"update {key}")
         return stored
 
     async def delete(self, key: str, version: int) -> None:
         """See :class:`ObjectStore`."""
-        await self._enter(Operation.DELETE, key)
+        await self._begin_call(Operation.DELETE, key)
         self._maybe_lose_write(f"delete {key}")
         await self.objects.remove(key, version)
-        self._maybe_lose_answer(f"delete {key}")
+        self._maybe_lose_reply(f"delete {key}")
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
         """See :class:`ObjectStore`."""
-        await self._enter(Operation.LIST, prefix)
+        await self._begin_call(Operation.LIST, prefix)
         page = self.objects.select(prefix, after, limit)
         if self.faults.stale_reads:
-            known = self.objects.revision - self.faults.stale_reads
-            old = tuple(stored for stored in page.objects if stored.version <= known)
-            page = Listing(old, known, page.more)
+            visible_revision = self.objects.revision - self.faults.stale_reads
+            visible = tuple(stored for stored in page.objects if stored.version <= visible_revision)
+            page = Listing(visible, visible_revision, page.more)
         self.objects.bytes_out += sum(len(stored.value) for stored in page.objects)
         return page
 
     async def watch(self, prefix: str, after_revision: int) -> AsyncIterator[Change]:
         """See :class:`ObjectStore`."""
-        await self._enter(Operation.WATCH, prefix)
+        await self._begin_call(Operation.WATCH, prefix)
         objects = self.objects
         position = after_revision
         while True:
             oldest = objects.changes[0].revision if objects.changes else objects.revision + 1
             if position + 1 < oldest and position < objects.revision:
-                raise WatchEndedError(prefix, f"revision {position} is no longer kept")
+                raise WatchEndedError(prefix, f"revision {position} is no longer retained")
             for change in [change for change in objects.changes if change.revision > position]:
                 position = change.revision
                 if change.key.startswith(prefix) and not self.faults.mute_watches:
                     self.objects.bytes_out += len(change.value or b"")
                     yield change
             if self.faults.down:
-                raise WatchEndedError(prefix, "the connection was cut")
+                raise WatchEndedError(prefix, "the connection broke")
             async with objects.changed:
                 if objects.revision == position:
                     await objects.changed.wait()
 
-    async def _enter(self, operation: Operation, subject: str) -> None:
+    async def _begin_call(self, operation: Operation, subject: str) -> None:
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self.faults.down:
@@ -207,12 +218,12 @@
         now = asyncio.get_running_loop().time()
         self.objects.count(operation, now, self.faults, subject)
 
-    def _maybe_lose_answer(self, what: str) -> None:
+    def _maybe_lose_reply(self, operation: str) -> None:
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            raise StoreUnavailableError(what, "the answer was lost")
+            raise StoreUnavailableError(operation, "the answer was lost")
 
-    def _maybe_lose_write(self, what: str) -> None:
+    def _maybe_lose_write(self, operation: str) -> None:
         if self.faults.lose_writes > 0:
             self.faults.lose_writes -= 1
-            raise StoreUnavailableError(what, "the connection broke")
+            raise StoreUnavailableError(operation, "the connection broke")
--- a/src/bayhinge_standins/prefix_cache.py
+++ b/src/bayhinge_standins/prefix_cache.py
@@ -1,8 +1,7 @@
 """An engine's prefix cache: a tree of message prefixes in limited memory.
 
-A node stands for one message behind a certain prefix. Nodes in use by a running
-request or held for a paused program are pinned; the rest leave in least recently
-used order, leaves first.
+A node is one message after a certain prefix. Nodes in use by a running request or held
+for a paused program are pinned; the others are evicted in LRU order, leaves first.
 """
 
 from collections import OrderedDict
@@ -13,7 +12,7 @@
 
 @attrs.frozen
 class PrefixPart:
-    """One message of a prompt: the digest of the prefix up to it, and its own tokens."""
+    """One message of a prompt: the digest of the prefix that it ends, and its tokens."""
 
     digest: str
     tokens: int
@@ -28,17 +27,16 @@
 
 
 class PrefixCache:
-    """Keeps prefixes up to ``capacity_tokens``."""
+    """A cache of at most ``capacity_tokens``, which pinned prefixes may exceed."""
 
     def __init__(self, capacity_tokens: int) -> None:
-        """Starts empty."""
         self.capacity_tokens = capacity_tokens
         self.used_tokens = 0
         self.evicted_tokens = 0
         self._nodes_by_digest: OrderedDict[str, _Node] = OrderedDict()
 
     def match(self, parts: Iterable[PrefixPart]) -> int:
-        """Returns the tokens at the front of a prompt that are cached."""
+        """Returns the number of leading prompt tokens that are cached."""
         cached = 0
         for part in parts:
             if part.digest not in self._nodes_by_digest:
@@ -47,7 +45,7 @@
         return cached
 
     def pin(self, parts: list[PrefixPart]) -> list[PrefixPart]:
-        """Adds a prompt and keeps it until :meth:`unpin`; returns the parts that were added."""
+        """Adds a prompt and retains it until :meth:`unpin`; returns the added parts."""
         added: list[PrefixPart] = []
         parent: str | None = None
         for part in parts:
@@ -62,19 +60,19 @@
             node.pins += 1
             self._nodes_by_digest.move_to_end(part.digest)
             parent = part.digest
-        self._shrink()
+        self._evict_to_capacity()
         return added
 
     def unpin(self, parts: Iterable[PrefixPart]) -> None:
-        """Lets a pinned prompt be evicted again."""
+        """Removes one pin from each part of a prompt."""
         for part in parts:
             node = self._nodes_by_digest.get(part.digest)
             if node is not None and node.pins:
                 node.pins -= 1
-        self._shrink()
+        self._evict_to_capacity()
 
     def drop(self, parts: Iterable[PrefixPart]) -> None:
-        """Evicts what of a prompt nothing else needs, at once."""
+        """Evicts the parts of a prompt that are neither pinned nor a prefix of others."""
         for part in reversed(list(parts)):
             node = self._nodes_by_digest.get(part.digest)
             if node is not None and not node.pins and not node.children:
@@ -82,15 +80,15 @@
 
     @property
     def pinned_tokens(self) -> int:
-        """Tokens that can't be evicted just now."""
+        """Number of tokens in pinned nodes."""
         return sum(node.tokens for node in self._nodes_by_digest.values() if node.pins)
 
     def clear(self) -> None:
-        """Forgets everything, as a restart does."""
+        """Removes all entries, as a restart does."""
         self._nodes_by_digest.clear()
         self.used_tokens = 0
 
-    def _shrink(self) -> None:
+    def _evict_to_capacity(self) -> None:
         if self.used_tokens <= self.capacity_tokens:
             return
         for digest in list(self._nodes_by_digest):
--- a/src/bayhinge_standins/tool_service.py
+++ b/src/bayhinge_standins/tool_service.py
@@ -1,6 +1,6 @@
 """A plain service with lookups and actions that must not be repeated.
 
-It counts each side effect by the caller's reference, for tests to judge by.
+It counts side effects by the caller's reference, so that tests find repeated ones.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 
 @attrs.define
 class ToolRecord:
-    """The service's own record: what it did, and how often."""
+    """Counts of the service's lookups and side effects."""
 
     lookups: Counter[str] = attrs.field(factory=Counter)
     effects: Counter[str] = attrs.field(factory=Counter)
 
     @property
     def run_twice(self) -> int:
-        """How many side effects happened more than once."""
+        """Number of references whose side effect happened more than once."""
         return sum(1 for count in self.effects.values() if count > 1)
 
 
@@ -30,7 +30,7 @@
     """One endpoint of a plain service on a real socket."""
 
     def __init__(self, name: str, record: ToolRecord | None = None, port: int = 0) -> None:
-        """Takes the endpoint's name and, for a service of several endpoints, a shared record."""
+        """Endpoints of the same service share ``record``."""
         super().__init__(port)
         self.name = name
         self.record = record or ToolRecord()
--- a/tests/functional/test_daemon.py
+++ b/tests/functional/test_daemon.py
@@ -62,7 +62,7 @@
                 name=name,
                 folder=folder,
                 store=world.store.base_url,
-                endpoints=world.host_list.base_url,
+                endpoints=world.endpoint_list.base_url,
                 operator=hash_key(OPERATOR_KEY),
             ),
             encoding="utf-8",
