--- a/src/bayhinge/_internal/bench/capacity.py
+++ b/src/bayhinge/_internal/bench/capacity.py
@@ -70,7 +70,7 @@
     """What one role needs of one resource at the target size, and its limit."""
 
     role: str
-    what: str
+    resource: str
     amount: float
     limit: float
     unit: str
@@ -333,7 +333,7 @@
     for need in needs:
         verdict = "yes" if need.is_met else "**no**"
         yield (
-            f"| {need.role} | {need.what} | {need.amount:,.3g} {need.unit} | {need.limit:g} | "
+            f"| {need.role} | {need.resource} | {need.amount:,.3g} {need.unit} | {need.limit:g} | "
             f"{verdict} | {need.mechanism} | {need.next_change} |"
         )
     yield ""
--- a/src/bayhinge/_internal/bench/decisions/placement_simulation.py
+++ b/src/bayhinge/_internal/bench/decisions/placement_simulation.py
@@ -43,15 +43,16 @@
     """The programs that callers run.
 
     Attributes:
-        per_s: programs that begin per second, over all halls.
-        burst: factor on ``per_s`` from ``burst_from_s`` to ``burst_to_s``.
+        programs_per_s: programs that begin per second, over all halls.
+        arrivals_s: seconds in which programs arrive.
+        burst: factor on ``programs_per_s`` from ``burst_from_s`` to ``burst_to_s``.
         shared_prefixes: number of prompt prefixes; each is shared by many programs.
         deadline_factor: a program is on time if it takes at most so many times its duration on
             idle engines, plus ``deadline_slack_s``.
     """
 
-    per_s: float
-    length_s: float = 30.0
+    programs_per_s: float
+    arrivals_s: float = 30.0
     burst: float = 1.0
     burst_from_s: float = 4.0
     burst_to_s: float = 10.0
@@ -127,8 +128,8 @@
             self._schedule(program.began_s, functools.partial(self._next_turn, program))
         self._schedule(0.0, self._exchange_load)
         while any(program.ended_s is None for program in programs):
-            at, _, act = heapq.heappop(self._events)
-            act(at)
+            at, _, callback = heapq.heappop(self._events)
+            callback(at)
         engines = self._engine_by_name.values()
         load = self._load
         return PlacementResult(
@@ -146,8 +147,8 @@
         now = 0.0
         for number in itertools.count():
             is_burst = load.burst_from_s <= now < load.burst_to_s
-            now += rng.expovariate(load.per_s * (load.burst if is_burst else 1.0))
-            if now >= load.length_s:
+            now += rng.expovariate(load.programs_per_s * (load.burst if is_burst else 1.0))
+            if now >= load.arrivals_s:
                 return
             shared_prefix = f"part-{min(rng.randrange(load.shared_prefixes) for _ in range(2))}"
             turns = rng.choice(load.turns)
@@ -245,5 +246,5 @@
         self._finish_requests(finished)
         self._schedule_advance(engine)
 
-    def _schedule(self, at: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._order), act))
+    def _schedule(self, at: float, callback: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._order), callback))
--- a/src/bayhinge/_internal/bench/decisions/quota_strategies.py
+++ b/src/bayhinge/_internal/bench/decisions/quota_strategies.py
@@ -24,6 +24,7 @@
 """Interval at which hosts report their demand; a report counts from the next interval on."""
 
 SETTLED_S = 3600.0
+"""Long enough that a new bucket starts full and skips the slow start."""
 
 
 class QuotaStrategy(ABC):
@@ -37,7 +38,7 @@
 
 
 class FixedShares(QuotaStrategy):
-    """Each host has an equal share of the rate, the burst and the margin."""
+    """Each host has an equal share of the rate, and of burst and margin (at least one request)."""
 
     def __init__(self, quota: Quota, margin: QuotaMargin, hosts: int) -> None:
         share = Quota(quota.rate_per_s / hosts, (quota.burst + margin.requests(quota)) / hosts)
@@ -89,13 +90,19 @@
 
 @attrs.frozen
 class Load:
-    """Demand of an account, as a multiple of its limit, with a burst."""
+    """Demand of an account.
+
+    Attributes:
+        base_load: demand, as a multiple of the quota's rate.
+        burst_factor: factor on the demand during the burst.
+        arrivals_s: seconds in which programs arrive.
+    """
 
     base_load: float
     burst_factor: float = 1.0
     burst_from_s: float = 20.0
     burst_length_s: float = 8.0
-    length_s: float = 60.0
+    arrivals_s: float = 60.0
 
 
 @attrs.frozen
@@ -122,27 +129,27 @@
     rng = random.Random(seed)
     number = itertools.count()
     pending: list[tuple[float, int, int, bool]] = []
-    mean = sum(PROGRAM_REQUESTS) / 2
+    mean_requests = sum(PROGRAM_REQUESTS) / 2
     now_s, programs = 0.0, 0
-    while now_s < load.length_s:
+    while now_s < load.arrivals_s:
         is_burst = 0 <= now_s - load.burst_from_s < load.burst_length_s
         load_factor = load.base_load * (load.burst_factor if is_burst else 1.0)
-        now_s += rng.expovariate(load_factor * quota.rate_per_s / mean)
+        now_s += rng.expovariate(load_factor * quota.rate_per_s / mean_requests)
         heapq.heappush(pending, (now_s, next(number), rng.randint(*PROGRAM_REQUESTS), True))
         programs += 1
     requests = completed = 0
     sent_s: list[float] = []
     while pending:
-        now_s, _, left, is_first = heapq.heappop(pending)
+        now_s, _, remaining, is_first = heapq.heappop(pending)
         requests += 1
         if not strategy.admits(rng.randrange(hosts), is_first, now_s):
             continue
         sent_s.append(now_s)
-        if left == 1:
+        if remaining == 1:
             completed += 1
         else:
             next_s = now_s + rng.expovariate(1 / MEAN_PAUSE_S)
-            heapq.heappush(pending, (next_s, next(number), left - 1, False))
+            heapq.heappush(pending, (next_s, next(number), remaining - 1, False))
     allowed = quota.rate_per_s * margin.window_s + quota.burst + margin.requests(quota)
     return Outcome(
         refused=1 - len(sent_s) / requests,
--- a/src/bayhinge/_internal/bench/decisions/simulation.py
+++ b/src/bayhinge/_internal/bench/decisions/simulation.py
@@ -92,7 +92,7 @@
 class _Event:
     at: float
     order: int
-    act: Callable[[float], None] = attrs.field(order=False)
+    callback: Callable[[float], None] = attrs.field(order=False)
 
 
 class Simulation:
@@ -133,14 +133,14 @@
         while self._events and self._remaining and now < self._settings.horizon_s:
             event = heapq.heappop(self._events)
             now = event.at
-            event.act(now)
+            event.callback(now)
         self._outcome.ended_at = now
         return self._outcome
 
     # ---- events ----
 
-    def _schedule(self, at: float, act: Callable[[float], None]) -> None:
-        heapq.heappush(self._events, _Event(at, next(self._order), act))
+    def _schedule(self, at: float, callback: Callable[[float], None]) -> None:
+        heapq.heappush(self._events, _Event(at, next(self._order), callback))
 
     def _tick(self, now: float) -> None:
         self._decide(lambda: self._scheduler.tick(now), now)
--- a/src/bayhinge/_internal/bench/world/lessons.py
+++ b/src/bayhinge/_internal/bench/world/lessons.py
@@ -102,7 +102,7 @@
     _append_line(log, "call 0 again", await world.call_unrepeatable(program, 0, "nav", "entry-3"))
     count = world.endpoints.records.effects["nav"]
     _append_line(log, f"the service's own record: 'nav' took effect {count} time(s)")
-    _append_line(log, "call 1 goes on", await world.call_model(program, 1, "what now", "entry-3"))
+    _append_line(log, "call 1", await world.call_model(program, 1, "what now", "entry-3"))
 
 
 async def _budget(world: World, log: list[str]) -> None:
--- a/tests/unit/test_placing_play.py
+++ b/tests/unit/test_placing_play.py
@@ -15,7 +15,7 @@
 from bayhinge._internal.decisions import placement_weights
 from bayhinge_standins.engine_model import ModelSpeed
 
-BURST = ProgramLoad(per_s=30, burst=1.8)
+BURST = ProgramLoad(programs_per_s=30, burst=1.8)
 
 
 def test_a_burst_leaves_programs_in_time_and_prompts_are_read_once() -> None:
@@ -33,7 +33,7 @@
     monkeypatch: pytest.MonkeyPatch, name: str, value: float, least_lost: float
 ) -> None:
     monkeypatch.setattr(placement_weights, name, value)
-    load = ProgramLoad(per_s=36, burst=1.8)
+    load = ProgramLoad(programs_per_s=36, burst=1.8)
     assert PlacementSimulation(SiteShape(), load).run().share_on_time <= 1.0 - least_lost
 
 
@@ -47,5 +47,7 @@
 )
 def test_sites_of_other_shapes_serve_the_same_load_an_engine(shape: SiteShape) -> None:
     engines = shape.halls * shape.engines_per_hall
-    outcome = PlacementSimulation(shape, ProgramLoad(per_s=engines, burst=1.8, length_s=15)).run()
+    outcome = PlacementSimulation(
+        shape, ProgramLoad(programs_per_s=engines, burst=1.8, arrivals_s=15)
+    ).run()
     assert outcome.share_on_time >= 0.98
