--- a/tests/unit/test_placing_play.py
+++ b/tests/unit/test_placing_play.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bayhinge._internal.bench.decisions.placement_simulation import (
+from bayhinge._internal.bench.decisions.placing import (
     PlacementSimulation,
     ProgramLoad,
     SiteShape,
--- a/tests/unit/test_quota_ways.py
+++ b/tests/unit/test_quota_ways.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bayhinge._internal.bench.decisions.quota_strategies import (
+from bayhinge._internal.bench.decisions.quota_ways import (
     FixedShares,
     GossipedDemand,
     Load,
