--- a/src/bayhinge/_internal/bench/decisions/quota_ways.py
+++ b/src/bayhinge/_internal/bench/decisions/quota_ways.py
@@ -1,8 +1,8 @@
-"""Plays an account's programs against three ways to hold it to its limit over many hosts.
+"""Simulates three strategies that enforce a client account's quota over many hosts.
 
-Each host decides alone by a fixed share; or asks the account's home for each request; or lets in a
-part of what comes, by the demand that hosts told each other a moment before (global random drop).
-Requests of a program come one after the other to hosts drawn anew, and a refused one ends it.
+Each host has a fixed share; or asks the account's quota coordinator for each request; or drops
+requests at random, by the demand that hosts last reported to each other (global random drop).
+A program sends its requests one after another to random hosts; a refused request ends it.
 """
 
 import heapq
@@ -17,147 +17,153 @@
 from bayhinge._internal.models.account_keys import Quota
 
 PROGRAM_REQUESTS = (4, 30)
-PAUSE_S = 0.3
-"""Requests of one program, and the mean pause between them."""
+MEAN_PAUSE_S = 0.3
+"""Mean pause between the requests of a program."""
 
-HELLO_S = 0.3
-"""How often hosts tell of what they were asked; it is known a round later."""
+HEARTBEAT_S = 0.3
+"""Interval at which hosts report their demand; a report counts from the next interval on."""
 
 SETTLED_S = 3600.0
+"""Long enough that a new bucket starts full and skips the slow start."""
 
 
-class Way(ABC):
-    """One way to hold an account to its limit."""
+class QuotaStrategy(ABC):
+    """A strategy that enforces an account's quota."""
 
     messages = 0
 
     @abstractmethod
-    def lets_in(self, host: int, begins: bool, now_s: float) -> bool:
-        """Tells whether a host sends a request."""
+    def admits(self, host: int, is_first: bool, now_s: float) -> bool:
+        """Tells whether a host sends a request; ``is_first`` for the first one of a program."""
 
 
-class FixedShares(Way):
-    """Each host has its part of the rate and of all that goes beyond it."""
+class FixedShares(QuotaStrategy):
+    """Each host has an equal share of the rate, and of burst and margin (at least one request)."""
 
     def __init__(self, quota: Quota, margin: QuotaMargin, hosts: int) -> None:
-        """Gives each host its bucket; one right is the least that lets anything in."""
         share = Quota(quota.rate_per_s / hosts, (quota.burst + margin.requests(quota)) / hosts)
         self._buckets = [QuotaBucket(share, QuotaMargin(), 0.0, SETTLED_S) for _ in range(hosts)]
 
-    def lets_in(self, host: int, begins: bool, now_s: float) -> bool:
-        """See :class:`Way`."""
+    def admits(self, host: int, is_first: bool, now_s: float) -> bool:
+        """See :class:`QuotaStrategy`."""
         self._buckets[host].fill(now_s, 1.0)
         return self._buckets[host].acquire(False) is None
 
 
-class Home(Way):
-    """The account's home grants each request."""
+class QuotaCoordinator(QuotaStrategy):
+    """The account's quota coordinator grants each request."""
 
     def __init__(self, quota: Quota, margin: QuotaMargin, hosts: int) -> None:
-        """Gives the home its bucket."""
         self._bucket = QuotaBucket(quota, margin, 0.0, SETTLED_S)
 
-    def lets_in(self, host: int, begins: bool, now_s: float) -> bool:
-        """See :class:`Way`."""
+    def admits(self, host: int, is_first: bool, now_s: float) -> bool:
+        """See :class:`QuotaStrategy`."""
         self.messages += 2
         self._bucket.fill(now_s, 1.0)
-        return self._bucket.acquire(begins) is None
+        return self._bucket.acquire(is_first) is None
 
 
-class ToldDemand(Way):
-    """Each host lets in the part that the limit is of all that was asked a moment before."""
+class GossipedDemand(QuotaStrategy):
+    """Each host admits a request with the probability limit / last reported demand."""
 
     def __init__(self, quota: Quota, margin: QuotaMargin, hosts: int) -> None:
-        """Starts without any demand."""
         self._quota = quota
         self._hosts = hosts
-        self._asked_s: deque[float] = deque()
-        self._told_s = 0.0
+        self._request_times_s: deque[float] = deque()
+        self._reported_s = 0.0
         self._rate_per_s = 0.0
-        self._random = random.Random(5)
-
-    def lets_in(self, host: int, begins: bool, now_s: float) -> bool:
-        """See :class:`Way`."""
-        self._asked_s.append(now_s)
-        while now_s > self._told_s + HELLO_S:
-            # What was asked in the round before is what all know in this one.
-            self._told_s += HELLO_S
-            known = [at for at in self._asked_s if at <= self._told_s]
-            self._rate_per_s = sum(at > self._told_s - 1.0 for at in known)
+        self._rng = random.Random(5)
+
+    def admits(self, host: int, is_first: bool, now_s: float) -> bool:
+        """See :class:`QuotaStrategy`."""
+        self._request_times_s.append(now_s)
+        while now_s > self._reported_s + HEARTBEAT_S:
+            # Hosts know the demand up to the last report only.
+            self._reported_s += HEARTBEAT_S
+            reported = [at for at in self._request_times_s if at <= self._reported_s]
+            self._rate_per_s = sum(at > self._reported_s - 1.0 for at in reported)
             self.messages += self._hosts
-        while self._asked_s and self._asked_s[0] < self._told_s - 1.0:
-            self._asked_s.popleft()
-        return self._random.random() * self._rate_per_s <= self._quota.rate_per_s
+        while self._request_times_s and self._request_times_s[0] < self._reported_s - 1.0:
+            self._request_times_s.popleft()
+        return self._rng.random() * self._rate_per_s <= self._quota.rate_per_s
 
 
 @attrs.frozen
 class Load:
-    """How an account sends: so many times its limit, and more for some seconds."""
+    """Demand of an account.
 
-    usual: float
-    hot: float = 1.0
-    hot_from_s: float = 20.0
-    hot_for_s: float = 8.0
-    length_s: float = 60.0
+    Attributes:
+        base_load: demand, as a multiple of the quota's rate.
+        burst_factor: factor on the demand during the burst.
+        arrivals_s: seconds in which programs arrive.
+    """
+
+    base_load: float
+    burst_factor: float = 1.0
+    burst_from_s: float = 20.0
+    burst_length_s: float = 8.0
+    arrivals_s: float = 60.0
 
 
 @attrs.frozen
 class Outcome:
-    """What became of a play.
+    """Results of a simulation.
 
     Attributes:
-        refused: part of the requests.
-        whole: part of the programs that ended.
-        most: requests in the fullest window, as a part of what the deployment allows.
-        messages: between hosts, a request.
+        refused: share of the requests that were refused.
+        completed: share of the programs that completed.
+        peak: requests in the fullest window, as a share of what the quota and margin allow.
+        messages: messages between hosts per request.
     """
 
     refused: float
-    whole: float
-    most: float
+    completed: float
+    peak: float
     messages: float
 
 
-def play(way: Way, quota: Quota, margin: QuotaMargin, load: Load, hosts: int, seed: int) -> Outcome:
-    """Plays one load."""
-    generator = random.Random(seed)
+def simulate(
+    strategy: QuotaStrategy, quota: Quota, margin: QuotaMargin, load: Load, hosts: int, seed: int
+) -> Outcome:
+    """Simulates one load."""
+    rng = random.Random(seed)
     number = itertools.count()
-    due: list[tuple[float, int, int, bool]] = []
-    mean = sum(PROGRAM_REQUESTS) / 2
+    pending: list[tuple[float, int, int, bool]] = []
+    mean_requests = sum(PROGRAM_REQUESTS) / 2
     now_s, programs = 0.0, 0
-    while now_s < load.length_s:
-        is_hot = 0 <= now_s - load.hot_from_s < load.hot_for_s
-        times = load.usual * (load.hot if is_hot else 1.0)
-        now_s += generator.expovariate(times * quota.rate_per_s / mean)
-        heapq.heappush(due, (now_s, next(number), generator.randint(*PROGRAM_REQUESTS), True))
+    while now_s < load.arrivals_s:
+        is_burst = 0 <= now_s - load.burst_from_s < load.burst_length_s
+        load_factor = load.base_load * (load.burst_factor if is_burst else 1.0)
+        now_s += rng.expovariate(load_factor * quota.rate_per_s / mean_requests)
+        heapq.heappush(pending, (now_s, next(number), rng.randint(*PROGRAM_REQUESTS), True))
         programs += 1
-    asked = whole = 0
+    requests = completed = 0
     sent_s: list[float] = []
-    while due:
-        now_s, _, left, begins = heapq.heappop(due)
-        asked += 1
-        if not way.lets_in(generator.randrange(hosts), begins, now_s):
+    while pending:
+        now_s, _, remaining, is_first = heapq.heappop(pending)
+        requests += 1
+        if not strategy.admits(rng.randrange(hosts), is_first, now_s):
             continue
         sent_s.append(now_s)
-        if left == 1:
-            whole += 1
+        if remaining == 1:
+            completed += 1
         else:
-            next_s = now_s + generator.expovariate(1 / PAUSE_S)
-            heapq.heappush(due, (next_s, next(number), left - 1, False))
+            next_s = now_s + rng.expovariate(1 / MEAN_PAUSE_S)
+            heapq.heappush(pending, (next_s, next(number), remaining - 1, False))
     allowed = quota.rate_per_s * margin.window_s + quota.burst + margin.requests(quota)
     return Outcome(
-        refused=1 - len(sent_s) / asked,
-        whole=whole / programs,
-        most=most_within(sent_s, margin.window_s) / allowed,
-        messages=way.messages / asked,
+        refused=1 - len(sent_s) / requests,
+        completed=completed / programs,
+        peak=max_in_window(sent_s, margin.window_s) / allowed,
+        messages=strategy.messages / requests,
     )
 
 
-def most_within(times_s: list[float], window_s: float) -> int:
-    """Returns the most of ascending times that lie within any window."""
-    first, most = 0, 0
+def max_in_window(times_s: list[float], window_s: float) -> int:
+    """Returns the largest number of the ascending times within any window."""
+    first, peak = 0, 0
     for last, end_s in enumerate(times_s):
         while times_s[first] <= end_s - window_s:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        peak = max(peak, last - first + 1)
+    return peak
