--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -47,7 +47,7 @@
     """Stands for gossip: one other host, through which disks could be reached."""
 
     address: str
-    me: wire.Hello = attrs.field(factory=lambda: wire.Hello(hall="north"))
+    own_heartbeat: wire.Hello = attrs.field(factory=lambda: wire.Hello(hall="north"))
 
     def recent_heartbeats(self, role: int) -> list[wire.Hello]:
         return [
