--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -157,7 +157,7 @@
     ),
 }
 
-_LEFT = "tests/unit/test_left_behind_"
+_LEFT = "tests/unit/test_failed_attempts_"
 _FUNCTIONAL = "tests/functional/test_"
 _PLATFORM = tuple(
     f"{_FUNCTIONAL}platform_{what}.py" for what in ("requests", "turns", "objects", "stops")
@@ -208,7 +208,7 @@
         f"{_FUNCTIONAL}sending.py",
         f"{_FUNCTIONAL}silent_endpoints.py",
     ),
-    "doubt": ("tests/unit/test_answer_bounds.py", f"{_FUNCTIONAL}silent_endpoints.py"),
+    "doubt": ("tests/unit/test_answer_timeouts.py", f"{_FUNCTIONAL}silent_endpoints.py"),
     "lapsed entries": (
         *_PLATFORM,
         f"{_LEFT}elsewhere.py",
--- a/tests/unit/test_ablation.py
+++ b/tests/unit/test_ablation.py
@@ -1,4 +1,4 @@
-"""Each mechanism that an ablation takes out is still where its table says."""
+"""Each mechanism that an ablation removes is still found in the source."""
 
 import compileall
 from pathlib import Path
@@ -9,14 +9,14 @@
 
 
 @pytest.mark.parametrize("mechanism", EDITS_BY_MECHANISM)
-def test_a_mechanism_can_be_taken_out(mechanism: str, tmp_path: Path) -> None:
+def test_each_mechanism_can_be_removed(mechanism: str, tmp_path: Path) -> None:
     copy_without(mechanism, tmp_path)
-    changed = {edit.path for edit in EDITS_BY_MECHANISM[mechanism]}
-    for path in changed:
+    changed_paths = {edit.path for edit in EDITS_BY_MECHANISM[mechanism]}
+    for path in changed_paths:
         assert compileall.compile_file(tmp_path / "src/bayhinge/_internal" / path, quiet=1)
 
 
-def test_a_piece_that_has_gone_is_told(tmp_path: Path) -> None:
+def test_missing_source_text_raises_an_error(tmp_path: Path) -> None:
     copy_without("", tmp_path)
     with pytest.raises(PieceMissingError, match="stands 0 times"):
         Edit("decisions/endpoint_table.py", "no such text", "").apply(tmp_path)
--- a/tests/unit/test_answer_bounds.py
+++ b/tests/unit/test_answer_timeouts.py
@@ -1,4 +1,4 @@
-"""How long an endpoint may say nothing, and what a burst does to that."""
+"""Timeouts for silent endpoints, and how they grow in a burst."""
 
 import pytest
 
@@ -30,22 +30,22 @@
     )
 
 
-def test_the_routes_own_objective_is_the_bound_while_answers_are_quick() -> None:
-    bounds = bounds_of(route(0.25), may_fail_over=True, usual_s=0.06)
-    assert bounds.silence_s == SILENCE_OBJECTIVES * 0.25
-    assert bounds.pause_s == pytest.approx(0.6)
+def test_the_silence_timeout_follows_the_latency_objective_while_answers_are_quick() -> None:
+    timeouts = bounds_of(route(0.25), may_fail_over=True, usual_s=0.06)
+    assert timeouts.silence_s == SILENCE_OBJECTIVES * 0.25
+    assert timeouts.pause_s == pytest.approx(0.6)
 
 
-def test_in_a_burst_waiting_says_nothing_of_one_endpoint() -> None:
+def test_in_a_burst_the_silence_timeout_grows_with_the_usual_latency() -> None:
     usual_s = 0.06
     for took_s in (0.3, 0.4, 0.5):
         usual_s = smoothed_answer_s(usual_s, took_s)
-    bounds = bounds_of(route(0.25), may_fail_over=True, usual_s=usual_s)
-    assert bounds.silence_s == TYPICAL_LATENCIES * usual_s
-    assert bounds.silence_s > 1.0
+    timeouts = bounds_of(route(0.25), may_fail_over=True, usual_s=usual_s)
+    assert timeouts.silence_s == TYPICAL_LATENCIES * usual_s
+    assert timeouts.silence_s > 1.0
 
 
-def test_what_is_usual_follows_the_newest_answers() -> None:
+def test_the_usual_latency_follows_the_newest_answers() -> None:
     usual_s = smoothed_answer_s(None, 1.0)
     assert usual_s == 1.0
     for _ in range(12):
@@ -53,11 +53,11 @@
     assert usual_s < 0.07
 
 
-def test_a_stream_that_may_not_go_on_elsewhere_has_no_bound_on_pauses() -> None:
+def test_a_stream_that_can_not_fail_over_has_no_pause_timeout() -> None:
     assert bounds_of(route(0.25), may_fail_over=False).pause_s is None
     assert bounds_of(route(0.25, resumable=False), may_fail_over=True).pause_s is None
     assert bounds_of(route(0.25, pause_s=None), may_fail_over=True).pause_s is None
 
 
-def test_an_objective_of_nothing_does_not_make_the_bound_nothing() -> None:
+def test_a_latency_objective_of_zero_keeps_the_minimum_timeout() -> None:
     assert bounds_of(route(0.0), may_fail_over=True).silence_s == MIN_SILENCE_S
--- a/tests/unit/test_cell.py
+++ b/tests/unit/test_cell.py
@@ -1,4 +1,4 @@
-"""The scheduler of a cell: order, placement, refusals, endpoints that come and go."""
+"""The scheduler of a cell: order, placement, refusals, changes of its endpoints."""
 
 import attrs
 import pytest
@@ -23,7 +23,7 @@
 SETTINGS = CellSettings(max_running=2, cache_tokens=100_000, prefill_tokens_per_s=10_000.0)
 
 
-def listed(*names: str) -> list[Endpoint]:
+def live_endpoints(*names: str) -> list[Endpoint]:
     return [
         Endpoint(name, "pool", "hall", f"at-{name}", ListedEndpointState.LIVE) for name in names
     ]
@@ -34,7 +34,7 @@
     return attrs.evolve(offer, **more)  # type: ignore[arg-type]
 
 
-def grants(actions: list[Action]) -> dict[str, str]:
+def endpoint_by_grant(actions: list[Action]) -> dict[str, str]:
     found = [action for action in actions if isinstance(action, Grant)]
     return {action.offer.grant: action.endpoint for action in found}
 
@@ -47,24 +47,24 @@
     settings: CellSettings = SETTINGS, names: tuple[str, ...] = ("a", "b")
 ) -> CellScheduler:
     cell = CellScheduler(settings)
-    cell.set_endpoints(listed(*names), 0.0)
+    cell.set_endpoints(live_endpoints(*names), 0.0)
     return cell
 
 
-def test_a_program_stays_where_its_prefix_is() -> None:
+def test_a_program_stays_at_the_endpoint_that_caches_its_prefix() -> None:
     cell = make_cell()
     first = make_offer("p", 0, 20_000)
-    (endpoint,) = grants(cell.offer(first, 0.0)).values()
+    (endpoint,) = endpoint_by_grant(cell.offer(first, 0.0)).values()
     cell.done(finish(first), 1.0)
-    # The other endpoint is idle, and still the prefix is worth more.
+    # The cached prefix outweighs the other endpoint being idle.
     cell.offer(make_offer("q", 0, 500), 1.5)
-    again = grants(cell.offer(make_offer("p", 1, 21_000), 2.0))
+    again = endpoint_by_grant(cell.offer(make_offer("p", 1, 21_000), 2.0))
     assert again == {"p/1": endpoint}
 
 
-def test_calls_that_begin_together_spread_over_endpoints() -> None:
+def test_simultaneous_calls_are_spread_over_endpoints() -> None:
     cell = make_cell()
-    placed = [grants(cell.offer(make_offer(name), 0.0)) for name in ("p", "q")]
+    placed = [endpoint_by_grant(cell.offer(make_offer(name), 0.0)) for name in ("p", "q")]
     assert {next(iter(item.values())) for item in placed} == {"a", "b"}
 
 
@@ -77,32 +77,32 @@
     cell.offer(make_offer("y"), 2.0)
     cell.offer(make_offer("young"), 3.0)
     cell.offer(make_offer("old", 1), 4.0)
-    assert grants(cell.done(finish(running[1]), 5.0)) == {"old/1": "a"}
+    assert endpoint_by_grant(cell.done(finish(running[1]), 5.0)) == {"old/1": "a"}
 
 
-def test_a_step_of_priority_is_worth_ten_seconds_of_age() -> None:
+def test_one_priority_level_equals_ten_seconds_of_age() -> None:
     cell = make_cell(names=("a",))
     running = [make_offer("r1"), make_offer("r2")]
     for offer in running:
         cell.offer(offer, 0.0)
     cell.offer(make_offer("early", priority=5), 1.0)
     cell.offer(make_offer("late", priority=6), 10.0)
-    assert grants(cell.done(finish(running[0]), 20.0)) == {"late/0": "a"}
+    assert endpoint_by_grant(cell.done(finish(running[0]), 20.0)) == {"late/0": "a"}
     cell.offer(make_offer("later", priority=6), 21.0)
-    assert grants(cell.done(finish(running[1]), 22.0)) == {"early/0": "a"}
+    assert endpoint_by_grant(cell.done(finish(running[1]), 22.0)) == {"early/0": "a"}
 
 
-def test_no_program_begins_where_it_would_push_out_what_is_soon_needed() -> None:
+def test_no_program_begins_where_it_would_evict_a_prefix_in_use() -> None:
     cell = make_cell(attrs.evolve(SETTINGS, max_running=10), names=("a",))
     first = make_offer("p", 0, 80_000)
     cell.offer(first, 0.0)
     cell.done(finish(first), 1.0)
-    assert grants(cell.offer(make_offer("q", 0, 30_000), 1.5)) == {}
-    # The program that holds the memory goes on at once.
-    assert grants(cell.offer(make_offer("p", 1, 81_000), 2.0)) == {"p/1": "a"}
+    assert endpoint_by_grant(cell.offer(make_offer("q", 0, 30_000), 1.5)) == {}
+    # The program that holds the memory continues at once.
+    assert endpoint_by_grant(cell.offer(make_offer("p", 1, 81_000), 2.0)) == {"p/1": "a"}
 
 
-def test_memory_of_a_program_that_ended_is_released_and_given_on() -> None:
+def test_memory_of_an_ended_program_is_released_and_granted_to_the_next() -> None:
     cell = make_cell(attrs.evolve(SETTINGS, max_running=10), names=("a",))
     first = make_offer("p", 0, 80_000)
     cell.offer(first, 0.0)
@@ -110,29 +110,29 @@
     cell.offer(make_offer("q", 0, 30_000), 1.5)
     actions = cell.program_ended("p", 2.0)
     assert [action.program for action in actions if isinstance(action, Release)] == ["p"]
-    assert grants(actions) == {"q/0": "a"}
+    assert endpoint_by_grant(actions) == {"q/0": "a"}
 
 
-def test_a_large_program_is_not_passed_for_ever() -> None:
+def test_a_large_program_does_not_starve() -> None:
     cell = make_cell(attrs.evolve(SETTINGS, max_running=50), names=("a",))
     holders = [make_offer(f"h{number}", 0, 20_000) for number in range(4)]
     for offer in holders:
         cell.offer(offer, 0.0)
     cell.offer(make_offer("large", 0, 60_000), 1.0)
-    assert grants(cell.offer(make_offer("small", 0, 5_000), 2.0)) == {"small/0": "a"}
-    # After ten seconds, what becomes free is kept for the large one.
+    assert endpoint_by_grant(cell.offer(make_offer("small", 0, 5_000), 2.0)) == {"small/0": "a"}
+    # After ten seconds, memory that becomes free is reserved for the large program.
     cell.tick(12.0)
-    assert grants(cell.offer(make_offer("small2", 0, 5_000), 12.5)) == {}
+    assert endpoint_by_grant(cell.offer(make_offer("small2", 0, 5_000), 12.5)) == {}
     granted: dict[str, str] = {}
     for number, offer in enumerate(holders):
-        granted |= grants(cell.done(finish(offer), 13.0 + number))
-        granted |= grants(cell.program_ended(offer.program, 13.0 + number))
+        granted |= endpoint_by_grant(cell.done(finish(offer), 13.0 + number))
+        granted |= endpoint_by_grant(cell.program_ended(offer.program, 13.0 + number))
         if granted:
             break
     assert next(iter(granted)) == "large/0"
 
 
-def test_a_wait_longer_than_patience_is_refused_at_once_with_the_figures() -> None:
+def test_a_predicted_wait_longer_than_patience_is_refused_at_once_with_figures() -> None:
     cell = make_cell(names=("a",))
     cell.estimates.call_s.value = 10.0
     for number in range(2):
@@ -146,7 +146,7 @@
     assert reject.retry_after_s > 0
 
 
-def test_patience_that_runs_out_in_the_queue_is_refused() -> None:
+def test_a_call_is_refused_when_its_patience_runs_out_in_the_queue() -> None:
     cell = make_cell(names=("a",))
     for number in range(2):
         cell.offer(make_offer(f"r{number}"), 0.0)
@@ -160,38 +160,38 @@
 def test_a_leaving_endpoint_gets_no_new_call_and_finishes_its_old_ones() -> None:
     cell = make_cell()
     first = make_offer("p")
-    (endpoint,) = grants(cell.offer(first, 0.0)).values()
+    (endpoint,) = endpoint_by_grant(cell.offer(first, 0.0)).values()
     other = "b" if endpoint == "a" else "a"
     states = [
         attrs.evolve(item, state=ListedEndpointState.LEAVING) if item.name == endpoint else item
-        for item in listed("a", "b")
+        for item in live_endpoints("a", "b")
     ]
     actions = cell.set_endpoints(states, 1.0)
     assert [action.what for action in actions if isinstance(action, Transition)] == ["leaving"]
     cell.done(finish(first), 2.0)
-    placed = [grants(cell.offer(make_offer("p", number), 3.0)) for number in (1, 2)]
+    placed = [endpoint_by_grant(cell.offer(make_offer("p", number), 3.0)) for number in (1, 2)]
     assert placed == [{"p/1": other}, {"p/2": other}]
 
 
-def test_an_endpoint_that_fails_is_ejected_probed_and_taken_back() -> None:
+def test_a_failing_endpoint_is_ejected_probed_and_restored() -> None:
     cell = make_cell(names=("a",))
     transitions: list[str] = []
 
-    def note(actions: list[Action]) -> None:
+    def record_transitions(actions: list[Action]) -> None:
         transitions.extend(item.what for item in actions if isinstance(item, Transition))
 
     for number in range(3):
         offer = make_offer(f"p{number}")
         cell.offer(offer, float(number))
-        note(cell.done(finish(offer, Outcome.FAILED), number + 0.5))
+        record_transitions(cell.done(finish(offer, Outcome.FAILED), number + 0.5))
     assert transitions == ["ejected"]
     waiting = make_offer("q")
-    assert grants(cell.offer(waiting, 3.0)) == {}
+    assert endpoint_by_grant(cell.offer(waiting, 3.0)) == {}
     actions = cell.tick(10.0)
-    note(actions)
-    assert grants(actions) == {"q/0": "a"}
-    assert grants(cell.offer(make_offer("r"), 10.1)) == {}
-    note(cell.done(finish(waiting), 11.0))
+    record_transitions(actions)
+    assert endpoint_by_grant(actions) == {"q/0": "a"}
+    assert endpoint_by_grant(cell.offer(make_offer("r"), 10.1)) == {}
+    record_transitions(cell.done(finish(waiting), 11.0))
     assert transitions == ["ejected", "probing", "live"]
 
 
@@ -202,35 +202,35 @@
     assert reject.code is RefusalCode.NO_ENDPOINT
 
 
-def test_a_dead_owner_holds_no_slot() -> None:
+def test_slots_of_a_dead_owner_are_freed() -> None:
     cell = make_cell(names=("a",))
     for name in ("p", "q"):
         cell.offer(make_offer(name, incarnation="dead"), 0.0)
     cell.offer(make_offer("r", incarnation="alive"), 0.0)
-    assert grants(cell.owner_died("dead", 1.0)) == {"r/0": "a"}
+    assert endpoint_by_grant(cell.owner_died("dead", 1.0)) == {"r/0": "a"}
 
 
 @pytest.mark.parametrize("count", [1, 5, 13, 16])
 def test_a_small_pool_is_one_cell(count: int) -> None:
-    pool = listed(*(f"e{number}" for number in range(count)))
+    pool = live_endpoints(*(f"e{number}" for number in range(count)))
     cell = cell_of("pool", "program", cell_count(count))
     assert endpoints_of(cell, pool) == pool
 
 
-def test_a_large_pool_is_cut_into_cells_that_cover_it_once() -> None:
-    pool = listed(*(f"e{number}" for number in range(630)))
+def test_a_large_pool_is_split_into_disjoint_cells_that_cover_it() -> None:
+    pool = live_endpoints(*(f"e{number}" for number in range(630)))
     cells = {cell_of("pool", item.name, cell_count(630)) for item in pool}
     members = [item.name for cell in cells for item in endpoints_of(cell, pool)]
     assert sorted(members) == sorted(item.name for item in pool)
     assert len(cells) > 70
 
 
-def test_settings_name_the_policies_that_exist() -> None:
+def test_policy_names_in_settings_match_the_policies() -> None:
     assert set(ORDER_NAMES) == set(ORDERS)
     assert set(PLACEMENT_NAMES) == set(PLACEMENTS)
 
 
-def test_retries_are_a_share_of_fresh_calls() -> None:
+def test_retries_are_limited_to_a_share_of_fresh_calls() -> None:
     cell = make_cell(attrs.evolve(SETTINGS, max_running=1000))
     failed = frozenset({"a"})
     rejected = [
@@ -243,12 +243,12 @@
     assert {action.code for action in rejected} == {RefusalCode.ENDPOINT_FAILED}
     for number in range(10):
         cell.offer(make_offer(f"q{number}", 1), 1.0)
-    # Ten fresh calls make two more retries.
+    # Ten fresh calls allow two more retries.
     answers = [cell.offer(make_offer(f"r{number}", 1, avoid=failed), 2.0) for number in range(3)]
     assert [isinstance(actions[0], Reject) for actions in answers] == [False, False, True]
 
 
-def test_the_limit_follows_the_time_between_tokens() -> None:
+def test_the_concurrency_limit_follows_the_time_between_tokens() -> None:
     cell = make_cell(attrs.evolve(SETTINGS, max_running=20), names=("a",))
     view = cell.endpoints_by_name["a"]
 
@@ -262,5 +262,5 @@
     assert view.limit < 6
     low = view.exact_limit
     run_calls(10, 0.02)
-    # A lone call says nothing of a higher limit.
+    # A single call at a time is no evidence for a higher limit.
     assert view.exact_limit == low
--- a/tests/unit/test_charged_time.py
+++ b/tests/unit/test_charged_time.py
@@ -1,4 +1,4 @@
-"""What is counted of the time that something takes."""
+"""Charged time includes blocking and computation, and excludes waits for a processor."""
 
 import asyncio
 import multiprocessing
@@ -8,11 +8,11 @@
 
 from tests.lib.charged_time import charged_time
 
-BLOCKS_S = 0.2
+WORK_S = 0.2
 
 
-def charged(work: Callable[[], object]) -> tuple[float, float]:
-    """Does some work in a loop; returns the time that was counted, and all of it."""
+def charged_and_total_s(work: Callable[[], object]) -> tuple[float, float]:
+    """Runs work in an event loop; returns the charged and the total seconds."""
 
     async def scenario() -> tuple[float, float]:
         async with charged_time() as counted:
@@ -31,38 +31,38 @@
         pass
 
 
-def compute_for_a_while(cores: set[int], seconds: float) -> None:
+def compute_on_cores(cores: set[int], seconds: float) -> None:
     os.sched_setaffinity(0, cores)
     end_s = time.monotonic() + seconds
     while time.monotonic() < end_s:
         pass
 
 
-def test_a_call_that_blocks_is_counted() -> None:
-    counted_s, _ = charged(lambda: time.sleep(BLOCKS_S))
-    assert counted_s >= BLOCKS_S
+def test_a_blocking_call_is_charged() -> None:
+    counted_s, _ = charged_and_total_s(lambda: time.sleep(WORK_S))
+    assert counted_s >= WORK_S
 
 
-def test_a_long_computation_is_counted() -> None:
-    counted_s, _ = charged(lambda: compute(BLOCKS_S))
-    assert counted_s >= BLOCKS_S
+def test_a_long_computation_is_charged() -> None:
+    counted_s, _ = charged_and_total_s(lambda: compute(WORK_S))
+    assert counted_s >= WORK_S
 
 
-def test_waiting_for_a_processor_is_not_counted() -> None:
-    """Beside three others on one core this process has a fourth of it."""
+def test_waiting_for_a_processor_is_not_charged() -> None:
+    """Three other processes on the same core leave this one a quarter of it."""
     before = os.sched_getaffinity(0)
     core = {min(before)}
     context = multiprocessing.get_context("fork")
-    others = [context.Process(target=compute_for_a_while, args=(core, 1.5)) for _ in range(3)]
+    others = [context.Process(target=compute_on_cores, args=(core, 1.5)) for _ in range(3)]
     for other in others:
         other.start()
     try:
         os.sched_setaffinity(0, core)
-        counted_s, took_s = charged(lambda: compute(BLOCKS_S))
+        counted_s, took_s = charged_and_total_s(lambda: compute(WORK_S))
     finally:
         os.sched_setaffinity(0, before)
         for other in others:
             other.terminate()
             other.join()
-    assert took_s >= 2 * (BLOCKS_S + 0.1), "the others left it too much"
-    assert BLOCKS_S <= counted_s <= 0.75 * took_s
+    assert took_s >= 2 * (WORK_S + 0.1), "the other processes did not slow this one down enough"
+    assert WORK_S <= counted_s <= 0.75 * took_s
--- a/tests/unit/test_configuration_proofs.py
+++ b/tests/unit/test_configuration_proofs.py
@@ -1,4 +1,4 @@
-"""A host's proof of its configuration, in virtual time: the store, peers, late answers."""
+"""Freshness proofs of a host's configuration, from the store and from peers, in virtual time."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -23,15 +23,15 @@
 from tests.lib.silent_store import SilentStore, StoreTruth
 from tests.lib.watching_site import Nobody
 
-KEY = "config/main"
+CONFIG_KEY = "config/main"
 BOUNDS = proof_bounds(5.0)
 
 
 class SlowStore(SilentStore):
-    """Answers single reads after a while, or says that it can't; what it says is true at once."""
+    """Answers single reads after a delay, with the state at the time of the request, or fails."""
 
     def __init__(self) -> None:
-        super().__init__(StoreTruth(KEY))
+        super().__init__(StoreTruth(CONFIG_KEY))
         self.answer_s = 0.004
         self.fails = False
         self.revision = 3
@@ -46,18 +46,18 @@
         return stored
 
 
-class OnePeer(Peers):
-    """A peer that vouches for a revision with an age, after a while."""
+class ProofPeer(Peers):
+    """A peer that confirms a revision and its age, after a delay."""
 
     def __init__(self) -> None:
         self.reply = wire.ProofReply()
         self.answer_s = 0.002
-        self.asked = 0
+        self.queries = 0
 
     async def stream(
         self, address: str, method: str, payload: bytes
     ) -> AsyncGenerator[bytes, None]:
-        self.asked += 1
+        self.queries += 1
         reply = encode_message(self.reply)
         await asyncio.sleep(self.answer_s)
         yield reply
@@ -66,26 +66,26 @@
         return
 
 
-class OneHost:
-    """A host that needs proofs, without any task of its own running."""
+class ProvingHost:
+    """A host that needs freshness proofs, without background tasks."""
 
     def __init__(self, tmp_path: Any, bounds: ProofBounds | None = BOUNDS) -> None:
         path = tmp_path / "host.toml"
         path.write_text(settings_text("entry-0", "127.0.0.1"))
         settings: SiteSettings = read_settings(path).ok
         self.store = SlowStore()
-        self.peers = OnePeer()
+        self.peers = ProofPeer()
         self.gossip = Gossip(settings, wire.HostRole.ENTRY)
         self.follower = PrefixFollower(self.store, "config/", lambda: 5.0, Nobody(), self.peers)
         self.proofs = ConfigurationProofs(
-            self.store, KEY, self.follower, self.gossip, self.peers, bounds
+            self.store, CONFIG_KEY, self.follower, self.gossip, self.peers, bounds
         )
         self.proofs.has_accounts = lambda: True
 
 
-def test_a_proof_counts_from_when_the_store_was_asked(tmp_path: Any) -> None:
+def test_the_age_of_a_store_proof_counts_from_the_request(tmp_path: Any) -> None:
     async def scenario() -> None:
-        host = OneHost(tmp_path)
+        host = ProvingHost(tmp_path)
         host.store.answer_s = 0.9
         await host.proofs._ask_store()
         assert 0.9 <= host.proofs.age_s < 0.95
@@ -94,9 +94,9 @@
     run_virtual(scenario())
 
 
-def test_what_a_peer_says_is_as_old_as_it_says_and_the_way_back(tmp_path: Any) -> None:
+def test_the_age_of_a_peer_proof_includes_the_round_trip(tmp_path: Any) -> None:
     async def scenario() -> None:
-        host = OneHost(tmp_path)
+        host = ProvingHost(tmp_path)
         host.follower.revision = 3
         host.peers.reply = wire.ProofReply(3, 1500.0)
         host.peers.answer_s = 0.1
@@ -106,9 +106,9 @@
     run_virtual(scenario())
 
 
-def test_a_proof_of_what_the_host_does_not_know_waits_until_it_does(tmp_path: Any) -> None:
+def test_a_proof_of_an_unknown_revision_counts_once_it_is_known(tmp_path: Any) -> None:
     async def scenario() -> None:
-        host = OneHost(tmp_path)
+        host = ProvingHost(tmp_path)
         host.peers.reply = wire.ProofReply(4, 100.0)
         await host.proofs._ask_peer("127.0.0.2:1")
         assert not host.proofs.may_admit
@@ -118,9 +118,9 @@
     run_virtual(scenario())
 
 
-def test_an_odd_answer_of_a_peer_proves_nothing(tmp_path: Any) -> None:
+def test_malformed_proofs_of_a_peer_are_ignored(tmp_path: Any) -> None:
     async def scenario() -> None:
-        host = OneHost(tmp_path)
+        host = ProvingHost(tmp_path)
         host.follower.revision = 9
         for reply in (
             wire.ProofReply(),
@@ -135,9 +135,9 @@
     run_virtual(scenario())
 
 
-def test_the_store_is_asked_often_enough_and_not_more(tmp_path: Any) -> None:
+def test_the_store_is_read_at_the_renewal_interval(tmp_path: Any) -> None:
     async def scenario() -> None:
-        host = OneHost(tmp_path)
+        host = ProvingHost(tmp_path)
         running = asyncio.create_task(host.proofs.run())
         ages = []
         for _ in range(300):
@@ -150,9 +150,9 @@
     run_virtual(scenario())
 
 
-def test_keys_are_let_in_until_the_bound_and_no_longer(tmp_path: Any) -> None:
+def test_keys_are_admitted_until_shortly_before_the_bound(tmp_path: Any) -> None:
     async def scenario() -> None:
-        host = OneHost(tmp_path)
+        host = ProvingHost(tmp_path)
         running = asyncio.create_task(host.proofs.run())
         await asyncio.sleep(2.0)
         host.store.fails = True
@@ -162,7 +162,7 @@
                 break
             await asyncio.sleep(0.01)
         lasted_s = asyncio.get_running_loop().time() - began_s
-        # Callers are owed service for 0.6 of the bound, and it must end before the bound does.
+        # Service is guaranteed for 0.6 of the bound, and must end before the bound.
         assert 0.6 * 5.0 <= lasted_s < 5.0
         assert not await host.proofs.wait("a1")
         host.store.fails = False
@@ -173,15 +173,15 @@
     run_virtual(scenario())
 
 
-def test_a_request_waits_a_moment_for_a_proof_and_not_where_the_last_try_failed(
+def test_a_request_waits_for_a_proof_unless_the_last_attempt_failed(
     tmp_path: Any,
 ) -> None:
     async def scenario() -> None:
-        host = OneHost(tmp_path)
+        host = ProvingHost(tmp_path)
         loop = asyncio.get_running_loop()
         running = asyncio.create_task(host.proofs.run())
         await asyncio.sleep(0.01)
-        # As after the process stood still for longer than any proof holds.
+        # As after a stall of the process that is longer than any proof is valid.
         host.proofs._proofs.__init__()  # type: ignore[misc]
         began_s = loop.time()
         assert await host.proofs.wait("a1")
@@ -197,9 +197,9 @@
     run_virtual(scenario())
 
 
-def test_without_a_bound_nothing_is_asked(tmp_path: Any) -> None:
+def test_without_a_bound_the_store_is_not_read(tmp_path: Any) -> None:
     async def scenario() -> None:
-        host = OneHost(tmp_path, bounds=None)
+        host = ProvingHost(tmp_path, bounds=None)
         running = asyncio.create_task(host.proofs.run())
         await asyncio.sleep(5.0)
         running.cancel()
--- a/tests/unit/test_connecting_play.py
+++ b/tests/unit/test_connecting_play.py
@@ -1,7 +1,7 @@
-"""How many connections to endpoints a large hall opens, by the hosts that its callers know.
+"""Simulates how many connections to endpoints a large hall opens, by the hosts it advertises.
 
-Real choices of addresses and endpoints, in virtual time: callers draw a host for each request, the
-hall's home chooses the endpoint, and each host keeps its own connections for eight seconds.
+The real choices of addresses and endpoints: callers pick a host for each request, the hall
+coordinator chooses the endpoint, and each host keeps idle connections for eight seconds.
 """
 
 import heapq
@@ -16,24 +16,31 @@
 from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 
 HALL_HOSTS = 35
-KEPT_S = 8.0
-"""0.8 of the ten seconds that endpoints name."""
+IDLE_CONNECTION_S = 8.0
+"""Idle time of connections: 0.8 of the ten seconds that endpoints allow."""
 
-RATE = 80.0
-"""Requests a second of a hall, half of them turns of programs."""
+REQUESTS_PER_S = 80.0
+"""Requests per second of a hall, half of them turns of programs."""
 
-LENGTH_S = 34.0
+DURATION_S = 34.0
 ENGINES, SERVICES = 6, 7
-OWN_ENGINE = 0.7
-"""Turns that go back to the engine of the turn before."""
+SAME_ENGINE_SHARE = 0.7
+"""Share of turns that prefer the engine of the turn before."""
 
-WORK_S = 0.2
+MEAN_REQUEST_S = 0.2
 SLOTS = 6
 
 
 @attrs.frozen
-class Played:
-    """Shares of all requests, the most that one host had a second, and one endpoint at once."""
+class SimulationResult:
+    """The result of a simulation.
+
+    Attributes:
+        opened: share of the requests that opened a connection.
+        refused: share of the requests that went to a lost host.
+        busiest_per_s: requests per second of the busiest host.
+        most_at_once: most concurrent requests at one endpoint.
+    """
 
     opened: float
     refused: float
@@ -48,97 +55,111 @@
     ]
 
 
-def book_of_a_hall() -> EndpointTable:
-    book = EndpointTable("north")
+def hall_table() -> EndpointTable:
+    table = EndpointTable("north")
     for service, count in (("llm", ENGINES), ("app", SERVICES)):
         for number in range(count):
             instance = f"{service}-{number}"
             address = f"127.0.0.1:{number}"
-            book.put(EndpointEntry(instance, service, address, "north", SLOTS, False))
-    return book
+            table.put(EndpointEntry(instance, service, address, "north", SLOTS, False))
+    return table
 
 
-def play(
-    rate: float, told: list[str], lost: frozenset[str] = frozenset(), says_connected: bool = True
-) -> Played:
+def simulate(
+    rate: float,
+    advertised: list[str],
+    lost_hosts: frozenset[str] = frozenset(),
+    prefers_connected: bool = True,
+) -> SimulationResult:
     generator = random.Random(7)
-    book = book_of_a_hall()
+    table = hall_table()
     idle: dict[tuple[str, str], list[float]] = {}
-    ends: list[tuple[float, str, str]] = []
+    completions: list[tuple[float, str, str]] = []
     requests_by_host: dict[str, int] = {}
-    now_s, count, opened, refused, most = 0.0, 0, 0, 0, 0
-    while now_s < LENGTH_S:
+    now_s, count, opened, refused, most_at_once = 0.0, 0, 0, 0, 0
+    while now_s < DURATION_S:
         now_s += generator.expovariate(rate)
         count += 1
-        while ends and ends[0][0] <= now_s:
-            ended_s, host, instance = heapq.heappop(ends)
-            idle.setdefault((host, instance), []).append(ended_s + KEPT_S)
-            book.find(instance).running_here -= 1  # type: ignore[union-attr]
-        host = generator.choice(told)
-        if host in lost:
+        while completions and completions[0][0] <= now_s:
+            ended_s, host, instance = heapq.heappop(completions)
+            idle.setdefault((host, instance), []).append(ended_s + IDLE_CONNECTION_S)
+            table.find(instance).running_here -= 1  # type: ignore[union-attr]
+        host = generator.choice(advertised)
+        if host in lost_hosts:
             refused += 1
             continue
-        wish = PlacementPreference()
+        preference = PlacementPreference()
         is_turn = generator.random() < 0.5
-        if is_turn and generator.random() < OWN_ENGINE:
-            wish = PlacementPreference(
+        if is_turn and generator.random() < SAME_ENGINE_SHARE:
+            preference = PlacementPreference(
                 EndpointIncarnation(f"llm-{generator.randrange(ENGINES)}"), kept_tokens=3000
             )
-        free = {key for (at, key), kept in idle.items() if at == host and kept and kept[-1] > now_s}
-        if says_connected:
-            wish = attrs.evolve(wish, connected=frozenset(free))
-        belief = book.choose("llm" if is_turn else "app", wish, (), now_s)
-        assert belief is not None
-        belief.running_here += 1
-        most = max(most, belief.running_here)
-        kept = idle.setdefault((host, belief.entry.instance), [])
-        while kept and kept[-1] < now_s:
-            kept.pop()
-        if kept:
-            kept.pop()
+        connected_instances = {
+            key
+            for (at, key), idle_until in idle.items()
+            if at == host and idle_until and idle_until[-1] > now_s
+        }
+        if prefers_connected:
+            preference = attrs.evolve(preference, connected=frozenset(connected_instances))
+        state = table.choose("llm" if is_turn else "app", preference, (), now_s)
+        assert state is not None
+        state.running_here += 1
+        most_at_once = max(most_at_once, state.running_here)
+        idle_until = idle.setdefault((host, state.entry.instance), [])
+        while idle_until and idle_until[-1] < now_s:
+            idle_until.pop()
+        if idle_until:
+            idle_until.pop()
         else:
             opened += 1
-        took_s = generator.expovariate(1 / WORK_S)
-        heapq.heappush(ends, (now_s + took_s, host, belief.entry.instance))
+        took_s = generator.expovariate(1 / MEAN_REQUEST_S)
+        heapq.heappush(completions, (now_s + took_s, host, state.entry.instance))
         requests_by_host[host] = requests_by_host.get(host, 0) + 1
-    busiest_per_s = max(requests_by_host.values()) / LENGTH_S
-    return Played(opened / count, refused / count, busiest_per_s, most)
+    busiest_per_s = max(requests_by_host.values()) / DURATION_S
+    return SimulationResult(opened / count, refused / count, busiest_per_s, most_at_once)
 
 
-def told(rate: float) -> list[str]:
+def advertised(rate: float) -> list[str]:
     return addresses_for(hosts_of(rate), "north", "", random.Random(1))
 
 
-def test_few_hosts_that_send_use_their_connections_again() -> None:
-    everybody = play(RATE, [host.address for host in hosts_of(RATE)], says_connected=False)
-    chosen = play(RATE, told(RATE), says_connected=False)
-    print(everybody, chosen)
-    assert everybody.opened > 0.25
-    assert chosen.opened < 0.13
-    assert chosen.busiest_per_s < caller_addresses.REQUESTS_PER_HOST
+def test_fewer_sending_hosts_reuse_more_connections() -> None:
+    all_hosts = simulate(
+        REQUESTS_PER_S, [host.address for host in hosts_of(REQUESTS_PER_S)], prefers_connected=False
+    )
+    few_hosts = simulate(REQUESTS_PER_S, advertised(REQUESTS_PER_S), prefers_connected=False)
+    print(all_hosts, few_hosts)
+    assert all_hosts.opened > 0.25
+    assert few_hosts.opened < 0.13
+    assert few_hosts.busiest_per_s < caller_addresses.REQUESTS_PER_HOST
 
 
-def test_of_equal_endpoints_one_that_is_connected_is_chosen() -> None:
-    everybody = [host.address for host in hosts_of(RATE)]
-    for names in (everybody, told(RATE)):
-        without, with_them = play(RATE, names, says_connected=False), play(RATE, names)
-        print(without, with_them)
-        assert with_them.opened < 0.86 * without.opened
-        assert with_them.most_at_once <= without.most_at_once, "balance comes first"
+def test_of_equal_endpoints_a_connected_one_is_chosen() -> None:
+    all_hosts = [host.address for host in hosts_of(REQUESTS_PER_S)]
+    for names in (all_hosts, advertised(REQUESTS_PER_S)):
+        unaware, aware = (
+            simulate(REQUESTS_PER_S, names, prefers_connected=False),
+            simulate(REQUESTS_PER_S, names),
+        )
+        print(unaware, aware)
+        assert aware.opened < 0.86 * unaware.opened
+        assert aware.most_at_once <= unaware.most_at_once, (
+            "balance takes precedence over open connections"
+        )
 
 
-def test_the_loss_of_every_third_host_meets_no_more_callers_than_before() -> None:
-    all_hosts = [host.address for host in hosts_of(RATE)]
-    lost = frozenset(all_hosts[::3])
-    few = play(RATE, told(RATE), lost)
-    print(play(RATE, all_hosts, lost), few)
-    assert few.refused < 0.5
+def test_the_loss_of_every_third_host_fails_less_than_half_of_requests() -> None:
+    all_hosts = [host.address for host in hosts_of(REQUESTS_PER_S)]
+    lost_hosts = frozenset(all_hosts[::3])
+    few_hosts = simulate(REQUESTS_PER_S, advertised(REQUESTS_PER_S), lost_hosts)
+    print(simulate(REQUESTS_PER_S, all_hosts, lost_hosts), few_hosts)
+    assert few_hosts.refused < 0.5
 
 
 @pytest.mark.parametrize("burst", [2, 3])
-def test_a_burst_is_carried_by_more_hosts_once_it_is_known(burst: int) -> None:
-    known = play(burst * RATE, told(burst * RATE))
-    unknown = play(burst * RATE, told(RATE))
+def test_a_burst_is_spread_over_more_hosts_once_it_is_known(burst: int) -> None:
+    known = simulate(burst * REQUESTS_PER_S, advertised(burst * REQUESTS_PER_S))
+    unknown = simulate(burst * REQUESTS_PER_S, advertised(REQUESTS_PER_S))
     print(known, unknown)
     assert known.busiest_per_s < 1.2 * caller_addresses.REQUESTS_PER_HOST
     assert unknown.busiest_per_s < burst * caller_addresses.REQUESTS_PER_HOST
--- a/tests/unit/test_dense_days.py
+++ b/tests/unit/test_dense_days.py
@@ -1,4 +1,4 @@
-"""Days whose faults overlap operations are drawn the same each time, and do overlap."""
+"""Generated days are reproducible, valid, and their faults overlap operations."""
 
 import tomllib
 
@@ -7,24 +7,26 @@
 
 from tests.dense.days import FAULTS, NEARNESS_S, OPERATIONS, dense_day
 
-AGAIN_S = 3.0
-"""The latest that a fault strikes again."""
+MAX_REPEAT_S = 3.0
+"""The latest repetition of a fault."""
 
 
 @given(st.integers(0, 10**9))
-def test_each_fault_meets_an_operation(seed: int) -> None:
+def test_each_fault_overlaps_an_operation(seed: int) -> None:
     day = dense_day(seed)
     assert day == dense_day(seed)
-    moments = [entry.at for entry in day.plan]
+    operation_times = [entry.at for entry in day.plan]
     for fault in day.faults:
         assert any(
-            moment + min(NEARNESS_S) - 1e-9 <= fault.at <= moment + max(NEARNESS_S) + AGAIN_S
-            for moment in moments
+            operation_at + min(NEARNESS_S) - 1e-9
+            <= fault.at
+            <= operation_at + max(NEARNESS_S) + MAX_REPEAT_S
+            for operation_at in operation_times
         )
 
 
 @given(st.integers(0, 10**9))
-def test_a_day_is_a_file_that_can_be_read(seed: int) -> None:
+def test_a_generated_day_is_a_valid_file(seed: int) -> None:
     day = tomllib.loads(dense_day(seed).toml())["day"][0]
     assert day["seed"] == seed
     assert {entry["kind"] for entry in day["plan"]} <= OPERATIONS.keys()
--- a/tests/unit/test_disk_fence.py
+++ b/tests/unit/test_disk_fence.py
@@ -1,6 +1,6 @@
-"""Budgets hold while the set of disks changes: five orders of events that each need one rule.
+"""Budgets hold while the set of disks changes: five event orders that each need one rule.
 
-Whatever is not delivered is cut off or late; nothing here knows a clock. Drawn orders are in
+The model has no clock: an event that is not delivered is lost or delayed. Random orders are in
 ``test_disk_fence_drawn.py``.
 """
 
@@ -30,7 +30,7 @@
 
 @attrs.define
 class Disk:
-    """One disk: what it holds, and what it knows of the set."""
+    """A disk: its reservations, and the version of the set that it knows."""
 
     me: Member
     version: int = 0
@@ -43,7 +43,7 @@
 
 @attrs.define
 class Reservation:
-    """One turn's reservation under way."""
+    """A pending reservation of one turn."""
 
     attempt: str
     version: int
@@ -53,8 +53,8 @@
     is_decided: bool = False
 
 
-class Fencing:
-    """Hosts and disks that learn of sets at any time, and calls that come in any order."""
+class FencedModel:
+    """A model of hosts and disks that learn of sets at any time, with calls in any order."""
 
     is_fenced = True
 
@@ -84,20 +84,20 @@
 
     def begin_turn(self, entry: str) -> Reservation:
         version = self.version_by_entry[entry]
-        places = replicas_of(PROGRAM, self.sets[version], self.tolerated)
-        needed = reservations_needed(len(places), self.tolerated)
+        replicas = replicas_of(PROGRAM, self.sets[version], self.tolerated)
+        needed = reservations_needed(len(replicas), self.tolerated)
         attempt = f"turn-{next(self.attempts)}"
-        waiting = {member.host for member in places}
+        waiting = {member.host for member in replicas}
         one = Reservation(attempt, version, waiting, needed)
         self.reservations.append(one)
         return one
 
-    def _arrive(self, one: Reservation, host: str) -> None:
+    def _deliver(self, one: Reservation, host: str) -> None:
         disk = self.disk_by_host[host]
         known = self._known(disk.version) if disk.version else KnownSet(0, (), (), self.tolerated)
         verdict = known.verdict(disk.me, PROGRAM, one.version, disk.has_caught_up)
         if self.is_fenced and verdict is not Verdict.TAKEN:
-            return  # It may come again: until then it waits.
+            return  # The host may retry; until then the reservation waits.
         one.waiting.discard(host)
         disk.ledger[one.attempt] = TOKENS
         one.replies.append(dict(disk.ledger))
@@ -107,7 +107,7 @@
             if committed + TOKENS <= BUDGET:
                 self.granted.append(one.attempt)
 
-    # ---- news ----
+    # ---- updates of the set ----
 
     def _learn(self, disk: Disk, version: int) -> None:
         if version <= disk.version:
@@ -141,22 +141,22 @@
         }
         return not self.is_fenced or self._known(self.newest).has_settled(caught_up)
 
-    # ---- what must hold ----
+    # ---- invariant ----
 
-    def the_budget_holds(self) -> None:
+    def check_budget(self) -> None:
         assert len(self.granted) * TOKENS <= BUDGET, self.granted
 
 
-class Unfenced(Fencing):
-    """The same, where disks take whatever comes."""
+class UnfencedModel(FencedModel):
+    """The same model with disks that accept every reservation."""
 
     is_fenced = False
 
 
-class Script:
-    """A model that is led through an order of events; two turns of ten tokens under ten."""
+class EventScript:
+    """Drives a model through one order of events: two turns of ten tokens, a budget of ten."""
 
-    def __init__(self, model: Fencing, tolerated: int, count: int) -> None:
+    def __init__(self, model: FencedModel, tolerated: int, count: int) -> None:
         self.model = model
         model.tolerated = tolerated
         disks = [model._add_disk(f"disk-{n}", HALLS[n % 3]) for n in range(count)]
@@ -169,7 +169,7 @@
         return self.model.disk_by_host[host]
 
     def change(self, *hosts: str) -> None:
-        """The set's next version, where it may change."""
+        """Proposes the next version of the set; ignored until the current one has settled."""
         if self.model._has_settled():
             self.model.sets.append(tuple(self.disk(host).me for host in hosts))
 
@@ -186,15 +186,15 @@
         one = self.model.begin_turn("entry-1")
         for host in hosts:
             if host in one.waiting:
-                self.model._arrive(one, host)
+                self.model._deliver(one, host)
 
     def wipe(self, host: str) -> None:
         self.model._add_disk(host, self.disk(host).me.hall)
 
 
-def quorums_of_two_sets(model: Fencing) -> None:
-    """One host counts by the set before a change, one by the set after it."""
-    script = Script(model, 1, 3)
+def quorums_of_two_versions(model: FencedModel) -> None:
+    """One host counts a quorum of the set before a change, another one of the set after it."""
+    script = EventScript(model, 1, 3)
     model._add_disk("disk-new", "north")
     script.learn("disk-new")
     script.copy("disk-new", "disk-1", "disk-2")
@@ -204,9 +204,9 @@
     script.reserve(2, "disk-2", "disk-new")
 
 
-def an_old_quorum_behind_a_new_one(model: Fencing) -> None:
-    """The newcomer has caught up and serves; then a host of before counts by the old set."""
-    script = Script(model, 1, 3)
+def old_quorum_after_a_new_one(model: FencedModel) -> None:
+    """A new disk has caught up and serves; then an outdated host counts by the old set."""
+    script = EventScript(model, 1, 3)
     model._add_disk("disk-new", "north")
     script.learn("disk-new")
     script.copy("disk-new", "disk-1", "disk-2")
@@ -217,32 +217,32 @@
     script.reserve(1, "disk-0", "disk-1")
 
 
-def an_empty_disk_under_an_old_name(model: Fencing) -> None:
-    """A disk loses its folder and answers before it has joined again."""
-    script = Script(model, 1, 3)
+def wiped_disk_under_its_old_name(model: FencedModel) -> None:
+    """A disk loses its data and answers before it has rejoined the set."""
+    script = EventScript(model, 1, 3)
     script.reserve(1, "disk-0", "disk-1")
     script.wipe("disk-0")
     script.learn("disk-0")
     script.reserve(1, "disk-0", "disk-2")
 
 
-def two_changes_on_end(model: Fencing) -> None:
-    """The set changes twice before anybody has caught up with the first change."""
-    script = Script(model, 1, 3)
+def two_consecutive_changes(model: FencedModel) -> None:
+    """The set changes twice before any disk has caught up with the first change."""
+    script = EventScript(model, 1, 3)
     script.reserve(1, "disk-0", "disk-1")
-    for number, staying in enumerate([("disk-1", "disk-2"), ("disk-2", "disk-new-0")]):
+    for number, remaining in enumerate([("disk-1", "disk-2"), ("disk-2", "disk-new-0")]):
         host = f"disk-new-{number}"
         model._add_disk(host, HALLS[number])
-        script.change(*staying, host)
+        script.change(*remaining, host)
         script.learn("disk-2", *(one for one in model.disk_by_host if one.startswith("disk-new")))
     script.copy("disk-new-1", "disk-2", "disk-new-0")
     script.copy("disk-new-0", "disk-2", "disk-new-1")
     script.reserve(model.newest, "disk-2", "disk-new-0", "disk-new-1")
 
 
-def a_set_that_shrinks(model: Fencing) -> None:
-    """Two of five disks leave one after the other; two may be lost at once."""
-    script = Script(model, 2, 5)
+def shrinking_set(model: FencedModel) -> None:
+    """Two of five disks leave one after the other, with two losses tolerated at once."""
+    script = EventScript(model, 2, 5)
     script.reserve(1, "disk-0", "disk-1", "disk-2")
     script.change("disk-1", "disk-2", "disk-3", "disk-4")
     script.learn("disk-1", "disk-2", "disk-3", "disk-4")
@@ -254,34 +254,36 @@
 
 
 @pytest.mark.parametrize(
-    "story",
+    "play_events",
     [
-        quorums_of_two_sets,
-        an_old_quorum_behind_a_new_one,
-        an_empty_disk_under_an_old_name,
-        two_changes_on_end,
+        quorums_of_two_versions,
+        old_quorum_after_a_new_one,
+        wiped_disk_under_its_old_name,
+        two_consecutive_changes,
     ],
 )
-def test_without_the_fence_two_quorums_miss_each_other(story: Callable[[Fencing], None]) -> None:
-    unfenced = Unfenced()
-    story(unfenced)
+def test_without_the_fence_two_quorums_exceed_the_budget(
+    play_events: Callable[[FencedModel], None],
+) -> None:
+    unfenced = UnfencedModel()
+    play_events(unfenced)
     with pytest.raises(AssertionError, match=r"turn-1.*turn-2"):
-        unfenced.the_budget_holds()
-    fenced = Fencing()
-    story(fenced)
-    fenced.the_budget_holds()
-    assert fenced.granted, "one of the two is served"
+        unfenced.check_budget()
+    fenced = FencedModel()
+    play_events(fenced)
+    fenced.check_budget()
+    assert fenced.granted, "one of the two turns is granted"
 
 
-def test_in_a_set_that_has_shrunk_a_majority_is_not_enough() -> None:
-    fenced = Fencing()
-    a_set_that_shrinks(fenced)
+def test_a_majority_of_a_shrunken_set_is_not_enough() -> None:
+    fenced = FencedModel()
+    shrinking_set(fenced)
     assert fenced.granted == ["turn-1"]
 
 
-def test_a_quorum_meets_all_but_the_spare_members() -> None:
+def test_a_quorum_intersects_all_but_the_unread_members() -> None:
     for tolerated, members in itertools.product(range(4), range(1, 10)):
-        placed = min(members, 2 * tolerated + 1)
-        needed = reservations_needed(placed, tolerated)
+        replica_count = min(members, 2 * tolerated + 1)
+        needed = reservations_needed(replica_count, tolerated)
         assert unread_members_allowed(members, tolerated) < needed
-        assert needed + placed - unread_members_allowed(members, tolerated) > placed
+        assert needed + replica_count - unread_members_allowed(members, tolerated) > replica_count
--- a/tests/unit/test_disk_fence_drawn.py
+++ b/tests/unit/test_disk_fence_drawn.py
@@ -1,7 +1,7 @@
-"""Budgets hold and acknowledged turns are found while the set of disks changes, in drawn orders.
+"""Budgets hold and acknowledged turns are found while the set of disks changes, in random orders.
 
-What is drawn leads to odd states in few steps: a cut of any hosts, two turns under way, one step of
-a disk towards another set; and rules by which all heals, so that the next odd state is near.
+Few steps lead to rare states: partitions of any hosts, concurrent turns, single changes of the
+set. Rules that heal the site make the next rare state reachable.
 """
 
 import itertools
@@ -27,24 +27,24 @@
 SUBSETS = [
     frozenset(itertools.compress(HOSTS, bits)) for bits in itertools.product((0, 1), repeat=6)
 ]
-SOME_HOSTS = st.sampled_from(SUBSETS + [frozenset(HOSTS)] * 32)
-CUTS = st.sampled_from(
+HOST_SUBSETS = st.sampled_from(SUBSETS + [frozenset(HOSTS)] * 32)
+PARTITIONS = st.sampled_from(
     [frozenset(cut) for size in range(4) for cut in itertools.combinations(NAMES, size)]
     + [frozenset()] * 20
 )
 PICK = st.sampled_from(range(60))
-SOME_ENTRIES = st.sampled_from([(), ENTRIES[:1], ENTRIES[1:], ENTRIES])
+ENTRY_SUBSETS = st.sampled_from([(), ENTRIES[:1], ENTRIES[1:], ENTRIES])
 ORDER = st.permutations(HOSTS)
 ENTRY = st.sampled_from(ENTRIES)
 PACE = st.sampled_from(["heard", "heard", "heard", "answer is late", "write is slow"])
-ACTS = ["joins", "joins", "starts again", "comes"]
-ASKS_OF_A_TURN = 3
+DISK_ACTIONS = ["joins", "joins", "starts again", "comes"]
+TURN_TRIES = 3
 CHANGE_TRIES = 2
-"""A change that met another one takes that one in first."""
+"""A change that conflicts with another one applies that one first, then retries."""
 
 Start = tuple[int, int, int]
 STARTS: list[Start] = [(1, 3, 1), (1, 4, 0), (1, 5, 0), (2, 3, 0), (2, 5, 0), (2, 4, 0)]
-"""Disks that may be lost at once, members of the set, and disks beside it. Some have shrunk."""
+"""Initial sites: tolerated losses, members of the set, disks outside of it. Some have shrunk."""
 
 SETTINGS = settings(
     max_examples=50,
@@ -56,7 +56,7 @@
 
 
 class Drawn(RuleBasedStateMachine):
-    """One site; no more disks are lost at once than is tolerated."""
+    """A site that never loses more disks at once than it tolerates."""
 
     turns = Bundle("turns")
 
@@ -67,17 +67,17 @@
         self.lost: set[str] = set()
 
     @initialize(order=ORDER)
-    def begin(self, order: list[str]) -> None:
+    def set_up_site(self, order: list[str]) -> None:
         self.site = Site(*self.start)
         self._spend(ENTRIES[0], order)
 
     @rule(entry=ENTRY, order=ORDER)
-    def another_program_spends_its_budget(self, entry: str, order: list[str]) -> None:
-        """What was known of the former one matters no more."""
+    def spend_budget_of_next_program(self, entry: str, order: list[str]) -> None:
+        """Turns of the former program are forgotten."""
         self._spend(entry, order)
 
     def _spend(self, entry: str, order: list[str]) -> None:
-        """Just as many disks as are needed know of it, those that come first."""
+        """Grants one turn, which only the first disks of ``order`` that are needed know of."""
         self.site.forget_turns()
         turn = self.site.begin(entry)
         for host in order:
@@ -90,11 +90,11 @@
 
     # ---- turns ----
 
-    @rule(entry=ENTRY, hosts=SOME_HOSTS)
-    def a_turn_is_played(self, entry: str, hosts: frozenset[str]) -> None:
-        """Whoever is behind is told, and the turn asks again; without a decision it gives up."""
+    @rule(entry=ENTRY, hosts=HOST_SUBSETS)
+    def run_turn(self, entry: str, hosts: frozenset[str]) -> None:
+        """Outdated hosts and disks learn of the set between retries; an undecided turn gives up."""
         turn = self.site.begin(entry)
-        for _ in range(ASKS_OF_A_TURN):
+        for _ in range(TURN_TRIES):
             self._ask(turn, hosts)
         if turn.is_granted:
             self.site.end(turn, hosts)
@@ -106,21 +106,21 @@
         self.site.answer(turn)
         self.site.hear(turn)
 
-    @rule(target=turns, entry=ENTRY, hosts=SOME_HOSTS, pace=PACE)
-    def a_slow_turn_begins(self, entry: str, hosts: frozenset[str], pace: str) -> Several[Turn]:
-        return self._go_on(self.site.begin(entry), hosts, pace)
+    @rule(target=turns, entry=ENTRY, hosts=HOST_SUBSETS, pace=PACE)
+    def begin_slow_turn(self, entry: str, hosts: frozenset[str], pace: str) -> Several[Turn]:
+        return self._continue_turn(self.site.begin(entry), hosts, pace)
 
-    @rule(target=turns, turn=consumes(turns), hosts=SOME_HOSTS, pace=PACE)
-    def a_slow_turn_goes_on(self, turn: Turn, hosts: frozenset[str], pace: str) -> Several[Turn]:
-        return self._go_on(turn, hosts, pace)
+    @rule(target=turns, turn=consumes(turns), hosts=HOST_SUBSETS, pace=PACE)
+    def continue_slow_turn(self, turn: Turn, hosts: frozenset[str], pace: str) -> Several[Turn]:
+        return self._continue_turn(turn, hosts, pace)
 
-    def _go_on(self, turn: Turn, hosts: frozenset[str], pace: str) -> Several[Turn]:
+    def _continue_turn(self, turn: Turn, hosts: frozenset[str], pace: str) -> Several[Turn]:
         if turn.is_over:
             return multiple()
         if turn.is_granted:
             self.site.end(turn, hosts)
             return multiple() if turn.is_over else multiple(turn)
-        # What was under way from the step before arrives first.
+        # Messages of the step before arrive first.
         self.site.hear(turn)
         self.site.answer(turn)
         if turn.is_granted:
@@ -132,42 +132,42 @@
             self.site.hear(turn)
         return multiple() if turn.is_over else multiple(turn)
 
-    @rule(turn=consumes(turns), hosts=SOME_HOSTS)
-    def a_slow_turn_uses_nothing(self, turn: Turn, hosts: frozenset[str]) -> None:
+    @rule(turn=consumes(turns), hosts=HOST_SUBSETS)
+    def return_tokens_of_slow_turn(self, turn: Turn, hosts: frozenset[str]) -> None:
         if not turn.copies and not turn.is_over:
             self.site.settle(turn, hosts)
 
-    # ---- cuts and news ----
+    # ---- partitions and updates of the set ----
 
-    @rule(away=CUTS)
-    def hosts_are_cut_off(self, away: frozenset[str]) -> None:
+    @rule(away=PARTITIONS)
+    def partition_hosts(self, away: frozenset[str]) -> None:
         self.site.away = away
 
-    @rule(hosts=SOME_HOSTS, entries=SOME_ENTRIES)
-    def news_spreads(self, hosts: frozenset[str], entries: tuple[str, ...]) -> None:
+    @rule(hosts=HOST_SUBSETS, entries=ENTRY_SUBSETS)
+    def update_known_sets(self, hosts: frozenset[str], entries: tuple[str, ...]) -> None:
         for name in (*sorted(hosts), *entries):
             self.site.tell(name)
 
-    @rule(hosts=SOME_HOSTS)
-    def disks_copy(self, hosts: frozenset[str]) -> None:
+    @rule(hosts=HOST_SUBSETS)
+    def copy_disks(self, hosts: frozenset[str]) -> None:
         for disk in self.site.at(sorted(hosts)):
             self.site.copy_from_all(disk)
             if disk.is_retired:
                 self.site.hand_over(disk)
-        self._count_lost()
+        self._update_lost()
 
     @rule(rounds=st.integers(1, 2))
-    def all_is_well_for_a_while(self, rounds: int) -> None:
-        self.all_pass_a_while(rounds)
+    def all_hosts_recover(self, rounds: int) -> None:
+        self._recover_all(rounds)
 
-    def all_pass_a_while(self, rounds: int) -> None:
-        """Long enough for disks that can't catch up to serve all the same."""
+    def _recover_all(self, rounds: int) -> None:
+        """Waits until even disks that can't catch up serve."""
         self.site.away = ()
         for _ in range(rounds):
-            self._pass_a_while()
-        self._pass_a_while()
+            self._run_healthy_round()
+        self._run_healthy_round()
 
-    def _pass_a_while(self) -> None:
+    def _run_healthy_round(self) -> None:
         for disk in self.site.disks:
             self.site.join(disk)
         for name in NAMES:
@@ -178,21 +178,21 @@
             disk.fence.wait()
             if disk.is_retired:
                 self.site.hand_over(disk)
-        self._count_lost()
+        self._update_lost()
 
     # ---- changes of the set ----
 
     @rule(pick=PICK, may_wait=st.booleans())
-    def a_disk_leaves(self, pick: int, may_wait: bool) -> None:
-        disk = self._picked(pick)
+    def retire_disk(self, pick: int, may_wait: bool) -> None:
+        disk = self._pick_disk(pick)
         for _ in range(CHANGE_TRIES):
             self.site.retire(disk, may_wait)
 
-    @rule(pick=PICK, act=st.sampled_from(ACTS))
-    def a_disk_acts(self, pick: int, act: str) -> None:
+    @rule(pick=PICK, act=st.sampled_from(DISK_ACTIONS))
+    def act_on_disk(self, pick: int, act: str) -> None:
         if act == "comes":
-            self._a_new_disk_comes()
-        for disk in [self._picked(pick)]:
+            self._add_new_disk()
+        for disk in [self._pick_disk(pick)]:
             if act == "starts again":
                 self.site.restart(disk)
             else:
@@ -200,8 +200,8 @@
                     self.site.copy_from_all(disk)
                     self.site.join(disk)
 
-    @rule(pick=PICK, entries=SOME_ENTRIES, hosts=SOME_HOSTS, order=ORDER, spends=st.booleans())
-    def a_silent_disk_is_dropped(
+    @rule(pick=PICK, entries=ENTRY_SUBSETS, hosts=HOST_SUBSETS, order=ORDER, spends=st.booleans())
+    def drop_silent_disk(
         self,
         pick: int,
         entries: tuple[str, ...],
@@ -209,8 +209,8 @@
         order: list[str],
         spends: bool,
     ) -> None:
-        """It stays cut off, maybe with a host beside it; some of the others hear of the change."""
-        host = self._picked(pick).me.host
+        """Partitions a disk, maybe with entry hosts; some of the others learn of the change."""
+        host = self._pick_disk(pick).me.host
         self.site.away = (host, *entries)
         before = self.site.newest
         for disk in self.site.disks:
@@ -223,33 +223,33 @@
         if spends:
             self._spend(ENTRIES[1], order)
 
-    def _picked(self, pick: int) -> Disk:
-        """Returns one of the disks, more often one that knows of the last turn."""
-        knowing = self.site.knowing_last()
-        pool = [*self.site.disks, *knowing, *knowing]
+    def _pick_disk(self, pick: int) -> Disk:
+        """Returns a disk, more often one that knows of the last turn."""
+        knowing_disks = self.site.knowing_last()
+        pool = [*self.site.disks, *knowing_disks, *knowing_disks]
         return pool[pick % len(pool)]
 
-    def _a_new_disk_comes(self) -> None:
+    def _add_new_disk(self) -> None:
         new = [host for host in HOSTS if host not in self.site.disk_by_host]
         if new:
             self.site.add_disk(new[0])
 
     # ---- losses ----
 
-    @rule(picks=st.tuples(PICK, PICK), is_told=st.booleans(), passes=st.booleans())
-    def disks_are_lost(self, picks: tuple[int, ...], is_told: bool, passes: bool) -> None:
-        """They come back empty under their names, and may have time to join again."""
-        for host in sorted({self._picked(pick).me.host for pick in picks}):
+    @rule(picks=st.tuples(PICK, PICK), is_notified=st.booleans(), may_recover=st.booleans())
+    def lose_disks(self, picks: tuple[int, ...], is_notified: bool, may_recover: bool) -> None:
+        """Disks return empty under their names, and may have time to rejoin."""
+        for host in sorted({self._pick_disk(pick).me.host for pick in picks}):
             if len(self.lost | {host}) <= self.site.tolerated:
                 self.lost.add(host)
                 self.site.add_disk(host)
-                if is_told:
+                if is_notified:
                     self.site.tell(host)
-        if passes:
-            self.all_pass_a_while(2)
+        if may_recover:
+            self._recover_all(2)
 
-    def _count_lost(self) -> None:
-        """A disk is lost no more once no member stands for it that all others have made up for."""
+    def _update_lost(self) -> None:
+        """Losses no longer count once all members exist and have caught up."""
         newest = self.site.newest
         members = self.site.at(member.host for member in newest.members)
         generations = {disk.me.generation for disk in members}
@@ -258,20 +258,20 @@
         ):
             self.lost.clear()
 
-    # ---- what must hold ----
+    # ---- invariants ----
 
     @invariant()
-    def the_budget_holds(self) -> None:
+    def spent_tokens_stay_within_budget(self) -> None:
         granted = [turn.attempt for turn in self.site.turns if turn.is_granted and turn.tokens]
         assert self.site.committed() <= BUDGET, granted
 
     @invariant()
-    def no_quorum_misses_what_was_granted(self) -> None:
+    def no_quorum_would_overspend(self) -> None:
         for version, hosts in self.site.overspending():
             raise AssertionError(f"under version {version} {hosts} would overspend")
 
     @invariant()
-    def what_was_acknowledged_is_found(self) -> None:
+    def turns_are_found_once_acknowledged(self) -> None:
         for turn in self.site.turns:
             if turn.is_acknowledged:
                 assert self.site.holders(turn), turn.attempt
@@ -279,10 +279,10 @@
                 assert not unknown_at, turn.attempt
 
 
-def machine_at(start: Start) -> type[Drawn]:
+def machine_for(start: Start) -> type[Drawn]:
     return type("DrawnAt", (Drawn,), {"start": start})
 
 
 @pytest.mark.parametrize("start", STARTS)
 def test_budgets_hold_while_the_set_changes(start: Start) -> None:
-    run_state_machine_as_test(machine_at(start), settings=SETTINGS)
+    run_state_machine_as_test(machine_for(start), settings=SETTINGS)
--- a/tests/unit/test_disk_reach.py
+++ b/tests/unit/test_disk_reach.py
@@ -1,16 +1,16 @@
-"""When a host believes that it is cut off from the disks."""
+"""When a host treats itself as partitioned from the disks."""
 
 from bayhinge._internal.decisions.disk_reachability import DiskReachability
 
 
-def test_more_silent_disks_than_may_be_lost_speak_of_a_cut_until_one_answers() -> None:
-    reach = DiskReachability(tolerated=2)
+def test_more_silent_disks_than_tolerated_mean_a_partition_until_one_answers() -> None:
+    reachability = DiskReachability(tolerated=2)
     for disk in ("one", "two", "two", "one"):
-        reach.record_silence(disk)
-    assert not reach.is_cut_off, "two disks may be lost by themselves"
-    reach.record_silence("three")
-    assert reach.is_cut_off
-    reach.record_answer()
-    assert not reach.is_cut_off
-    reach.record_silence("three")
-    assert not reach.is_cut_off
+        reachability.record_silence(disk)
+    assert not reachability.is_cut_off, "two lost disks are tolerated"
+    reachability.record_silence("three")
+    assert reachability.is_cut_off
+    reachability.record_answer()
+    assert not reachability.is_cut_off
+    reachability.record_silence("three")
+    assert not reachability.is_cut_off
--- a/tests/unit/test_disk_sets.py
+++ b/tests/unit/test_disk_sets.py
@@ -1,4 +1,4 @@
-"""How disks change the set of disks when many do so at once."""
+"""Concurrent changes of the disk set."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,11 +11,11 @@
 from bayhinge.coordination.errors import AlreadyExistsError, VersionConflictError
 from bayhinge.coordination.store import Change, Listing, ObjectStore, StoredObject
 
-ANSWER_S = 0.004
+CALL_S = 0.004
 
 
 class SlowStore(ObjectStore):
-    """Keeps one object; each call takes as long as the platform's do."""
+    """A store of one object, with the latency of the platform's store."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -23,7 +23,7 @@
 
     async def _pass_time(self) -> None:
         self.calls += 1
-        await asyncio.sleep(ANSWER_S)
+        await asyncio.sleep(CALL_S)
 
     async def get(self, key: str) -> StoredObject | None:
         await self._pass_time()
@@ -53,14 +53,14 @@
         raise NotImplementedError
 
 
-def test_disks_that_join_together_do_not_meet_as_often_as_there_are_pairs_of_them() -> None:
-    disks = 24
+def test_many_disks_that_join_at_once_need_few_retries() -> None:
+    disk_count = 24
 
     async def scenario() -> tuple[int, int, float]:
         store = SlowStore()
         members = [
             DiskMember(f"disk-{number}", number, f"10.0.0.{number}:1", "north")
-            for number in range(disks)
+            for number in range(disk_count)
         ]
         began_s = asyncio.get_running_loop().time()
         await asyncio.gather(
@@ -73,8 +73,8 @@
         disk_set = await read_disk_set(store)
         return len(disk_set.members) if disk_set else 0, store.calls, took_s
 
-    joined, calls, took_s = run_virtual(scenario())
-    assert joined == disks
-    # 600 calls where each tries again at once.
+    member_count, calls, took_s = run_virtual(scenario())
+    assert member_count == disk_count
+    # Immediate retries would take 600 calls.
     assert calls <= 250
     assert took_s <= 5.0
--- a/tests/unit/test_endpoint_book.py
+++ b/tests/unit/test_endpoint_book.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to."""
+"""The choice of an endpoint for a request."""
 
 from bayhinge._internal.decisions.endpoint_table import (
     FIRST_EJECTION_S,
@@ -16,176 +16,194 @@
     return EndpointEntry(instance, "app", f"10.0.0.1:{len(instance)}", hall, slots, leaving)
 
 
-def book_of(*entries: EndpointEntry) -> EndpointTable:
-    book = EndpointTable("north")
+def table_of(*entries: EndpointEntry) -> EndpointTable:
+    table = EndpointTable("north")
     for one in entries:
-        book.put(one)
-    return book
+        table.put(one)
+    return table
 
 
-def at(instance: str, born_ms: int | None = None) -> EndpointIncarnation:
+def incarnation(instance: str, born_ms: int | None = None) -> EndpointIncarnation:
     return EndpointIncarnation(instance, born_ms)
 
 
-def believed(book: EndpointTable, instance: str) -> EndpointState:
-    belief = book.find(instance)
-    assert belief is not None
-    return belief
+def state_of(table: EndpointTable, instance: str) -> EndpointState:
+    state = table.find(instance)
+    assert state is not None
+    return state
 
 
-def chosen(
-    book: EndpointTable, wish: PlacementPreference | None = None, tried: tuple[str, ...] = ()
+def chosen_endpoint(
+    table: EndpointTable, preference: PlacementPreference | None = None, tried: tuple[str, ...] = ()
 ) -> str | None:
-    belief: EndpointState | None = book.choose("app", wish or PlacementPreference(), tried, 100.0)
-    return None if belief is None else belief.entry.instance
+    state: EndpointState | None = table.choose(
+        "app", preference or PlacementPreference(), tried, 100.0
+    )
+    return None if state is None else state.entry.instance
 
 
-def test_the_least_loaded_endpoint_is_chosen_and_the_own_hall_while_it_has_room() -> None:
-    book = book_of(entry("a", "south"), entry("b"), entry("c"))
-    assert chosen(book) == "b"
-    book.apply_peer_loads({"b": 1, "c": 2})
-    assert chosen(book) == "b", "one request of ten slots is less than the way between halls costs"
-    book.apply_peer_loads({"b": 2, "c": 2})
-    assert chosen(book) == "a"
-    book.apply_peer_loads({"a": 1, "b": 2, "c": 2})
-    assert chosen(book) == "b"
+def test_the_least_loaded_endpoint_is_chosen_with_a_preference_for_the_own_hall() -> None:
+    table = table_of(entry("a", "south"), entry("b"), entry("c"))
+    assert chosen_endpoint(table) == "b"
+    table.apply_peer_loads({"b": 1, "c": 2})
+    assert chosen_endpoint(table) == "b", (
+        "a load of one request in ten slots is below the cost of crossing halls"
+    )
+    table.apply_peer_loads({"b": 2, "c": 2})
+    assert chosen_endpoint(table) == "a"
+    table.apply_peer_loads({"a": 1, "b": 2, "c": 2})
+    assert chosen_endpoint(table) == "b"
 
 
-def test_shared_parts_gather_in_each_hall_while_the_load_is_even() -> None:
+def test_requests_with_a_shared_part_stay_at_one_local_endpoint_while_loads_are_similar() -> None:
     names = [f"{hall}-{number}" for hall in ("north", "south") for number in range(4)]
-    book = book_of(*(entry(name, name[:5], 10) for name in names))
-    wish = PlacementPreference(shared_part="rules")
-    first = chosen(book, wish)
+    table = table_of(*(entry(name, name[:5], 10) for name in names))
+    preference = PlacementPreference(shared_part="rules")
+    first = chosen_endpoint(table, preference)
     assert first is not None and first.startswith("north")
-    book.apply_peer_loads({first: 1})
-    assert chosen(book, wish) == first, "a read part is worth one request of ten slots"
-    book.apply_peer_loads({first: 2})
-    second = chosen(book, wish)
+    table.apply_peer_loads({first: 1})
+    assert chosen_endpoint(table, preference) == first, (
+        "a cached part outweighs a load of one request in ten slots"
+    )
+    table.apply_peer_loads({first: 2})
+    second = chosen_endpoint(table, preference)
     assert second is not None and second.startswith("north") and second != first
 
 
-def test_what_is_leaving_or_tried_gets_nothing() -> None:
-    book = book_of(entry("a", leaving=True), entry("b"), entry("c"))
-    assert chosen(book, tried=("b",)) == "c"
-    assert chosen(book, tried=("b", "c")) is None
-
-
-def test_a_failure_rests_an_endpoint_unless_there_is_no_other() -> None:
-    book = book_of(entry("a"), entry("b"))
-    believed(book, "a").record_failure(100.0)
-    assert chosen(book) == "b"
-    assert chosen(book, tried=("b",)) == "a"
-    belief = book.find("a")
-    assert belief is not None
-    assert belief.ejected_until_s == 100.0 + FIRST_EJECTION_S
-    believed(book, "a").record_failure(100.0)
-    assert belief.ejected_until_s == 100.0 + 2 * FIRST_EJECTION_S
-    believed(book, "a").record_success()
-    assert chosen(book) == "a"
-
-
-def test_an_endpoint_whose_entry_vanished_is_the_last_resort() -> None:
-    book = book_of(entry("a"), entry("b"))
-    belief = book.find("a")
-    assert belief is not None
-    belief.is_suspected = True
-    assert chosen(book) == "b"
-    assert chosen(book, tried=("b",)) == "a"
-    assert book.put(entry("a")) is EntryChange.CHANGED
-    assert chosen(book) == "a"
-
-
-def test_a_turn_goes_back_to_its_engine_unless_that_is_much_busier() -> None:
-    book = book_of(entry("a"), entry("b"))
-    book.apply_peer_loads({"b": 1})
-    assert chosen(book, PlacementPreference(at("b"))) == "b"
-    book.apply_peer_loads({"b": 5})
-    assert chosen(book, PlacementPreference(at("b"))) == "a"
-
-
-def test_requests_with_one_shared_part_meet_at_one_engine() -> None:
-    book = book_of(*(entry(name) for name in "abcdef"))
-    first = chosen(book, PlacementPreference(shared_part="policy"))
-    assert {chosen(book, PlacementPreference(shared_part="policy")) for _ in range(5)} == {first}
+def test_leaving_and_tried_endpoints_are_not_chosen() -> None:
+    table = table_of(entry("a", leaving=True), entry("b"), entry("c"))
+    assert chosen_endpoint(table, tried=("b",)) == "c"
+    assert chosen_endpoint(table, tried=("b", "c")) is None
+
+
+def test_a_failure_ejects_an_endpoint_unless_there_is_no_other() -> None:
+    table = table_of(entry("a"), entry("b"))
+    state_of(table, "a").record_failure(100.0)
+    assert chosen_endpoint(table) == "b"
+    assert chosen_endpoint(table, tried=("b",)) == "a"
+    state = table.find("a")
+    assert state is not None
+    assert state.ejected_until_s == 100.0 + FIRST_EJECTION_S
+    state_of(table, "a").record_failure(100.0)
+    assert state.ejected_until_s == 100.0 + 2 * FIRST_EJECTION_S
+    state_of(table, "a").record_success()
+    assert chosen_endpoint(table) == "a"
+
+
+def test_a_suspected_endpoint_is_the_last_resort() -> None:
+    table = table_of(entry("a"), entry("b"))
+    state = table.find("a")
+    assert state is not None
+    state.is_suspected = True
+    assert chosen_endpoint(table) == "b"
+    assert chosen_endpoint(table, tried=("b",)) == "a"
+    assert table.put(entry("a")) is EntryChange.CHANGED
+    assert chosen_endpoint(table) == "a"
+
+
+def test_a_turn_returns_to_its_engine_unless_that_is_much_busier() -> None:
+    table = table_of(entry("a"), entry("b"))
+    table.apply_peer_loads({"b": 1})
+    assert chosen_endpoint(table, PlacementPreference(incarnation("b"))) == "b"
+    table.apply_peer_loads({"b": 5})
+    assert chosen_endpoint(table, PlacementPreference(incarnation("b"))) == "a"
+
+
+def test_requests_with_the_same_shared_part_go_to_one_engine() -> None:
+    table = table_of(*(entry(name) for name in "abcdef"))
+    first = chosen_endpoint(table, PlacementPreference(shared_part="policy"))
+    assert {
+        chosen_endpoint(table, PlacementPreference(shared_part="policy")) for _ in range(5)
+    } == {first}
     assert (
-        len({chosen(book, PlacementPreference(shared_part=f"p{number}")) for number in range(40)})
+        len(
+            {
+                chosen_endpoint(table, PlacementPreference(shared_part=f"p{number}"))
+                for number in range(40)
+            }
+        )
         > 2
     )
 
 
-def test_successes_between_failures_do_not_end_the_rest_of_a_grey_endpoint() -> None:
-    book = book_of(entry("a"), entry("b", "south"))
+def test_single_successes_do_not_end_the_ejection_of_a_partly_failing_endpoint() -> None:
+    table = table_of(entry("a"), entry("b", "south"))
     for _ in range(4):
-        believed(book, "a").record_failure(100.0)
-        believed(book, "a").record_failure(100.0)
-        believed(book, "a").record_success()
-    assert chosen(book) == "b"
+        state_of(table, "a").record_failure(100.0)
+        state_of(table, "a").record_failure(100.0)
+        state_of(table, "a").record_success()
+    assert chosen_endpoint(table) == "b"
     for _ in range(19):
-        believed(book, "a").record_success()
-    assert chosen(book) == "a"
-
-
-def test_complaints_of_other_hosts_move_work_only_while_others_have_room() -> None:
-    book = book_of(entry("a"), entry("b", "south"))
-    belief = book.find("a")
-    assert belief is not None
-    belief.complaints = 4
-    assert chosen(book) == "b"
-    assert chosen(book, PlacementPreference(at("a"))) == "b", "not even for a warm cache"
-    book.apply_peer_loads({"b": 8})
-    assert chosen(book) == "a"
-
-
-def test_a_long_history_is_not_read_again_for_a_few_requests_of_few_slots() -> None:
-    book = book_of(entry("a", slots=6), entry("b", slots=6))
-    book.apply_peer_loads({"b": 5})
-    assert chosen(book, PlacementPreference(at("b"), kept_tokens=6000)) == "b", (
-        "reading it takes longer than waiting"
+        state_of(table, "a").record_success()
+    assert chosen_endpoint(table) == "a"
+
+
+def test_failure_reports_move_work_only_while_other_endpoints_have_free_slots() -> None:
+    table = table_of(entry("a"), entry("b", "south"))
+    state = table.find("a")
+    assert state is not None
+    state.complaints = 4
+    assert chosen_endpoint(table) == "b"
+    assert chosen_endpoint(table, PlacementPreference(incarnation("a"))) == "b", (
+        "also if the endpoint has a warm cache"
+    )
+    table.apply_peer_loads({"b": 8})
+    assert chosen_endpoint(table) == "a"
+
+
+def test_a_long_history_is_not_recomputed_to_avoid_a_small_difference_in_load() -> None:
+    table = table_of(entry("a", slots=6), entry("b", slots=6))
+    table.apply_peer_loads({"b": 5})
+    assert chosen_endpoint(table, PlacementPreference(incarnation("b"), kept_tokens=6000)) == "b", (
+        "recomputing the prompt takes longer than waiting"
     )
-    assert chosen(book, PlacementPreference(at("b"), kept_tokens=1500)) == "a"
-    book.apply_peer_loads({"b": 7})
-    assert chosen(book, PlacementPreference(at("b"), kept_tokens=6000)) == "a"
+    assert chosen_endpoint(table, PlacementPreference(incarnation("b"), kept_tokens=1500)) == "a"
+    table.apply_peer_loads({"b": 7})
+    assert chosen_endpoint(table, PlacementPreference(incarnation("b"), kept_tokens=6000)) == "a"
 
 
-def test_a_turn_whose_engine_is_too_busy_goes_where_its_shared_part_is() -> None:
+def test_a_turn_whose_engine_is_too_busy_goes_to_the_engine_with_its_shared_part() -> None:
     names = [f"{number}" for number in range(6)]
-    book = book_of(*(entry(name, slots=6) for name in names))
-    gathering = chosen(book, PlacementPreference(shared_part="rules", shared_tokens=2500))
-    assert gathering is not None
-    busy = next(name for name in names if name != gathering)
-    book.apply_peer_loads({busy: 9, gathering: 2})
-    assert chosen(book, PlacementPreference(at(busy), "rules", 4000, 2500)) == gathering
-
-
-def test_figures_of_another_hall_move_work_only_where_they_differ_by_more_than_their_delay() -> (
-    None
-):
-    book = book_of(entry("a", slots=6), entry("b", "south", slots=6))
-    book.apply_peer_loads({"a": 2})
-    assert chosen(book) == "a"
-    book.apply_peer_loads({"a": 3})
-    assert chosen(book) == "b"
-
-
-def test_two_complaints_keep_work_from_an_endpoint_that_looks_free_because_it_fails_at_once() -> (
-    None
-):
-    book = book_of(*(entry(name, slots=6) for name in "abc"))
-    belief = book.find("a")
-    assert belief is not None
-    belief.complaints = 2
-    book.apply_peer_loads({"b": 4, "c": 4})
-    assert chosen(book) == "b"
-    assert chosen(book, PlacementPreference(at("a"), kept_tokens=9000)) == "b"
-    book.apply_peer_loads({"b": 11, "c": 11})
-    assert chosen(book) == "a", "where no other has room, it is tried all the same"
-
-
-def test_a_connection_decides_only_between_endpoints_that_are_equal() -> None:
-    book = book_of(entry("a"), entry("b"), entry("c"))
-    wish = PlacementPreference(connected=frozenset({"c"}))
-    assert chosen(book, wish) == "c"
-    belief = book.find("c")
-    assert belief is not None
-    belief.running_here += 1
-    assert chosen(book, wish) == "a", "one request more outweighs a connection"
+    table = table_of(*(entry(name, slots=6) for name in names))
+    shared_endpoint = chosen_endpoint(
+        table, PlacementPreference(shared_part="rules", shared_tokens=2500)
+    )
+    assert shared_endpoint is not None
+    busy = next(name for name in names if name != shared_endpoint)
+    table.apply_peer_loads({busy: 9, shared_endpoint: 2})
+    assert (
+        chosen_endpoint(table, PlacementPreference(incarnation(busy), "rules", 4000, 2500))
+        == shared_endpoint
+    )
+
+
+def test_work_moves_to_another_hall_only_for_a_clear_difference_in_load() -> None:
+    table = table_of(entry("a", slots=6), entry("b", "south", slots=6))
+    table.apply_peer_loads({"a": 2})
+    assert chosen_endpoint(table) == "a"
+    table.apply_peer_loads({"a": 3})
+    assert chosen_endpoint(table) == "b"
+
+
+def test_two_failure_reports_keep_work_from_an_endpoint_that_looks_idle() -> None:
+    table = table_of(*(entry(name, slots=6) for name in "abc"))
+    state = table.find("a")
+    assert state is not None
+    state.complaints = 2
+    table.apply_peer_loads({"b": 4, "c": 4})
+    assert chosen_endpoint(table) == "b"
+    assert chosen_endpoint(table, PlacementPreference(incarnation("a"), kept_tokens=9000)) == "b"
+    table.apply_peer_loads({"b": 11, "c": 11})
+    assert chosen_endpoint(table) == "a", "it is tried if no other endpoint has free slots"
+
+
+def test_an_open_connection_decides_only_between_equal_endpoints() -> None:
+    table = table_of(entry("a"), entry("b"), entry("c"))
+    preference = PlacementPreference(connected=frozenset({"c"}))
+    assert chosen_endpoint(table, preference) == "c"
+    state = table.find("c")
+    assert state is not None
+    state.running_here += 1
+    assert chosen_endpoint(table, preference) == "a", (
+        "a load of one more request outweighs a connection"
+    )
--- a/tests/unit/test_endpoint_starts.py
+++ b/tests/unit/test_endpoint_starts.py
@@ -1,4 +1,4 @@
-"""What is known of one start of an endpoint is neither held for nor against the next one."""
+"""The state of one incarnation of an endpoint does not carry over to the next one."""
 
 from collections.abc import Iterable, Mapping
 from itertools import permutations
@@ -38,28 +38,30 @@
     return EndpointEntry(instance, "app", address, "north", 10, False, born_ms)
 
 
-def book_of(*entries: EndpointEntry) -> EndpointTable:
-    book = EndpointTable("north")
+def table_of(*entries: EndpointEntry) -> EndpointTable:
+    table = EndpointTable("north")
     for one in entries:
-        book.put(one)
-    return book
+        table.put(one)
+    return table
 
 
-def believed(book: EndpointTable, instance: str = "a") -> EndpointState:
-    belief = book.find(instance)
-    assert belief is not None
-    return belief
+def state_of(table: EndpointTable, instance: str = "a") -> EndpointState:
+    state = table.find(instance)
+    assert state is not None
+    return state
 
 
-def chosen(book: EndpointTable, wish: PlacementPreference | None = None) -> str | None:
-    belief = book.choose("app", wish or PlacementPreference(), (), NOW_S)
-    return None if belief is None else belief.entry.instance
+def chosen_endpoint(
+    table: EndpointTable, preference: PlacementPreference | None = None
+) -> str | None:
+    state = table.choose("app", preference or PlacementPreference(), (), NOW_S)
+    return None if state is None else state.entry.instance
 
 
-# ---- the edge ----
+# ---- parsing ----
 
 
-ENTRY: dict[str, object] = {
+ENTRY_OBJECT: dict[str, object] = {
     "service": "app",
     "address": "10.0.0.1:80",
     "zone": "north",
@@ -71,29 +73,31 @@
 }
 
 
-@pytest.mark.parametrize(("said", "born_ms"), [(BORN_MS, BORN_MS), (1, 1), (0, None)])
-def test_the_moment_of_a_start_is_a_whole_number_or_unknown(said: int, born_ms: int | None) -> None:
-    value = orjson.dumps(ENTRY | {"born": said})
+@pytest.mark.parametrize(("reported", "born_ms"), [(BORN_MS, BORN_MS), (1, 1), (0, None)])
+def test_a_start_time_is_an_integer_or_unknown(reported: int, born_ms: int | None) -> None:
+    value = orjson.dumps(ENTRY_OBJECT | {"born": reported})
     assert PlatformObjectReader().read_endpoint("servers/a", value).born_ms == born_ms
 
 
-@pytest.mark.parametrize("said", [None, True, 1.5, "1700000000000", -1, 2**63])
-def test_an_entry_whose_moment_is_of_another_type_names_no_endpoint(said: object) -> None:
+@pytest.mark.parametrize("reported", [None, True, 1.5, "1700000000000", -1, 2**63])
+def test_an_entry_with_a_malformed_start_time_is_unreadable(reported: object) -> None:
     with pytest.raises(UnreadableObjectError, match="born"):
-        PlatformObjectReader().read_endpoint("servers/a", orjson.dumps(ENTRY | {"born": said}))
+        PlatformObjectReader().read_endpoint(
+            "servers/a", orjson.dumps(ENTRY_OBJECT | {"born": reported})
+        )
 
 
-def test_an_entry_that_says_no_start_has_an_unknown_one() -> None:
-    value = orjson.dumps(ENTRY)
+def test_an_entry_without_a_start_time_has_an_unknown_one() -> None:
+    value = orjson.dumps(ENTRY_OBJECT)
     assert PlatformObjectReader().read_endpoint("servers/a", value).start == EndpointIncarnation(
         "a"
     )
 
 
-# ---- the order of starts ----
+# ---- the order of incarnations ----
 
 
-def test_an_unknown_start_is_neither_before_nor_after_another() -> None:
+def test_an_unknown_start_time_is_neither_before_nor_after_another() -> None:
     unknown, known = EndpointIncarnation("a"), EndpointIncarnation("a", BORN_MS)
     assert not unknown.is_after(known)
     assert not known.is_after(unknown)
@@ -103,223 +107,238 @@
     assert not known.may_be(EndpointIncarnation("b", BORN_MS))
 
 
-def test_a_later_start_begins_with_nothing_of_the_former_one() -> None:
-    book = book_of(entry(), entry("b", address="10.0.0.2:80"))
-    former = believed(book)
+def test_a_later_incarnation_begins_with_a_fresh_state() -> None:
+    table = table_of(entry(), entry("b", address="10.0.0.2:80"))
+    former = state_of(table)
     former.running_here, former.running_at_peers, former.complaints = 3, 4, 2
     former.is_suspected = True
     for _ in range(5):
         former.record_failure(NOW_S)
-    assert chosen(book) == "b"
-    assert book.put(entry(born_ms=BORN_MS + 1)) is EntryChange.RESTARTED
-    assert believed(book) is not former
-    assert (believed(book).load, believed(book).effective_load, believed(book).failures) == (
+    assert chosen_endpoint(table) == "b"
+    assert table.put(entry(born_ms=BORN_MS + 1)) is EntryChange.RESTARTED
+    assert state_of(table) is not former
+    assert (state_of(table).load, state_of(table).effective_load, state_of(table).failures) == (
         0,
         0,
         0,
     )
-    assert not believed(book).is_suspected
-    assert not book.resting(NOW_S)
-    assert chosen(book) == "a"
+    assert not state_of(table).is_suspected
+    assert not table.resting(NOW_S)
+    assert chosen_endpoint(table) == "a"
 
 
-def test_what_the_former_start_does_late_is_not_the_next_ones() -> None:
-    book = book_of(entry())
-    former = believed(book)
-    book.put(entry(born_ms=BORN_MS + 1))
+def test_late_results_of_the_former_incarnation_do_not_affect_the_next() -> None:
+    table = table_of(entry())
+    former = state_of(table)
+    table.put(entry(born_ms=BORN_MS + 1))
     former.record_failure(NOW_S)
     former.running_here -= 1
-    assert not book.resting(NOW_S)
-    assert believed(book).running_here == 0
+    assert not table.resting(NOW_S)
+    assert state_of(table).running_here == 0
 
 
-def test_a_start_that_is_seen_late_never_replaces_a_later_one() -> None:
-    book = book_of(entry(born_ms=BORN_MS + 1, address="10.0.0.2:80"))
-    newest = believed(book)
+def test_a_late_entry_never_replaces_a_later_incarnation() -> None:
+    table = table_of(entry(born_ms=BORN_MS + 1, address="10.0.0.2:80"))
+    newest = state_of(table)
     newest.is_suspected = True
-    assert book.put(entry(address="10.0.0.1:80")) is EntryChange.OUTDATED
-    assert believed(book) is newest
+    assert table.put(entry(address="10.0.0.1:80")) is EntryChange.OUTDATED
+    assert state_of(table) is newest
     assert newest.entry.address == "10.0.0.2:80"
-    assert newest.is_suspected, "the later start's own entry has not come back"
+    assert newest.is_suspected, "the entry of the later incarnation has not returned"
 
 
-def test_a_start_that_is_seen_late_does_not_bring_a_gone_endpoint_back() -> None:
-    book = book_of(entry(born_ms=BORN_MS + 1))
-    assert book.remove("a")
-    assert book.put(entry()) is EntryChange.OUTDATED
-    assert book.find("a") is None
-    assert book.put(entry(born_ms=BORN_MS + 1)) is EntryChange.FOUND
-    book.remove("a")
-    assert book.put(entry(born_ms=BORN_MS + 2)) is EntryChange.RESTARTED
-    book.remove("a")
-    book.forget_removed(EndpointIncarnation("a", BORN_MS + 1))
-    assert book.put(entry()) is EntryChange.OUTDATED, "another start's time is not over"
-    book.forget_removed(EndpointIncarnation("a", BORN_MS + 2))
-    assert book.put(entry()) is EntryChange.FOUND
+def test_a_late_entry_does_not_restore_a_removed_endpoint() -> None:
+    table = table_of(entry(born_ms=BORN_MS + 1))
+    assert table.remove("a")
+    assert table.put(entry()) is EntryChange.OUTDATED
+    assert table.find("a") is None
+    assert table.put(entry(born_ms=BORN_MS + 1)) is EntryChange.FOUND
+    table.remove("a")
+    assert table.put(entry(born_ms=BORN_MS + 2)) is EntryChange.RESTARTED
+    table.remove("a")
+    table.forget_removed(EndpointIncarnation("a", BORN_MS + 1))
+    assert table.put(entry()) is EntryChange.OUTDATED, "another incarnation is still remembered"
+    table.forget_removed(EndpointIncarnation("a", BORN_MS + 2))
+    assert table.put(entry()) is EntryChange.FOUND
 
 
-def test_an_entry_without_a_start_changes_no_start_and_is_taken_in() -> None:
-    book = book_of(entry())
-    belief = believed(book)
-    assert book.put(entry(born_ms=None, address="10.0.0.2:80")) is EntryChange.CHANGED
-    assert believed(book) is belief
-    assert belief.entry == entry(address="10.0.0.2:80")
-    assert book.put(entry(born_ms=BORN_MS - 1)) is EntryChange.OUTDATED
+def test_an_entry_without_a_start_time_updates_the_known_incarnation() -> None:
+    table = table_of(entry())
+    state = state_of(table)
+    assert table.put(entry(born_ms=None, address="10.0.0.2:80")) is EntryChange.CHANGED
+    assert state_of(table) is state
+    assert state.entry == entry(address="10.0.0.2:80")
+    assert table.put(entry(born_ms=BORN_MS - 1)) is EntryChange.OUTDATED
 
 
-def test_a_start_that_becomes_known_is_the_one_that_was_unknown() -> None:
-    book = book_of(entry(born_ms=None))
-    belief = believed(book)
-    belief.running_here = 2
-    assert book.put(entry()) is EntryChange.CHANGED
-    assert believed(book) is belief
-    assert belief.running_here == 2
+def test_an_unknown_incarnation_keeps_its_state_when_its_start_time_becomes_known() -> None:
+    table = table_of(entry(born_ms=None))
+    state = state_of(table)
+    state.running_here = 2
+    assert table.put(entry()) is EntryChange.CHANGED
+    assert state_of(table) is state
+    assert state.running_here == 2
 
 
-starts = st.one_of(st.none(), st.integers(BORN_MS, BORN_MS + 4))
+BORN_TIMES_MS = st.one_of(st.none(), st.integers(BORN_MS, BORN_MS + 4))
 
 
-@given(st.data(), st.lists(starts, max_size=12))
-def test_hosts_that_hear_entries_in_any_order_agree_on_the_start(
-    data: st.DataObject, births: list[int | None]
+@given(st.data(), st.lists(BORN_TIMES_MS, max_size=12))
+def test_entries_in_any_order_lead_to_the_same_incarnation(
+    data: st.DataObject, born_times_ms: list[int | None]
 ) -> None:
-    shuffled = data.draw(st.permutations(births))
-    found = [_start_after(order) for order in (births, shuffled, [*births, *shuffled])]
-    known = [born_ms for born_ms in births if born_ms is not None]
+    shuffled = data.draw(st.permutations(born_times_ms))
+    found = [
+        _latest_born_ms(order) for order in (born_times_ms, shuffled, [*born_times_ms, *shuffled])
+    ]
+    known = [born_ms for born_ms in born_times_ms if born_ms is not None]
     assert set(found) == {max(known, default=None)}
 
 
-def _start_after(births: Iterable[int | None]) -> int | None:
-    book = EndpointTable("north")
-    for born_ms in births:
-        book.put(entry(born_ms=born_ms))
-    belief = book.find("a")
-    return None if belief is None else belief.entry.born_ms
+def _latest_born_ms(born_times_ms: Iterable[int | None]) -> int | None:
+    table = EndpointTable("north")
+    for born_ms in born_times_ms:
+        table.put(entry(born_ms=born_ms))
+    state = table.find("a")
+    return None if state is None else state.entry.born_ms
 
 
-def test_twice_within_a_heartbeat_is_one_later_start() -> None:
+def test_two_restarts_in_any_order_lead_to_the_latest_incarnation() -> None:
     for order in permutations((BORN_MS, BORN_MS + 1, BORN_MS + 2)):
-        assert _start_after(order) == BORN_MS + 2
+        assert _latest_born_ms(order) == BORN_MS + 2
 
 
 # ---- addresses ----
 
 
-def test_an_endpoint_whose_address_another_one_has_since_is_a_last_resort() -> None:
-    newcomer = entry("b", BORN_MS + 1)
-    for order in ((entry(), newcomer), (newcomer, entry())):
-        book = book_of(*order)
-        assert [belief.entry.instance for belief in book.replaced_at("10.0.0.1:80")] == ["a"]
-        assert chosen(book) == "b"
-        believed(book, "b").running_here = 1_000
-        assert chosen(book) == "b"
-        book.remove("b")
-        assert chosen(book) == "a", "the other one is gone, and this one's entry is there"
+def test_an_endpoint_whose_address_was_reused_is_the_last_resort() -> None:
+    later = entry("b", BORN_MS + 1)
+    for order in ((entry(), later), (later, entry())):
+        table = table_of(*order)
+        assert [state.entry.instance for state in table.replaced_at("10.0.0.1:80")] == ["a"]
+        assert chosen_endpoint(table) == "b"
+        state_of(table, "b").running_here = 1_000
+        assert chosen_endpoint(table) == "b"
+        table.remove("b")
+        assert chosen_endpoint(table) == "a", (
+            "the other one was removed, and the entry of this one is present"
+        )
 
 
 @pytest.mark.parametrize("born_ms", [None, BORN_MS])
-def test_an_entry_that_may_be_a_copy_displaces_nobody(born_ms: int | None) -> None:
-    book = book_of(entry(), entry("b", born_ms))
-    assert book.replaced_at("10.0.0.1:80") == []
+def test_an_entry_with_the_same_or_no_start_time_replaces_no_endpoint(born_ms: int | None) -> None:
+    table = table_of(entry(), entry("b", born_ms))
+    assert table.replaced_at("10.0.0.1:80") == []
 
 
-def test_an_endpoint_that_started_elsewhere_is_displaced_no_more() -> None:
-    book = book_of(entry(), entry("b", BORN_MS + 1))
-    book.put(entry(born_ms=BORN_MS + 2, address="10.0.0.9:80"))
-    assert book.replaced_at("10.0.0.1:80") == book.replaced_at("10.0.0.9:80") == []
-    assert chosen(book) == "a"
+def test_an_endpoint_that_restarted_elsewhere_is_no_longer_replaced() -> None:
+    table = table_of(entry(), entry("b", BORN_MS + 1))
+    table.put(entry(born_ms=BORN_MS + 2, address="10.0.0.9:80"))
+    assert table.replaced_at("10.0.0.1:80") == table.replaced_at("10.0.0.9:80") == []
+    assert chosen_endpoint(table) == "a"
 
 
-# ---- what a memory holds ----
+# ---- cached prompts ----
 
 
-def test_a_history_that_a_former_start_has_read_draws_no_turn() -> None:
-    book = book_of(entry("a", BORN_MS + 1), entry("b", address="10.0.0.2:80"))
-    book.apply_peer_loads({"a": 2})
+def test_a_prompt_cached_by_a_former_incarnation_attracts_no_turn() -> None:
+    table = table_of(entry("a", BORN_MS + 1), entry("b", address="10.0.0.2:80"))
+    table.apply_peer_loads({"a": 2})
     assert (
-        chosen(book, PlacementPreference(EndpointIncarnation("a", BORN_MS + 1), kept_tokens=20_000))
+        chosen_endpoint(
+            table, PlacementPreference(EndpointIncarnation("a", BORN_MS + 1), kept_tokens=20_000)
+        )
         == "a"
     )
     assert (
-        chosen(book, PlacementPreference(EndpointIncarnation("a", BORN_MS), kept_tokens=20_000))
+        chosen_endpoint(
+            table, PlacementPreference(EndpointIncarnation("a", BORN_MS), kept_tokens=20_000)
+        )
         == "b"
     )
-    assert chosen(book, PlacementPreference(EndpointIncarnation("a"), kept_tokens=20_000)) == "a", (
-        "it may be this one"
-    )
+    assert (
+        chosen_endpoint(table, PlacementPreference(EndpointIncarnation("a"), kept_tokens=20_000))
+        == "a"
+    ), "it may be the same incarnation"
 
 
-# ---- which runs and connections are over ----
+# ---- stale runs and connections ----
 
 
-def contact(opened_s: float, heard_s: float | None = None, address: str = "x") -> Contact:
-    return Contact(address, opened_s, opened_s if heard_s is None else heard_s)
+def connection_times(
+    opened_s: float, received_s: float | None = None, address: str = "x"
+) -> Contact:
+    return Contact(address, opened_s, opened_s if received_s is None else received_s)
 
 
-def test_the_moment_of_a_start_is_found_on_the_steady_clock() -> None:
+def test_a_start_time_is_converted_to_the_monotonic_clock() -> None:
     assert began_s(BORN_MS, BORN_MS + 2_500, NOW_S) == NOW_S - 2.5
     assert began_s(None, BORN_MS, NOW_S) is None
     ahead_ms = int(CLOCK_SKEW_S * 1000) + 1
     assert began_s(BORN_MS + ahead_ms, BORN_MS, NOW_S) is None, "one of the clocks is wrong"
 
 
-def test_a_connection_of_before_the_start_is_over_and_one_of_after_it_is_not() -> None:
+def test_a_connection_opened_before_the_start_is_stale() -> None:
     start = NewIncarnation("x", NOW_S)
-    assert is_over(contact(NOW_S - 1), start)
-    assert not is_over(contact(NOW_S + 1), start)
-    assert belongs_to(contact(NOW_S + 1), start)
-    assert not belongs_to(contact(NOW_S - 1), start)
+    assert is_over(connection_times(NOW_S - 1), start)
+    assert not is_over(connection_times(NOW_S + 1), start)
+    assert belongs_to(connection_times(NOW_S + 1), start)
+    assert not belongs_to(connection_times(NOW_S - 1), start)
 
 
-def test_a_connection_that_was_heard_since_leads_to_the_new_start_whatever_clocks_say() -> None:
+def test_a_connection_that_received_data_since_the_start_is_not_stale() -> None:
     start = NewIncarnation("x", NOW_S)
-    assert not is_over(contact(NOW_S - 1, NOW_S + CLOCK_SKEW_S + 0.1), start)
-    assert is_over(contact(NOW_S - 1, NOW_S + CLOCK_SKEW_S / 2), start), "that proves nothing"
+    assert not is_over(connection_times(NOW_S - 1, NOW_S + CLOCK_SKEW_S + 0.1), start)
+    assert is_over(connection_times(NOW_S - 1, NOW_S + CLOCK_SKEW_S / 2), start), (
+        "this is within the clock skew"
+    )
 
 
-def test_where_clocks_leave_it_open_a_run_goes_on_and_an_idle_connection_is_not_used() -> None:
+def test_within_the_clock_skew_a_run_continues_and_an_idle_connection_is_not_reused() -> None:
     for start, opened_s in (
         (NewIncarnation("x", NOW_S), NOW_S - CLOCK_SKEW_S),
         (NewIncarnation("x", None), NOW_S - 60),
     ):
-        assert not is_over(contact(opened_s), start)
-        assert not belongs_to(contact(opened_s), start)
+        assert not is_over(connection_times(opened_s), start)
+        assert not belongs_to(connection_times(opened_s), start)
 
 
-def test_a_connection_to_another_address_is_over_whatever_clocks_say() -> None:
-    assert is_over(contact(NOW_S + 1), NewIncarnation("y", None))
-    assert not belongs_to(contact(NOW_S + 1), NewIncarnation("y", NOW_S))
+def test_a_connection_to_another_address_is_always_stale() -> None:
+    assert is_over(connection_times(NOW_S + 1), NewIncarnation("y", None))
+    assert not belongs_to(connection_times(NOW_S + 1), NewIncarnation("y", NOW_S))
 
 
-# ---- what other hosts say ----
+# ---- reports of other hosts ----
 
 
-def test_hosts_that_have_not_heard_of_a_start_are_known_by_their_revision() -> None:
+def test_hosts_that_do_not_know_an_incarnation_are_found_by_their_revision() -> None:
     revisions = IncarnationRevisions()
     assert not revisions.not_known_by(0)
     revisions.note("a", 50)
     assert set(revisions.not_known_by(49)) == {"a"}
     assert not revisions.not_known_by(50)
-    assert not revisions.not_known_by(None), "an older host does not say, and counts as before"
+    assert not revisions.not_known_by(None), (
+        "hosts of older versions report no revision, and still count"
+    )
     revisions.forget("a")
     assert not revisions.not_known_by(49)
 
 
-def counted(count_by_endpoint: Mapping[str, int]) -> dict[str, int]:
+def nonzero(count_by_endpoint: Mapping[str, int]) -> dict[str, int]:
     return {endpoint: count for endpoint, count in count_by_endpoint.items() if count}
 
 
-def test_a_home_forgets_loads_complaints_and_grants_of_the_former_start() -> None:
-    board = LoadTable()
-    board.hear(HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S)
-    grant = board.grant("h", "a")
-    board.grant("h", "b")
-    board.forget_endpoint("a")
-    assert counted(board.running_by_endpoint()) == {"b": 2}
-    assert counted(board.failure_reports_by_endpoint()) == {"b": 1}
-    # What the host says from now on counts once, also where it counts in what was granted before.
-    board.hear(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
-    assert counted(board.running_by_endpoint()) == {"a": 1, "b": 2}
-    board.forget_silent(NOW_S + 60)
-    assert not counted(board.running_by_endpoint())
-    assert not counted(board.failure_reports_by_endpoint())
+def test_a_coordinator_forgets_loads_failure_reports_and_grants_of_a_former_incarnation() -> None:
+    load_table = LoadTable()
+    load_table.hear(HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S)
+    grant = load_table.grant("h", "a")
+    load_table.grant("h", "b")
+    load_table.forget_endpoint("a")
+    assert nonzero(load_table.running_by_endpoint()) == {"b": 2}
+    assert nonzero(load_table.failure_reports_by_endpoint()) == {"b": 1}
+    # Later reports count once, also if they include requests that were granted before.
+    load_table.hear(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
+    assert nonzero(load_table.running_by_endpoint()) == {"a": 1, "b": 2}
+    load_table.forget_silent(NOW_S + 60)
+    assert not nonzero(load_table.running_by_endpoint())
+    assert not nonzero(load_table.failure_reports_by_endpoint())
--- a/tests/unit/test_endpoint_news.py
+++ b/tests/unit/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Entries, lists and loads of other hosts that come late, crossed, or from a host behind."""
+"""Late, reordered or outdated updates: entries, lists, and loads reported by other hosts."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -7,8 +7,7 @@
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
 from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation
-from bayhinge._internal.decisions.endpoint_table import EndpointState as Belief
-from bayhinge._internal.decisions.endpoint_table import EndpointTable
+from bayhinge._internal.decisions.endpoint_table import EndpointState, EndpointTable
 from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
@@ -50,69 +49,71 @@
 
 
 class Host:
-    """What one host believes of endpoints."""
+    """A host's state of the endpoints."""
 
     def __init__(self) -> None:
-        self.book = EndpointTable("north")
-        self.links = EndpointConnectionPool()
+        self.table = EndpointTable("north")
+        self.connections = EndpointConnectionPool()
         self.runs = ActiveRuns()
-        self.restarts = EndpointRestarts(self.book, self.links, self.runs, lambda: BORN_MS + 9_000)
+        self.restarts = EndpointRestarts(
+            self.table, self.connections, self.runs, lambda: BORN_MS + 9_000
+        )
         self.listener = EndpointTableUpdater(
-            PlatformObjectReader(), self.book, self.links, self.restarts
+            PlatformObjectReader(), self.table, self.connections, self.restarts
         )
 
-    def hear(self, value: bytes | None, key: str = KEY, revision: int = 5) -> None:
+    def apply_entry(self, value: bytes | None, key: str = KEY, revision: int = 5) -> None:
         self.listener.apply(Change(key, value, revision, revision), False)
 
     def list(self, value_by_key: dict[str, bytes], is_after_outage: bool = False) -> None:
         self.listener.replace_all(value_by_key, is_after_outage)
 
-    def believed(self) -> Belief:
-        belief = self.book.find("a")
-        assert belief is not None
-        return belief
+    def state(self) -> EndpointState:
+        state = self.table.find("a")
+        assert state is not None
+        return state
 
 
 # ---- entries ----
 
 
-def test_a_former_starts_missing_entry_does_not_end_the_next_start() -> None:
+def test_a_removal_of_the_former_incarnation_does_not_affect_the_next() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(BORN_MS))
-        host.hear(None)
+        host.apply_entry(entry_value(BORN_MS))
+        host.apply_entry(None)
         await asyncio.sleep(MISSING_ENTRY_GRACE_S / 2)
-        host.hear(entry_value(BORN_MS + 1))
+        host.apply_entry(entry_value(BORN_MS + 1))
         await asyncio.sleep(MISSING_ENTRY_GRACE_S)
-        assert not host.believed().is_suspected
+        assert not host.state().is_suspected
 
     run_virtual(scenario())
 
 
-def test_an_entry_that_is_late_does_not_keep_a_start_whose_entry_is_gone() -> None:
+def test_a_late_entry_does_not_keep_a_removed_incarnation() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(BORN_MS + 1))
-        host.hear(None)
-        host.hear(entry_value(BORN_MS))
+        host.apply_entry(entry_value(BORN_MS + 1))
+        host.apply_entry(None)
+        host.apply_entry(entry_value(BORN_MS))
         await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
-        assert host.book.find("a") is None
-        host.hear(entry_value(BORN_MS))
-        assert host.book.find("a") is None
+        assert host.table.find("a") is None
+        host.apply_entry(entry_value(BORN_MS))
+        assert host.table.find("a") is None
         await asyncio.sleep(REMOVED_ENTRY_KEEP_S)
-        host.hear(entry_value(BORN_MS))
-        assert host.book.find("a") is not None
+        host.apply_entry(entry_value(BORN_MS))
+        assert host.table.find("a") is not None
 
     run_virtual(scenario())
 
 
-def test_lists_after_an_outage_that_cross_lead_to_the_latest_start() -> None:
+def test_reordered_lists_after_an_outage_lead_to_the_latest_incarnation() -> None:
     async def scenario() -> None:
         first, second = Host(), Host()
         old, new = {KEY: entry_value(BORN_MS)}, {KEY: entry_value(BORN_MS + 1, 81)}
         for host in (first, second):
             host.list(old)
-            # Lapsed in the outage, as far as the first list behind it knows.
+            # The first list after the outage lacks the entry, as if it had lapsed.
             host.list({}, is_after_outage=True)
         first.list(new, is_after_outage=True)
         first.list(old, is_after_outage=True)
@@ -120,67 +121,67 @@
         second.list(new, is_after_outage=True)
         await asyncio.sleep(MISSING_AFTER_OUTAGE_GRACE_S + 0.1)
         for host in (first, second):
-            assert host.believed().entry.address == "10.0.0.1:81"
-            assert host.believed().entry.born_ms == BORN_MS + 1
+            assert host.state().entry.address == "10.0.0.1:81"
+            assert host.state().entry.born_ms == BORN_MS + 1
 
     run_virtual(scenario())
 
 
-def test_an_endpoint_without_a_start_stays_the_same_through_all_its_entries() -> None:
+def test_an_endpoint_without_a_start_time_keeps_its_state_over_all_entries() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(None))
-        belief = host.believed()
-        belief.failures = 2.0
-        host.hear(entry_value(None, 81))
+        host.apply_entry(entry_value(None))
+        state = host.state()
+        state.failures = 2.0
+        host.apply_entry(entry_value(None, 81))
         host.list({KEY: entry_value(None, 82)})
-        assert host.believed() is belief
-        assert belief.failures == 2.0
+        assert host.state() is state
+        assert state.failures == 2.0
 
     run_virtual(scenario())
 
 
-def test_runs_are_counted_at_the_start_where_they_are() -> None:
+def test_runs_are_counted_at_the_incarnation_that_they_reach() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(BORN_MS))
-        former = host.believed()
-        # Still opening its connection: it will reach whoever listens there.
+        host.apply_entry(entry_value(BORN_MS))
+        former = host.state()
+        # Its connection is still being opened, so it reaches the new incarnation.
         run = host.runs.begin(former)
-        host.hear(entry_value(BORN_MS + 1))
-        assert (former.running_here, host.believed().running_here) == (0, 1)
-        host.hear(entry_value(BORN_MS + 2, 81))
-        assert run.is_ended, "its connection leads to an address that was left"
-        assert host.believed().running_here == 0
+        host.apply_entry(entry_value(BORN_MS + 1))
+        assert (former.running_here, host.state().running_here) == (0, 1)
+        host.apply_entry(entry_value(BORN_MS + 2, 81))
+        assert run.is_ended, "its connection leads to the former address"
+        assert host.state().running_here == 0
         host.runs.end(run)
-        assert host.believed().running_here == 0
+        assert host.state().running_here == 0
 
     run_virtual(scenario())
 
 
-def test_an_endpoint_that_lapsed_in_an_outage_has_its_runs_again() -> None:
+def test_an_endpoint_that_returns_after_an_outage_counts_its_runs_again() -> None:
     async def scenario() -> None:
         host = Host()
-        host.hear(entry_value(BORN_MS))
-        run = host.runs.begin(host.believed())
-        host.hear(None)
+        host.apply_entry(entry_value(BORN_MS))
+        run = host.runs.begin(host.state())
+        host.apply_entry(None)
         await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
-        assert host.book.find("a") is None
-        host.hear(entry_value(BORN_MS))
-        assert host.believed().running_here == 1
+        assert host.table.find("a") is None
+        host.apply_entry(entry_value(BORN_MS))
+        assert host.state().running_here == 1
         host.runs.end(run)
-        assert host.believed().running_here == 0
+        assert host.state().running_here == 0
 
     run_virtual(scenario())
 
 
-def test_what_a_former_start_said_last_is_no_word_of_the_next_one() -> None:
-    links = EndpointConnectionPool()
-    links._last_received_s_by_key["a"] = 10.0
-    links.start_again("a", NewIncarnation("x", 9.0))
-    assert links.has_received_since("a", 9.5), "that was the new start"
-    links.start_again("a", NewIncarnation("x", 11.0))
-    assert not links.has_received_since("a", 9.5)
+def test_data_received_from_a_former_incarnation_does_not_count_for_the_next() -> None:
+    connections = EndpointConnectionPool()
+    connections._last_received_s_by_key["a"] = 10.0
+    connections.start_again("a", NewIncarnation("x", 9.0))
+    assert connections.has_received_since("a", 9.5), "received from the new incarnation"
+    connections.start_again("a", NewIncarnation("x", 11.0))
+    assert not connections.has_received_since("a", 9.5)
 
 
 # ---- loads ----
@@ -188,74 +189,74 @@
 
 def exchange_of(host: Host) -> LoadExchange:
     me = wire.Hello(host="me", hall="north", incarnation=1)
-    exchange = LoadExchange(me, host.book, HallCoordinators.__new__(HallCoordinators))
+    exchange = LoadExchange(me, host.table, HallCoordinators.__new__(HallCoordinators))
     host.restarts.forget_loads = exchange.forget_endpoint
     host.restarts.known_revision = lambda: 50
     return exchange
 
 
-def loads(beat: int, known_to: int | None) -> wire.HostLoads:
+def load_report(beat: int, known_to: int | None) -> wire.HostLoads:
     return wire.HostLoads("other", 1, beat, 0, {"a": 3}, ["a"], known_to)
 
 
-def test_a_host_that_is_behind_says_nothing_of_the_next_start() -> None:
+def test_loads_of_an_outdated_host_do_not_count_for_the_next_incarnation() -> None:
     async def scenario() -> None:
         host = Host()
         exchange = exchange_of(host)
-        host.hear(entry_value(BORN_MS))
-        exchange.receive_loads(loads(1, 40))
+        host.apply_entry(entry_value(BORN_MS))
+        exchange.receive_loads(load_report(1, 40))
         exchange.refresh_endpoint_table()
-        assert (host.believed().running_at_peers, host.believed().complaints) == (3, 1)
-        host.hear(entry_value(BORN_MS + 1))
+        assert (host.state().running_at_peers, host.state().complaints) == (3, 1)
+        host.apply_entry(entry_value(BORN_MS + 1))
         for beat, known_to, counts in ((2, 49, 0), (3, 50, 1), (4, None, 1)):
             exchange.refresh_endpoint_table()
-            exchange.receive_loads(loads(beat, known_to))
+            exchange.receive_loads(load_report(beat, known_to))
             exchange.refresh_endpoint_table()
-            belief = host.believed()
-            assert (belief.running_at_peers, belief.complaints) == (3 * counts, counts)
+            state = host.state()
+            assert (state.running_at_peers, state.complaints) == (3 * counts, counts)
 
     run_virtual(scenario())
 
 
-def test_tables_and_grants_of_another_hall_end_with_the_start_they_speak_of() -> None:
+def test_tables_and_grants_of_another_hall_end_with_their_incarnation() -> None:
     async def scenario() -> None:
         host = Host()
         exchange = exchange_of(host)
-        host.book.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS))
+        host.table.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS))
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 1, {"a": 6}, 40))
-        exchange.record_remote_grant(host.believed())
+        exchange.record_remote_grant(host.state())
         exchange.refresh_endpoint_table()
-        assert host.believed().running_at_peers == 7
-        host.book.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS + 1))
+        assert host.state().running_at_peers == 7
+        host.table.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS + 1))
         host.restarts.handle_restart(
-            host.believed(), EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
+            host.state(), EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
         )
         exchange.refresh_endpoint_table()
-        assert host.believed().running_at_peers == 0
+        assert host.state().running_at_peers == 0
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 2, {"a": 6}, 49))
         exchange.refresh_endpoint_table()
-        assert host.believed().running_at_peers == 0
+        assert host.state().running_at_peers == 0
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 3, {"a": 2}, 50))
         exchange.refresh_endpoint_table()
-        assert host.believed().running_at_peers == 2
+        assert host.state().running_at_peers == 2
 
     run_virtual(scenario())
 
 
-def test_hellos_of_hosts_that_are_behind_are_left_out_of_the_sum() -> None:
+def test_heartbeats_of_outdated_hosts_are_left_out_of_the_sum() -> None:
     revisions = IncarnationRevisions()
     revisions.note("a", 50)
-    hellos = [
+    heartbeats = [
         wire.Hello(host=str(known_to), running_by_endpoint={"a": 2, "b": 1})
         for known_to in (49, 50, None)
     ]
-    for hello, known_to in zip(hellos, (49, 50, None), strict=True):
-        hello.endpoints_known_to = known_to
-    assert sum_loads(hellos, revisions) == {"a": 4, "b": 3}
+    for heartbeat, known_to in zip(heartbeats, (49, 50, None), strict=True):
+        heartbeat.endpoints_known_to = known_to
+    assert sum_loads(heartbeats, revisions) == {"a": 4, "b": 3}
 
 
-class AtHome(HallCoordinators):
-    """This host is the home of its hall."""
+class OwnHallCoordinator(HallCoordinators):
+    """This host is the coordinator of its hall."""
 
     def __init__(self) -> None:
         return
@@ -266,50 +267,52 @@
 
 
 def placer_of(host: Host) -> CoordinatorPlacer:
-    return CoordinatorPlacer(host.book, AtHome(), exchange_of(host), OnePeer(), "north")
+    return CoordinatorPlacer(
+        host.table, OwnHallCoordinator(), exchange_of(host), UpToDatePeer(), "north"
+    )
 
 
-def place_call(known_to: int | None, wished: str, born_ms: int | None) -> wire.PlaceCall:
+def place_call(known_to: int | None, preferred: str, born_ms: int | None) -> wire.PlaceCall:
     own = wire.HostLoads("other", 1, 1, 0, {}, [], known_to)
-    return wire.PlaceCall(own, "app", wished, "", [], 20_000, 0, born_ms)
+    return wire.PlaceCall(own, "app", preferred, "", [], 20_000, 0, born_ms)
 
 
-def test_a_host_that_is_behind_is_not_sent_to_a_start_that_it_does_not_know() -> None:
+def test_an_outdated_host_is_not_sent_to_an_incarnation_that_it_does_not_know() -> None:
     async def scenario() -> None:
         host = Host()
         placer = placer_of(host)
-        host.hear(entry_value(BORN_MS))
-        host.hear(entry_value(BORN_MS, 90), "servers/b")
-        host.hear(entry_value(BORN_MS + 1, 81))
-        belief = host.book.find("b")
-        assert belief is not None
-        belief.running_here = 3
+        host.apply_entry(entry_value(BORN_MS))
+        host.apply_entry(entry_value(BORN_MS, 90), "servers/b")
+        host.apply_entry(entry_value(BORN_MS + 1, 81))
+        state = host.table.find("b")
+        assert state is not None
+        state.running_here = 3
         assert placer.answer(place_call(49, "", None)).endpoint == "b"
         assert placer.answer(place_call(50, "", None)).endpoint == "a"
 
     run_virtual(scenario())
 
 
-def test_a_home_knows_that_a_wished_start_is_over_before_the_asking_host_does() -> None:
+def test_a_coordinator_ignores_a_preference_for_a_former_incarnation() -> None:
     async def scenario() -> None:
         host = Host()
         placer = placer_of(host)
-        host.hear(entry_value(BORN_MS + 1))
-        host.hear(entry_value(BORN_MS, 90), "servers/b")
-        belief = host.book.find("a")
-        assert belief is not None
-        belief.running_here = 2
+        host.apply_entry(entry_value(BORN_MS + 1))
+        host.apply_entry(entry_value(BORN_MS, 90), "servers/b")
+        state = host.table.find("a")
+        assert state is not None
+        state.running_here = 2
         assert placer.answer(place_call(50, "a", BORN_MS)).endpoint == "b"
         assert placer.answer(place_call(50, "a", BORN_MS + 1)).endpoint == "a"
 
     run_virtual(scenario())
 
 
-# ---- lists that cross ----
+# ---- lists that are overtaken ----
 
 
-class Known(ObjectListener):
-    """Keeps what it was told last."""
+class LastListListener(ObjectListener):
+    """Records the last full list of objects."""
 
     def __init__(self) -> None:
         self.value_by_key: dict[str, bytes] = {}
@@ -321,7 +324,7 @@
         return
 
 
-class OnePeer(Peers):
+class UpToDatePeer(Peers):
     """A peer that knows the newest objects."""
 
     async def stream(
@@ -334,18 +337,18 @@
 
 
 class SlowListStore(SilentStore):
-    """A list takes as long as news of peers need to overtake it."""
+    """A list takes long enough for an update from a peer to overtake it."""
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
         await asyncio.sleep(1.0)
         return Listing((StoredObject(KEY, b"old", 50),), 50, more=False)
 
 
-def test_a_list_that_peers_have_overtaken_is_not_taken_in() -> None:
+def test_a_list_that_an_update_from_a_peer_overtook_is_dropped() -> None:
     async def scenario() -> None:
-        listener = Known()
+        listener = LastListListener()
         store = SlowListStore(StoreTruth("config/main"))
-        follower = PrefixFollower(store, "servers/", lambda: 5.0, listener, OnePeer())
+        follower = PrefixFollower(store, "servers/", lambda: 5.0, listener, UpToDatePeer())
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(0.5)
         follower.hear(60, "peer")
--- a/tests/unit/test_event_stream.py
+++ b/tests/unit/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Events are read whole, wherever a stream is cut."""
+"""Events are parsed completely, however a stream is split into chunks."""
 
 import itertools
 
@@ -17,17 +17,17 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_the_cuts_of_the_stream_do_not_matter(cuts: list[int]) -> None:
+def test_events_do_not_depend_on_chunk_boundaries(split_positions: list[int]) -> None:
     reader = EventReader()
     events: list[StreamEvent] = []
-    borders = [0, *sorted(cuts), len(STREAM)]
-    for start, end in itertools.pairwise(borders):
+    boundaries = [0, *sorted(split_positions), len(STREAM)]
+    for start, end in itertools.pairwise(boundaries):
         events += reader.feed(STREAM[start:end])
     assert events == EVENTS
     assert reader.is_between_events
 
 
-def test_a_stream_that_ends_within_an_event_is_seen() -> None:
+def test_a_stream_that_ends_within_an_event_is_detected() -> None:
     reader = EventReader()
     reader.feed(b"id: 1\ndata: one\n\nid: 2\nda")
     assert not reader.is_between_events
--- a/tests/unit/test_left_behind_disks.py
+++ b/tests/unit/test_failed_attempts_disks.py
@@ -1,4 +1,4 @@
-"""What a failed write, or a copy that breaks off, leaves behind on a disk host."""
+"""Failed writes and interrupted copies leave a disk host in a consistent state."""
 
 import asyncio
 import contextlib
@@ -22,23 +22,23 @@
 from tests.unit.test_turn_log import turn
 
 
-def refuse(*_: object) -> None:
+def fail(*_: object) -> None:
     raise OSError(5, "the disk failed")
 
 
-def test_a_failed_sync_of_what_a_turn_used_keeps_the_turn(
+def test_a_failed_sync_of_a_settlement_keeps_the_turn(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A caller leaves while its turn is made to last: the turn stands, and is settled behind.
+    """A failed sync of a settlement must not roll back the turn, which was synced before.
 
-    The sync of the settlement fails. What it takes back is the turn, which an earlier sync kept.
+    The order arises if a caller disconnects while its turn is being stored.
     """
     log = TurnLog(tmp_path)
     log.append([turn("a", None, b"said")])
     log.sync()
     log.append([TurnEntry(EntryKind.SETTLED, "a", "program", 3)])
     with monkeypatch.context() as patch:
-        patch.setattr(os, "fdatasync", refuse)
+        patch.setattr(os, "fdatasync", fail)
         with pytest.raises(OSError, match="the disk failed"):
             log.sync()
     assert log.has(entry_key(turn("a")))
@@ -46,17 +46,17 @@
     assert log.chain("a").missing is None
 
 
-def test_a_write_that_could_not_be_taken_back_spoils_nothing_behind_it(
+def test_a_partial_write_that_can_not_be_truncated_does_not_damage_later_ones(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A write ends short, and the disk also refuses to cut the file; the next write goes well."""
+    """A write is cut short and truncating the file fails too; the next write succeeds."""
     log = TurnLog(tmp_path)
     log.append([turn("a", None, b"one")])
     log.sync()
     write = os.write
     with monkeypatch.context() as patch:
         patch.setattr(os, "write", lambda file, data: write(file, data[:20]))
-        patch.setattr(os, "ftruncate", refuse)
+        patch.setattr(os, "ftruncate", fail)
         with pytest.raises(OSError, match="the disk failed"):
             log.append([turn("b", None, b"two")])
     log.append([turn("c", None, b"three")])
@@ -65,7 +65,7 @@
     assert log.chain("c").text == b"three"
 
 
-def test_a_file_that_was_written_in_part_replaces_nothing(
+def test_a_partially_written_file_does_not_replace_the_old_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "servers.objects"
@@ -99,13 +99,13 @@
 )
 
 
-def test_a_copy_under_way_at_a_change_of_the_set_reads_the_other_log_again(
+def test_a_change_of_the_set_during_a_copy_restarts_reading_the_other_log(
     tmp_path: Path,
 ) -> None:
-    """A change of the set means to read the others' logs again: more may be kept here now.
+    """A change of the set restarts reading the logs of other disks, as more may belong here.
 
-    The answer that was asked for before the change lacks what is kept here only since. It comes
-    behind the change, and its position puts the reading behind all that it left out.
+    An answer to a request from before the change must not advance the position: it lacks the
+    entries that belong here only since the change.
     """
     other = wire.DiskMember("disk-2", 7, "127.0.0.2:5", "north")
     before = [wire.DiskMember(f"disk-{n}", n, f"127.0.0.{n}:5", "north") for n in (3, 4)]
@@ -115,16 +115,16 @@
         host.gossip.say_now = lambda: None  # type: ignore[method-assign]
         host.apply_disk_set(wire.DiskSet(1, [host.me, other, *before]))
         may_answer = asyncio.Event()
-        asked: list[int] = []
+        queried_positions: list[int] = []
 
         async def call(address: str, method: str, payload: bytes) -> bytes | None:
             if method == methods.ENTRIES:
                 entries = [turn("kept-here-now")]
                 return encode_message(wire.EntriesReply(entries))
             query = decode_message(wire.KeysQuery(), payload)
-            asked.append(query.after)
-            if len(asked) == 1:
-                # Worked out under set 1, in which the program's places are elsewhere.
+            queried_positions.append(query.after)
+            if len(queried_positions) == 1:
+                # Computed under set 1, in which the program's replicas are elsewhere.
                 await may_answer.wait()
                 return encode_message(wire.KeysReply(7, 1, False, [], 1))
             keys = [entry_key(turn("kept-here-now"))] if query.after == 0 else []
@@ -138,6 +138,6 @@
         await copying
         await host._copy_from(other)
         host.turns.sync()
-        assert host.turns.has(entry_key(turn("kept-here-now"))), asked
+        assert host.turns.has(entry_key(turn("kept-here-now"))), queried_positions
 
     asyncio.run(main())
--- a/tests/unit/test_left_behind_elsewhere.py
+++ b/tests/unit/test_failed_attempts_elsewhere.py
@@ -1,4 +1,4 @@
-"""What attempts leave behind elsewhere: connections, lists of objects, log lines, calls."""
+"""Failed attempts leave no stale state in connections, object lists, logs and calls."""
 
 import asyncio
 import os
@@ -32,55 +32,52 @@
 from tests.lib.read_only_store import ReadOnlyStore
 
 
-def wire_with_surplus(part: bytes) -> Wire:
-    """Returns an endpoint that sends a part of a surplus answer behind its first one."""
+def endpoint_with_surplus(part: bytes) -> Wire:
+    """Returns an endpoint that sends part of an unrequested answer after its first one."""
 
-    async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def endpoint(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(answer("a") + part)
         await read_request(reader)
         writer.write(answer("b", b"mine"))
         await reader.read()
 
-    return wire
+    return endpoint
 
 
 @pytest.mark.parametrize("size", [1, 12, 17, 40])
-def test_the_beginning_of_a_surplus_answer_is_not_the_next_ones(size: int) -> None:
-    """The first answer is followed by a part of a surplus one; the connection is kept.
-
-    The next request's answer is read behind that part.
-    """
+def test_a_connection_with_the_start_of_a_surplus_answer_is_closed(size: int) -> None:
+    """Guards against parsing the next answer after the start of an unrequested one."""
     part = b"HTTP/1.1 200 OK\r\nBayhinge-Odd: 1\r\nX-Cut: "[:size]
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(links, address)
+    async def scenario(connections: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connections, address)
         assert await first.read_body() == b"body"
-        links.release(connection, None)
+        connections.release(connection, None)
         assert not connection.is_open
 
-    run(wire_with_surplus(part), scenario)
+    run(endpoint_with_surplus(part), scenario)
 
 
-def test_a_surplus_beginning_changes_no_head_of_the_next_answer() -> None:
+def test_the_start_of_a_surplus_answer_does_not_change_the_next_head() -> None:
     part = b"HTTP/1.1 503 Full\r\nBayhinge-Not-Executed: 1\r\nX-Cut: "
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(links, address)
+    async def scenario(connections: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connections, address)
         await first.read_body()
-        links.release(connection, None)
+        connections.release(connection, None)
         try:
-            _, second = await ask(links, address)
+            _, second = await ask(connections, address)
         except Exception:
             return
         names = {name for name, _ in second.headers}
         assert (second.status, b"Bayhinge-Not-Executed" in names) == (200, False), second.headers
 
-    run(wire_with_surplus(part), scenario)
+    run(endpoint_with_surplus(part), scenario)
 
 
 class SlowList(ReadOnlyStore, PollingStore):
-    """Answers a list late, with what it held when it was asked."""
+    """Answers a list late, with the state at the time of the request."""
 
     def __init__(self) -> None:
         self._contact = StoreAvailability()
@@ -100,7 +97,7 @@
 
 
 class NewerPeer(Peers):
-    """Knows a later state."""
+    """A peer that knows a later revision than the store's list."""
 
     async def call(self, address: str, method: str, payload: bytes) -> bytes:
         return encode_message(KnownObjects(5, {"servers/new": b"new"}, 5))
@@ -114,7 +111,7 @@
         return
 
 
-class Memory(ObjectListener):
+class RecordingListener(ObjectListener):
     def __init__(self) -> None:
         self.states: list[set[str]] = []
 
@@ -125,63 +122,62 @@
         raise AssertionError
 
 
-def test_a_list_that_comes_late_does_not_undo_what_a_peer_told() -> None:
-    """The list was asked at revision 1; a peer tells of revision 5 before its answer is here.
+def test_a_late_list_does_not_undo_an_update_from_a_peer() -> None:
+    """A list of revision 1 must not replace the objects of revision 5, received from a peer.
 
-    The follower does not watch (others do), so nothing brings revision 5 again: it stands at the
-    old objects, and says that it knows all up to 5.
+    The follower does not watch the store itself, so nothing would deliver revision 5 again.
     """
 
     async def main() -> None:
-        store, memory = SlowList(), Memory()
-        follower = PrefixFollower(store, "servers/", lambda: 0.05, memory, NewerPeer())
+        store, listener = SlowList(), RecordingListener()
+        follower = PrefixFollower(store, "servers/", lambda: 0.05, listener, NewerPeer())
         follower.should_watch = lambda: False
-        running = asyncio.create_task(follower.run())
+        following = asyncio.create_task(follower.run())
         await asyncio.sleep(0.02)
         follower.hear(5, "peer")
         await asyncio.sleep(0.1)
-        assert memory.states == [{"servers/new"}]
+        assert listener.states == [{"servers/new"}]
         store.may_answer.set()
         await asyncio.sleep(0.1)
         follower.stop()
-        running.cancel()
+        following.cancel()
         known = follower.known()
         assert known.complete_to == 5
-        assert set(known.value_by_key) == {"servers/new"}, memory.states
+        assert set(known.value_by_key) == {"servers/new"}, listener.states
 
     asyncio.run(main())
 
 
-def test_lines_behind_the_end_of_the_loop_are_written_once_there_is_room() -> None:
-    """The reader stalls until the loop has ended; the log still counts on the loop to go on."""
-    reading, writing = os.pipe()
-    log = LogOutput(writing)
+def test_lines_logged_after_the_end_of_the_loop_are_written() -> None:
+    """Guards against buffered lines that wait for an event loop which has ended."""
+    read_end, write_end = os.pipe()
+    log = LogOutput(write_end)
 
     async def main() -> None:
         while not log._buffer:
             log({"message_type": "request.refused", "text": "x" * 900})
 
     asyncio.run(main())
-    os.set_blocking(reading, False)
+    os.set_blocking(read_end, False)
     while True:
         try:
-            os.read(reading, 1 << 20)
+            os.read(read_end, 1 << 20)
         except BlockingIOError:
             break
     log({"message_type": "host.stopped"})
-    data = os.read(reading, 1 << 20)
+    data = os.read(read_end, 1 << 20)
     assert b"host.stopped" in data
-    os.close(reading)
-    os.close(writing)
+    os.close(read_end)
+    os.close(write_end)
 
 
-def test_a_line_behind_one_that_was_cut_stands_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A write takes a part of a line, the next one fails once, and then there is room again."""
-    reading, writing = os.pipe()
-    log = LogOutput(writing)
+def test_a_line_after_a_truncated_one_starts_on_a_new_line(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A partial write, then a failed one: the following line must start on a new line."""
+    read_end, write_end = os.pipe()
+    log = LogOutput(write_end)
     write, calls = os.write, 0
 
-    def odd_write(file: int, data: bytes) -> int:
+    def faulty_write(file: int, data: bytes) -> int:
         nonlocal calls
         calls += 1
         if calls == 1:
@@ -190,18 +186,18 @@
             raise OSError(28, "no space left on device")
         return write(file, data)
 
-    monkeypatch.setattr(os, "write", odd_write)
+    monkeypatch.setattr(os, "write", faulty_write)
     log({"message_type": "first"})
     log({"message_type": "second"})
     monkeypatch.undo()
-    lines = os.read(reading, 1 << 16).splitlines()
+    lines = os.read(read_end, 1 << 16).splitlines()
     assert orjson.loads(lines[-1])["message_type"] == "second", lines
-    os.close(reading)
-    os.close(writing)
+    os.close(read_end)
+    os.close(write_end)
 
 
-def test_how_an_attempt_ended_does_not_outlive_it() -> None:
-    """Text, tool calls and usage are taken care of between attempts; the reason to end is not."""
+def test_the_finish_reason_is_reset_for_each_attempt() -> None:
+    """The finish reason is reset between attempts, as text, tool calls and usage are."""
     progress = _Progress()
     progress.begin_attempt()
     progress.finish_reason = "length"
@@ -209,10 +205,10 @@
     assert progress.finish_reason == "stop"
 
 
-def test_an_object_that_can_be_read_again_is_not_held_damaged_for_ever() -> None:
-    """One answer of the store is damaged, the next one is whole: the change is applied.
+def test_an_object_is_no_longer_corrupt_once_it_can_be_read() -> None:
+    """A damaged read followed by a good one must not leave the configuration outdated.
 
-    The host never says again that its configuration is current, until it starts anew.
+    Otherwise the host would not report it as current until its restart.
     """
 
     async def scenario() -> None:
@@ -238,18 +234,18 @@
     run_virtual(scenario())
 
 
-class ForgetfulPeers(Peers):
-    """The connection breaks at the first call; later ones arrive."""
+class FlakyPeers(Peers):
+    """Peers whose connection breaks at the first call; later calls succeed."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.called_methods: list[str] = []
         self.calls = 0
 
     async def call(self, address: str, method: str, payload: bytes) -> bytes:
         self.calls += 1
         if self.calls == 1:
             raise PeerUnreachableError(address, "the connection broke", sent=True)
-        self.told.append(method)
+        self.called_methods.append(method)
         return b""
 
     async def stream(
@@ -261,16 +257,16 @@
         return
 
 
-def test_the_end_of_a_grant_is_told_although_the_first_try_fails() -> None:
-    """Else the home counts the call as running until the owner's whole process is dead."""
+def test_the_end_of_a_grant_is_reported_after_a_failed_first_call() -> None:
+    """Otherwise the dispatcher counts the call as running until the owner's process ends."""
 
     async def scenario() -> None:
-        peers = ForgetfulPeers()
+        peers = FlakyPeers()
         membership = SimpleNamespace(me=SimpleNamespace(peer_address="here"))
         grants = RemoteGrants(cast(Membership, membership), cast(QueueDispatcher, None), peers)
         granted = GrantedEndpoint("g", "cell", "e-1", "e-1:1", 0.0, "there")
         grants.done(granted, Done("g", Outcome.FINISHED))
         await asyncio.sleep(60)
-        assert peers.told == ["done"]
+        assert peers.called_methods == ["done"]
 
     run_virtual(scenario())
--- a/tests/unit/test_fuzzing.py
+++ b/tests/unit/test_fuzzing.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come in, there is a clear error or a value, never another exception."""
+"""Parsers of untrusted input return a value or raise their own error, whatever the bytes."""
 
 import itertools
 import string
--- a/tests/unit/test_hellos.py
+++ b/tests/unit/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Who takes callers, by a host's own ears and by those of its hall."""
+"""Which entry hosts are listed, by heartbeats received here and by other hosts of the hall."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 from tests.lib.platform_data import settings_text
 
 LISTED_S = 0.05
-"""As if the site were tiny, so that tests take no time."""
+"""Shortened for the tests."""
 
 
 class Listener:
-    """A host of the hall "north" that hears what a test says; nothing is sent."""
+    """A host of the hall "north" that receives heartbeats from a test and sends none."""
 
     def __init__(self, folder: object) -> None:
         path = folder / "host.toml"  # type: ignore[operator]
@@ -33,7 +33,7 @@
         path.write_text(text)
         self.gossip = Gossip(read_settings(path).ok, HostRole.ENTRY)
 
-    def hear(
+    def receive(
         self,
         host: str,
         phase: HostPhase,
@@ -43,7 +43,7 @@
         hall: str = "north",
         is_cut_off: bool = False,
     ) -> None:
-        hello = Hello(
+        heartbeat = Hello(
             host,
             (1 << 40) + len(host),
             beat,
@@ -62,13 +62,13 @@
             0,
             age_by_start=ages,
         )
-        self.gossip._receive(encode_message(hello))
+        self.gossip._receive(encode_message(heartbeat))
 
     def listed(self) -> set[str]:
-        return {hello.host for hello in self.gossip.ready_entry_hosts()}
+        return {heartbeat.host for heartbeat in self.gossip.ready_entry_hosts()}
 
 
-START = start_of((1 << 40) + len("b"))
+INCARNATION_OF_B = start_of((1 << 40) + len("b"))
 
 
 @pytest.fixture
@@ -77,81 +77,100 @@
     return Listener(tmp_path)
 
 
-def test_a_host_is_listed_while_another_one_hears_it(listener: Listener) -> None:
+def test_a_host_is_listed_while_another_host_receives_its_heartbeats(listener: Listener) -> None:
     async def main() -> None:
-        listener.hear("b", HostPhase.READY)
+        listener.receive("b", HostPhase.READY)
         assert listener.listed() == {"b"}
         await asyncio.sleep(LISTED_S * 1.5)
         assert listener.listed() == set()
-        listener.hear("cc", HostPhase.STARTING, {START: 0})
+        listener.receive("cc", HostPhase.STARTING, {INCARNATION_OF_B: 0})
         assert listener.listed() == {"b"}
         await asyncio.sleep(LISTED_S * 1.5)
-        assert listener.listed() == set(), "nobody has heard it since"
+        assert listener.listed() == set(), "no host has received a heartbeat of it since"
 
     asyncio.run(main())
 
 
-def test_a_host_that_started_or_was_cut_off_is_listed_when_others_hear_it_well(
+def test_a_host_is_listed_again_after_a_restart_or_partition_once_others_receive_it(
     listener: Listener,
 ) -> None:
     async def main() -> None:
-        listener.hear("b", HostPhase.READY, is_cut_off=True)
-        assert [hello.is_cut_off for hello in listener.gossip.ready_entry_hosts()] == [True]
+        listener.receive("b", HostPhase.READY, is_cut_off=True)
+        assert [heartbeat.is_cut_off for heartbeat in listener.gossip.ready_entry_hosts()] == [True]
         await asyncio.sleep(0.01)
-        listener.hear("cc", HostPhase.STARTING, {START: 0})
-        assert [hello.is_cut_off for hello in listener.gossip.ready_entry_hosts()] == [False]
-        listener.hear("b", HostPhase.STARTING, beat=2)
+        listener.receive("cc", HostPhase.STARTING, {INCARNATION_OF_B: 0})
+        assert [heartbeat.is_cut_off for heartbeat in listener.gossip.ready_entry_hosts()] == [
+            False
+        ]
+        listener.receive("b", HostPhase.STARTING, beat=2)
         assert listener.listed() == set()
         await asyncio.sleep(0.01)
-        listener.hear("cc", HostPhase.STARTING, {START: 0}, beat=2)
+        listener.receive("cc", HostPhase.STARTING, {INCARNATION_OF_B: 0}, beat=2)
         assert listener.listed() == {"b"}
 
     asyncio.run(main())
 
 
-def test_a_host_that_leaves_is_not_listed_whatever_others_heard(listener: Listener) -> None:
+def test_a_leaving_host_is_not_listed_whatever_others_received(listener: Listener) -> None:
     async def main() -> None:
-        listener.hear("b", HostPhase.LEAVING)
+        listener.receive("b", HostPhase.LEAVING)
         await asyncio.sleep(0.01)
-        listener.hear("cc", HostPhase.STARTING, {START: 0})
+        listener.receive("cc", HostPhase.STARTING, {INCARNATION_OF_B: 0})
         assert listener.listed() == set()
 
     asyncio.run(main())
 
 
-def test_a_host_that_stood_still_tells_nothing_on_of_what_waited_for_it(
+def test_a_stalled_host_does_not_pass_on_queued_heartbeats(
     listener: Listener,
 ) -> None:
     async def main() -> None:
-        listener.hear("b", HostPhase.READY)
+        listener.receive("b", HostPhase.READY)
         listener.gossip._check_stall(gossip.STALL_S / 2)
         now_s = asyncio.get_running_loop().time()
-        assert START in listener.gossip._sightings.ages(now_s)
+        assert INCARNATION_OF_B in listener.gossip._sightings.ages(now_s)
         listener.gossip._check_stall(gossip.STALL_S * 2)
-        listener.hear("cc", HostPhase.READY, {START: 0})
+        listener.receive("cc", HostPhase.READY, {INCARNATION_OF_B: 0})
         assert listener.gossip._sightings.ages(now_s) == {}
         listener.gossip._stalled_until_s = now_s
-        listener.hear("cc", HostPhase.READY, {START: 0}, beat=2)
-        assert START in listener.gossip._sightings.ages(now_s)
+        listener.receive("cc", HostPhase.READY, {INCARNATION_OF_B: 0}, beat=2)
+        assert INCARNATION_OF_B in listener.gossip._sightings.ages(now_s)
 
     asyncio.run(main())
 
 
-def test_another_hall_says_nothing_of_this_ones_hosts(listener: Listener) -> None:
+def test_ages_from_another_hall_are_ignored(listener: Listener) -> None:
     async def main() -> None:
-        listener.hear("b", HostPhase.READY)
+        listener.receive("b", HostPhase.READY)
         await asyncio.sleep(LISTED_S * 1.5)
-        listener.hear("cc", HostPhase.STARTING, {START: 0}, hall="south")
+        listener.receive("cc", HostPhase.STARTING, {INCARNATION_OF_B: 0}, hall="south")
         assert listener.listed() == set()
 
     asyncio.run(main())
 
 
-def test_hellos_bear_what_was_heard_and_stay_short() -> None:
+def test_heartbeats_carry_ages_in_few_bytes() -> None:
     ages = {start_of(number << 20): 3 * AGE_UNITS_PER_S for number in range(40)}
-    told: tuple[object, ...] = ("h", 1, 1, 1, 2, "n", "", "", "", {}, {}, 0, [], False, False, 0)
-    hello = Hello(*told, age_by_start=ages)
-    data = encode_message(hello)
+    required_fields: tuple[object, ...] = (
+        "h",
+        1,
+        1,
+        1,
+        2,
+        "n",
+        "",
+        "",
+        "",
+        {},
+        {},
+        0,
+        [],
+        False,
+        False,
+        0,
+    )
+    heartbeat = Hello(*required_fields, age_by_start=ages)
+    data = encode_message(heartbeat)
     assert decode_message(Hello(), data).age_by_start == ages
-    bare = Hello(*told)
-    assert len(data) - len(encode_message(bare)) <= 6 * len(ages) + 10
+    heartbeat_without_ages = Hello(*required_fields)
+    assert len(data) - len(encode_message(heartbeat_without_ages)) <= 6 * len(ages) + 10
--- a/tests/unit/test_host_registry.py
+++ b/tests/unit/test_host_registry.py
@@ -1,4 +1,4 @@
-"""How hosts find each other through the store where no seed tells them of any."""
+"""How hosts discover each other through the store if no seed knows any."""
 
 import asyncio
 from collections.abc import Iterable
@@ -17,8 +17,8 @@
 
 
 @attrs.define
-class Told:
-    """What a host's hellos would learn; it hears of whoever it was told of."""
+class RecordedAddresses:
+    """Stands for a host's gossip; every address that is added counts as a known host."""
 
     addresses: list[str] = attrs.field(factory=list)
 
@@ -29,17 +29,19 @@
         self.addresses += [one for one in addresses if one != "10.1.0.38:7380"]
 
 
-def registry(tmp_path: Path, objects: MemoryObjects, faults: StoreFaults) -> HostRegistry:
+def registry_of(tmp_path: Path, objects: MemoryObjects, faults: StoreFaults) -> HostRegistry:
     path = tmp_path / "local.toml"
     path.write_text(settings_text("edge-1", "10.1.0.38", seeds='["10.1.0.38:8144"]'))
     return HostRegistry(MemoryObjectStore(objects, faults), read_settings(path).ok)
 
 
-def test_a_host_that_found_nobody_asks_again_and_ever_more_seldom(tmp_path: Path) -> None:
+def test_a_host_that_found_no_other_retries_with_growing_delays(tmp_path: Path) -> None:
     async def scenario() -> None:
-        objects, told = MemoryObjects(), Told()
+        objects, recorded = MemoryObjects(), RecordedAddresses()
         announcing = asyncio.create_task(
-            registry(tmp_path, objects, StoreFaults()).announce(cast(Gossip, told), lambda: True)
+            registry_of(tmp_path, objects, StoreFaults()).announce(
+                cast(Gossip, recorded), lambda: True
+            )
         )
         await asyncio.sleep(300.0)
         assert list(objects.objects_by_key) == ["hosts/edge-1"]
@@ -47,24 +49,26 @@
         assert objects.calls[Operation.CREATE] == 1
         await objects.put("hosts/edge-2", b"10.1.0.39:7380", None)
         await asyncio.sleep(35.0)
-        assert told.addresses == ["10.1.0.39:7380"]
+        assert recorded.addresses == ["10.1.0.39:7380"]
         await asyncio.sleep(1.0)
         assert announcing.done()
 
     run_virtual(scenario())
 
 
-def test_two_hosts_that_start_at_one_moment_find_each_other_soon(tmp_path: Path) -> None:
+def test_two_hosts_that_start_together_discover_each_other_soon(tmp_path: Path) -> None:
     async def scenario() -> None:
-        objects, told = MemoryObjects(), Told()
+        objects, recorded = MemoryObjects(), RecordedAddresses()
         announcing = asyncio.create_task(
-            registry(tmp_path, objects, StoreFaults()).announce(cast(Gossip, told), lambda: True)
+            registry_of(tmp_path, objects, StoreFaults()).announce(
+                cast(Gossip, recorded), lambda: True
+            )
         )
-        # The other one writes its address right behind this one's first list.
+        # The other host writes its address right after this one's first list.
         await asyncio.sleep(1.0)
         await objects.put("hosts/edge-2", b"10.1.0.39:7380", None)
         await asyncio.sleep(2.0)
-        assert told.addresses == ["10.1.0.39:7380"]
+        assert recorded.addresses == ["10.1.0.39:7380"]
         announcing.cancel()
 
     run_virtual(scenario())
--- a/tests/unit/test_journal.py
+++ b/tests/unit/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: group commit, fencing, lost answers, parts, damage."""
+"""The journal: group commit, fencing, lost answers, split records, damaged objects."""
 
 import asyncio
 import random
@@ -30,7 +30,7 @@
     return Journal(store, PREFIX, name, WritePacer(rate, 4), source.random, spool)
 
 
-def test_records_come_back_in_order() -> None:
+def test_records_are_read_in_order() -> None:
     async def scenario() -> None:
         store = MemoryObjectStore(MemoryObjects())
         journal = make_journal(store)
@@ -71,16 +71,16 @@
         journal = make_journal(MemoryObjectStore(MemoryObjects()))
         task = asyncio.create_task(journal.run())
         await asyncio.sleep(5)
-        began = asyncio.get_running_loop().time()
+        began_s = asyncio.get_running_loop().time()
         await journal.append(b"lone")
         task.cancel()
-        return asyncio.get_running_loop().time() - began
+        return asyncio.get_running_loop().time() - began_s
 
     assert run_virtual(scenario()) == 0.0
 
 
 @pytest.mark.parametrize("fault", ["lose_answers", "lose_writes"])
-def test_a_lost_answer_makes_no_record_twice(fault: str) -> None:
+def test_a_lost_answer_does_not_duplicate_records(fault: str) -> None:
     async def scenario() -> list[bytes]:
         objects = MemoryObjects()
         faults = StoreFaults()
@@ -96,14 +96,14 @@
     assert run_virtual(scenario()) == [b"first", b"second"]
 
 
-def test_a_paused_owner_that_wakes_is_fenced() -> None:
+def test_a_paused_owner_is_fenced_when_it_resumes() -> None:
     async def scenario() -> None:
         objects = MemoryObjects()
         journal = make_journal(MemoryObjectStore(objects))
         task = asyncio.create_task(journal.run())
         await journal.append(b"before")
         task.cancel()
-        # The owner is paused here for as long as anybody likes.
+        # The owner is paused for any length of time.
         await asyncio.sleep(100_000)
         await seal_journal(MemoryObjectStore(objects), PREFIX, "a~1", ["b~1"], "b~1", "silent")
         task = asyncio.create_task(journal.run())
@@ -136,7 +136,7 @@
     run_virtual(scenario())
 
 
-def test_announced_successors_bind_whoever_seals() -> None:
+def test_a_seal_names_the_announced_successors() -> None:
     async def scenario() -> None:
         store = MemoryObjectStore(MemoryObjects())
         journal = make_journal(store)
@@ -169,20 +169,20 @@
     run_virtual(scenario())
 
 
-def test_a_full_spool_refuses_and_keeps_what_it_has() -> None:
+def test_a_full_spool_refuses_records_and_keeps_pending_ones() -> None:
     async def scenario() -> list[bytes]:
         objects = MemoryObjects()
         faults = StoreFaults(down=True)
         journal = make_journal(MemoryObjectStore(objects, faults), spool=100)
         task = asyncio.create_task(journal.run())
-        kept = journal.append(b"k" * 90)
+        pending = journal.append(b"k" * 90)
         with pytest.raises(JournalFullError):
             journal.append(b"n" * 20)
         await asyncio.sleep(3600)
-        assert not kept.done()
+        assert not pending.done()
         assert not journal.store_ok
         faults.down = False
-        await kept
+        await pending
         task.cancel()
         reader = JournalReader(MemoryObjectStore(objects), PREFIX)
         return [record.data for record in (await reader.read_all("a~1")).records]
@@ -197,15 +197,15 @@
         (f"{PREFIX}/a~1/notes.txt", b"hello", "no journal sequence"),
     ],
 )
-def test_damage_and_foreign_objects_are_reported_with_their_key(
+def test_damaged_and_foreign_objects_are_reported_with_their_key(
     key: str, value: bytes, why: str
 ) -> None:
     async def scenario() -> None:
         store = MemoryObjectStore(MemoryObjects())
         await store.create(key, value)
-        with pytest.raises(CorruptObjectError, match=why) as caught:
+        with pytest.raises(CorruptObjectError, match=why) as raised:
             await JournalReader(store, PREFIX).read_all("a~1")
-        assert caught.value.key == key
+        assert raised.value.key == key
         stored = await store.get(key)
         assert stored is not None
         assert stored.value == value
@@ -230,7 +230,7 @@
     run_virtual(scenario())
 
 
-def test_a_lagging_listing_is_not_taken_for_a_sealed_journal() -> None:
+def test_a_stale_listing_is_not_accepted_as_a_sealed_journal() -> None:
     async def scenario() -> None:
         objects = MemoryObjects()
         store = MemoryObjectStore(objects)
@@ -240,11 +240,11 @@
         await journal.append(b"last")
         task.cancel()
         await seal_journal(store, PREFIX, "a~1", ["b~1"], "b~1", "silent")
-        lagging = MemoryObjectStore(objects, StoreFaults(stale_reads=2))
+        stale_store = MemoryObjectStore(objects, StoreFaults(stale_reads=2))
         with pytest.raises(StoreUnavailableError, match="too old"):
-            await JournalReader(lagging, PREFIX).read_sealed("a~1")
-        lagging.faults.stale_reads = 0
-        contents = await JournalReader(lagging, PREFIX).read_sealed("a~1")
+            await JournalReader(stale_store, PREFIX).read_sealed("a~1")
+        stale_store.faults.stale_reads = 0
+        contents = await JournalReader(stale_store, PREFIX).read_sealed("a~1")
         assert [record.data for record in contents.records] == [b"first", b"last"]
 
     run_virtual(scenario())
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -1,4 +1,4 @@
-"""The time of day jumps at each reading, and each duration is what it was."""
+"""Timeouts keep their length while the wall clock jumps at each reading."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 from bayhinge._internal.services.gateway.disk_directory import SUSPECT_S, DiskDirectory
 from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
-from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as HOME_SUSPECT_S
+from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as COORDINATOR_SUSPECT_S
 from bayhinge._internal.services.gossip import MIN_SILENCE_S, Gossip
 from bayhinge._internal.services.prefix_follower import PrefixFollower
 from bayhinge._internal.wire.hosts.ttypes import DiskMember, Hello, HostLoads, HostPhase, HostRole
@@ -38,13 +38,13 @@
 from tests.lib.jumping_clock import JUMPS_S, jump
 from tests.lib.platform_data import settings_text
 
-pytestmark = pytest.mark.usefixtures("odd_clock")
+pytestmark = pytest.mark.usefixtures("jumping_clock")
 
 ENDPOINT = "i-1"
 
 
 @pytest.fixture
-def odd_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+def jumping_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     jump(monkeypatch)
 
 
@@ -56,14 +56,14 @@
     return settings
 
 
-def always(expected: bool, ask: Callable[[], bool]) -> None:
-    """Asks so often that each jump comes twice."""
-    assert [ask() for _ in range(2 * len(JUMPS_S))] == [expected] * (2 * len(JUMPS_S))
+def assert_always(expected: bool, check: Callable[[], bool]) -> None:
+    """Checks often enough for each jump of the clock to occur twice."""
+    assert [check() for _ in range(2 * len(JUMPS_S))] == [expected] * (2 * len(JUMPS_S))
 
 
-def heard(gossip: Gossip, host: str, beat: int = 1) -> None:
+def receive_heartbeat(gossip: Gossip, host: str, beat: int = 1) -> None:
     address = f"10.1.0.{40 + len(host)}:7380"
-    hello = Hello(
+    heartbeat = Hello(
         host,
         1,
         beat,
@@ -79,93 +79,93 @@
         [],
         False,
     )
-    gossip._receive(encode_message(hello))
+    gossip._receive(encode_message(heartbeat))
 
 
-def test_a_lease_is_held_for_its_time() -> None:
+def test_a_lease_is_held_for_its_duration() -> None:
     async def scenario() -> None:
         store = MemoryObjectStore(MemoryObjects())
         lease = Lease(store, "lease", "a~1", random.Random(1).random, 6.0)
         other = Lease(store, "lease", "b~1", random.Random(2).random, 6.0)
         for _ in range(5):
             await lease.step()
-            always(True, lease.is_held)
+            assert_always(True, lease.is_held)
             await other.step()
-            always(False, other.is_held)
+            assert_always(False, other.is_held)
             await asyncio.sleep(1.0)
         await asyncio.sleep(6.0)
-        always(False, lease.is_held)
+        assert_always(False, lease.is_held)
 
     run_virtual(scenario())
 
 
-def test_a_configuration_is_vouched_for_for_its_time() -> None:
+def test_a_configuration_is_current_for_its_duration() -> None:
     async def scenario() -> None:
         store = MemoryObjectStore(MemoryObjects())
         feed = ConfigFeed(store, "c", SystemClock(), random.Random(1).random, FeedTimes())
         await feed.step()
         await asyncio.sleep(29.0)
-        always(True, feed.is_current)
+        assert_always(True, feed.is_current)
         await asyncio.sleep(2.0)
-        always(False, feed.is_current)
+        assert_always(False, feed.is_current)
 
     run_virtual(scenario())
 
 
-def test_a_disk_that_failed_is_doubted_for_its_time(site: SiteSettings) -> None:
+def test_a_failed_disk_is_suspected_for_its_duration(site: SiteSettings) -> None:
     async def scenario() -> None:
         store = MemoryObjectStore(MemoryObjects())
         directory = DiskDirectory(site, store, cast(Peers, None), list)
         member = DiskMember("disk-1", 1, "10.1.0.50:7381", "north")
         directory.record_failure(member, "silent")
         await asyncio.sleep(SUSPECT_S * 0.9)
-        always(True, lambda: directory.is_suspected(member))
+        assert_always(True, lambda: directory.is_suspected(member))
         await asyncio.sleep(SUSPECT_S * 0.2)
-        always(False, lambda: directory.is_suspected(member))
+        assert_always(False, lambda: directory.is_suspected(member))
 
     run_virtual(scenario())
 
 
-def test_a_host_counts_as_heard_for_its_time(site: SiteSettings) -> None:
+def test_a_host_is_listed_for_the_silence_timeout(site: SiteSettings) -> None:
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
-        heard(gossip, "edge-2")
+        receive_heartbeat(gossip, "edge-2")
         await asyncio.sleep(MIN_SILENCE_S * 0.9)
-        always(True, lambda: bool(gossip.fresh(HostRole.ENTRY)))
-        always(True, lambda: bool(gossip.ready_entry_hosts()))
+        assert_always(True, lambda: bool(gossip.fresh(HostRole.ENTRY)))
+        assert_always(True, lambda: bool(gossip.ready_entry_hosts()))
         gossip._forget_silent()
         assert gossip._observed_addresses()
         await asyncio.sleep(2.5)
-        always(False, lambda: bool(gossip.fresh(HostRole.ENTRY)))
-        always(False, lambda: bool(gossip.ready_entry_hosts()))
+        assert_always(False, lambda: bool(gossip.fresh(HostRole.ENTRY)))
+        assert_always(False, lambda: bool(gossip.ready_entry_hosts()))
 
     run_virtual(scenario())
 
 
-def test_a_silent_home_is_passed_over_for_its_time(site: SiteSettings) -> None:
+def test_a_suspected_coordinator_is_skipped_for_its_duration(site: SiteSettings) -> None:
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
-        homes = HallCoordinators(gossip)
-        heard(gossip, "edge-2")
-        homes.refresh()
-        home = homes.coordinator_of("north")
-        assert home is not None
-        homes.mark_suspected(home, "no answer")
-        await asyncio.sleep(HOME_SUSPECT_S * 0.9)
-        heard(gossip, "edge-2", beat=2)
-        always(True, lambda: homes._suspected.has(home.host))
-        await asyncio.sleep(HOME_SUSPECT_S * 0.2)
-        heard(gossip, "edge-2", beat=3)
-        always(False, lambda: homes._suspected.has(home.host))
+        coordinators = HallCoordinators(gossip)
+        receive_heartbeat(gossip, "edge-2")
+        coordinators.refresh()
+        coordinator = coordinators.coordinator_of("north")
+        assert coordinator is not None
+        coordinators.mark_suspected(coordinator, "no answer")
+        await asyncio.sleep(COORDINATOR_SUSPECT_S * 0.9)
+        receive_heartbeat(gossip, "edge-2", beat=2)
+        assert_always(True, lambda: coordinators._suspected.has(coordinator.host))
+        await asyncio.sleep(COORDINATOR_SUSPECT_S * 0.2)
+        receive_heartbeat(gossip, "edge-2", beat=3)
+        assert_always(False, lambda: coordinators._suspected.has(coordinator.host))
 
     run_virtual(scenario())
 
 
-def test_loads_of_a_host_count_for_their_time(site: SiteSettings) -> None:
+def test_loads_of_a_host_count_until_their_timeout(site: SiteSettings) -> None:
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
-        book = EndpointTable("north")
-        exchange = LoadExchange(gossip.me, book, HallCoordinators(gossip))
+        table = EndpointTable("north")
+        exchange = LoadExchange(gossip.me, table, HallCoordinators(gossip))
         loads = HostLoads("edge-2", 1, 1, 0, {ENDPOINT: 3}, [])
 
         def counted() -> bool:
@@ -174,35 +174,35 @@
 
         exchange.receive_loads(loads)
         await asyncio.sleep(1.8)
-        always(True, counted)
+        assert_always(True, counted)
         await asyncio.sleep(0.4)
-        always(False, counted)
+        assert_always(False, counted)
 
     run_virtual(scenario())
 
 
 class SilentStore:
-    """What a follower needs of a store that it never asks."""
+    """The part of a store that a follower needs if it never reads objects."""
 
     def __init__(self) -> None:
         self.contact = StoreAvailability()
 
 
-def test_an_outage_is_over_for_its_time() -> None:
+def test_the_time_after_an_outage_lasts_for_its_duration() -> None:
     async def scenario() -> None:
         store = SilentStore()
         follower = PrefixFollower(
             cast(PollingStore, store), "servers/", lambda: 5.0, cast(Any, None), cast(Peers, None)
         )
-        always(False, follower._is_after_outage)
+        assert_always(False, follower._is_after_outage)
         store.contact.record_failure(is_silent=True)
         await asyncio.sleep(5.0)
         store.contact.record_answer()
         assert store.contact.recovered_s == asyncio.get_running_loop().time()
         await asyncio.sleep(prefix_follower.AFTER_OUTAGE_S * 0.9)
-        always(True, follower._is_after_outage)
+        assert_always(True, follower._is_after_outage)
         await asyncio.sleep(prefix_follower.AFTER_OUTAGE_S * 0.2)
-        always(False, follower._is_after_outage)
+        assert_always(False, follower._is_after_outage)
 
     run_virtual(scenario())
 
@@ -214,9 +214,9 @@
     st.integers(0, 1),
     st.floats(-1e12, 1e12, allow_nan=False),
 )
-def test_a_watch_waits_no_longer_whatever_the_time_of_day(
+def test_a_watch_waits_at_most_one_period_at_any_wall_clock_time(
     hall: int, halls: int, watcher: int, prefix: int, now_s: float
 ) -> None:
-    turn = WatchSlot(hall % halls, halls, watcher, prefix, 2)
-    wait_s = wait_until_slot(turn, now_s)
-    assert MIN_WATCH_S <= wait_s <= turn.period_s + MIN_WATCH_S
+    slot = WatchSlot(hall % halls, halls, watcher, prefix, 2)
+    wait_s = wait_until_slot(slot, now_s)
+    assert MIN_WATCH_S <= wait_s <= slot.period_s + MIN_WATCH_S
--- a/tests/unit/test_keep_running.py
+++ b/tests/unit/test_keep_running.py
@@ -1,4 +1,4 @@
-"""A duty that fails begins anew; one that ends stays ended; a cancelled one stops."""
+"""A background task is restarted after an error, and ends when it returns or is cancelled."""
 
 import asyncio
 
@@ -8,25 +8,25 @@
 from bayhinge._internal.services.keep_running import FAULT_PAUSE_S, keep_running
 
 
-def test_a_duty_outlives_its_faults() -> None:
+def test_a_failed_task_is_restarted() -> None:
     async def scenario() -> None:
         tries = 0
 
-        async def duty() -> None:
+        async def task() -> None:
             nonlocal tries
             tries += 1
             if tries < 3:
                 raise ValueError("once more")
 
-        began = asyncio.get_running_loop().time()
-        await keep_running("test", duty)
+        began_s = asyncio.get_running_loop().time()
+        await keep_running("test", task)
         assert tries == 3
-        assert asyncio.get_running_loop().time() - began >= 2 * FAULT_PAUSE_S
+        assert asyncio.get_running_loop().time() - began_s >= 2 * FAULT_PAUSE_S
 
     run_virtual(scenario())
 
 
-def test_a_cancelled_duty_stops() -> None:
+def test_a_cancelled_task_stops() -> None:
     async def scenario() -> None:
         running = asyncio.create_task(keep_running("test", lambda: asyncio.sleep(100)))
         await asyncio.sleep(1)
--- a/tests/unit/test_lease.py
+++ b/tests/unit/test_lease.py
@@ -1,4 +1,4 @@
-"""The lease: one trusted holder at a time, and a fencing number that grows."""
+"""The lease: at most one holder trusts it at a time, and its fencing number grows."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
     return Lease(store, "lease", holder, source.random, DURATION_S)
 
 
-def test_a_paused_holder_stops_trusting_before_another_takes_over() -> None:
+def test_a_paused_holder_loses_the_lease_before_another_acquires_it() -> None:
     async def scenario() -> None:
         objects = MemoryObjects()
         first, second = make_lease(objects, "a~1"), make_lease(objects, "b~1")
@@ -25,7 +25,7 @@
         assert first.is_held()
         trusted_until: float | None = None
         loop = asyncio.get_running_loop()
-        # The first holder is paused: it renews no more.
+        # The first holder is paused and no longer renews.
         while (await second.step()).role is LeaseRole.OTHER:
             assert not second.is_held()
             if not first.is_held() and trusted_until is None:
@@ -34,7 +34,7 @@
         assert trusted_until is not None
         assert loop.time() > trusted_until
         assert second.fencing > first.fencing
-        # It wakes, and learns that it is out.
+        # The first holder resumes, and learns of the new holder.
         view = await first.step()
         assert (view.role, view.holder) == (LeaseRole.OTHER, "b~1")
         assert not first.is_held()
@@ -42,7 +42,7 @@
     run_virtual(scenario())
 
 
-def test_a_holder_that_renews_keeps_the_lease_and_its_number() -> None:
+def test_a_holder_that_renews_keeps_the_lease_and_its_fencing_number() -> None:
     async def scenario() -> None:
         objects = MemoryObjects()
         first, second = make_lease(objects, "a~1"), make_lease(objects, "b~1")
@@ -58,7 +58,7 @@
     run_virtual(scenario())
 
 
-def test_of_two_that_try_at_once_one_holds_it() -> None:
+def test_of_concurrent_claims_exactly_one_succeeds() -> None:
     async def scenario() -> None:
         objects = MemoryObjects()
         slow = StoreFaults(delay_s=0.1)
@@ -70,7 +70,7 @@
     run_virtual(scenario())
 
 
-def test_a_lease_that_is_given_up_is_free_at_once_under_a_new_number() -> None:
+def test_a_released_lease_is_free_at_once_with_a_new_fencing_number() -> None:
     async def scenario() -> None:
         objects = MemoryObjects()
         first, second = make_lease(objects, "a~1"), make_lease(objects, "b~1")
--- /dev/null
+++ b/tests/unit/test_load_table.py
@@ -0,0 +1,123 @@
+"""The hall coordinator's count of running requests at the endpoints of its hall."""
+
+from collections import Counter
+
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
+
+from bayhinge._internal.decisions.load_table import REPORT_TIMEOUT_S, HostLoadReport, LoadTable
+
+
+def report(
+    host: str, beat: int, running: dict[str, int], grant: int = 0, start: int = 1
+) -> HostLoadReport:
+    return HostLoadReport(host, start, beat, grant, running)
+
+
+def nonzero_counts(table: LoadTable) -> dict[str, int]:
+    return {name: count for name, count in table.running_by_endpoint().items() if count}
+
+
+def test_a_grant_counts_once_before_and_after_the_host_reports_it() -> None:
+    table = LoadTable()
+    table.hear(report("a", 1, {"e": 1}), 0.0)
+    grant = table.grant("a", "e")
+    assert nonzero_counts(table) == {"e": 2}
+    table.hear(report("a", 2, {"e": 1}, grant - 1), 0.1)
+    assert nonzero_counts(table) == {"e": 2}, "the host had not received the grant when it reported"
+    table.hear(report("a", 3, {"e": 2}, grant), 0.2)
+    assert nonzero_counts(table) == {"e": 2}
+
+
+def test_an_outdated_report_is_ignored() -> None:
+    table = LoadTable()
+    table.hear(report("a", 2, {"e": 5}), 0.0)
+    table.hear(report("a", 1, {"e": 9}), 0.1)
+    assert nonzero_counts(table) == {"e": 5}
+
+
+def test_counts_of_a_silent_or_restarted_host_are_dropped() -> None:
+    table = LoadTable()
+    table.hear(report("a", 7, {"e": 5}), 0.0)
+    table.grant("a", "f")
+    table.hear(report("b", 1, {"e": 1}), REPORT_TIMEOUT_S)
+    table.hear(report("a", 1, {"e": 2}, start=2), REPORT_TIMEOUT_S)
+    assert nonzero_counts(table) == {"e": 3}
+    table.forget_silent(2 * REPORT_TIMEOUT_S + 0.1)
+    assert nonzero_counts(table) == {}
+
+
+def test_a_new_coordinator_continues_the_numbers_of_grants() -> None:
+    table = LoadTable()
+    table.hear(report("a", 9, {}, grant=40), 0.0)
+    assert table.grant("a", "e") == 41
+    table.hear(report("a", 10, {}, grant=40), 0.1)
+    assert nonzero_counts(table) == {"e": 1}
+
+
+def test_failure_reports_count_hosts_and_end_with_a_report_without_them() -> None:
+    table = LoadTable()
+    for host in ("a", "b"):
+        table.hear(HostLoadReport(host, 1, 1, 0, {}, frozenset({"e"})), 0.0)
+    assert table.failure_reports_by_endpoint()["e"] == 2
+    table.hear(report("a", 2, {}), 0.1)
+    assert table.failure_reports_by_endpoint()["e"] == 1
+    table.forget_silent(REPORT_TIMEOUT_S + 0.1)
+    assert table.failure_reports_by_endpoint()["e"] == 0
+
+
+class LoadTableMachine(RuleBasedStateMachine):
+    """Hosts that begin and end requests, with lost grants and reordered reports."""
+
+    HOSTS = ("a", "b", "c")
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.table = LoadTable()
+        self.beats = Counter[str]()
+        self.last_grant = Counter[str]()
+        self.running = {host: Counter[str]() for host in self.HOSTS}
+        self.reports_in_flight: list[HostLoadReport] = []
+
+    def _report(self, host: str) -> HostLoadReport:
+        self.beats[host] += 1
+        return report(host, self.beats[host], dict(self.running[host]), self.last_grant[host])
+
+    @rule(host=st.sampled_from(HOSTS), endpoint=st.sampled_from("ef"), is_lost=st.booleans())
+    def place(self, host: str, endpoint: str, is_lost: bool) -> None:
+        self.table.hear(self._report(host), 0.0)
+        grant = self.table.grant(host, endpoint)
+        if not is_lost:
+            self.last_grant[host] = grant
+            self.running[host][endpoint] += 1
+
+    @rule(host=st.sampled_from(HOSTS))
+    def end_one(self, host: str) -> None:
+        for endpoint in +self.running[host]:
+            self.running[host][endpoint] -= 1
+            break
+        self.reports_in_flight.append(self._report(host))
+
+    @rule(position=st.integers(0, 20))
+    def deliver(self, position: int) -> None:
+        if self.reports_in_flight:
+            self.table.hear(self.reports_in_flight.pop(position % len(self.reports_in_flight)), 0.0)
+
+    @invariant()
+    def counts_are_not_negative(self) -> None:
+        assert min(self.table.running_by_endpoint().values(), default=0) >= 0
+
+    def teardown(self) -> None:
+        # After each host has placed a request and reported, the sums match the hosts.
+        for host in self.HOSTS:
+            self.place(host, "e", False)
+            self.table.hear(self._report(host), 0.0)
+        total = sum(self.running.values(), Counter[str]())
+        assert nonzero_counts(self.table) == dict(+total)
+
+
+LoadTableMachine.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=30, deadline=None
+)
+TestLoadTable = LoadTableMachine.TestCase
--- a/tests/unit/test_log_events.py
+++ b/tests/unit/test_log_events.py
@@ -1,4 +1,4 @@
-"""The page of log events is made from the code, and the committed page is that of the code."""
+"""The page of log events is generated from the code, and the committed page is up to date."""
 
 from pathlib import Path
 
@@ -11,11 +11,11 @@
 PAGE = Path(__file__).parents[2] / "docs" / "operators" / "log-events.md"
 
 
-def read(text: str) -> dict[str, LogEvent]:
+def read_events(text: str) -> dict[str, LogEvent]:
     return {event.message_type: event for event in events_of({"some/module.py": text})}
 
 
-def test_a_type_comes_with_its_fields_and_its_writer() -> None:
+def test_an_event_type_is_listed_with_its_fields_and_writer() -> None:
     text = """
 class Writer:
     \"\"\"Writes things. And more.\"\"\"
@@ -23,20 +23,20 @@
     def write(self):
         eliot.log_message("thing.went", who=1, why=2)
 """
-    event = read(text)["thing.went"]
+    event = read_events(text)["thing.went"]
     assert event.fields == ("who", "why")
     assert event.writers == ("some/module.py: Writer.write",)
 
 
-def test_one_call_may_write_either_of_two_types() -> None:
+def test_both_types_of_a_conditional_expression_are_found() -> None:
     text = """
 def note(is_away):
     eliot.log_message("thing.went" if is_away else "thing.came", who=1)
 """
-    assert set(read(text)) == {"thing.went", "thing.came"}
+    assert set(read_events(text)) == {"thing.went", "thing.came"}
 
 
-def test_a_type_that_is_an_argument_is_found_at_the_callers() -> None:
+def test_a_type_passed_as_an_argument_is_found_at_the_callers() -> None:
     text = """
 class Writer:
     def went(self):
@@ -48,13 +48,13 @@
     def _log(self, what, who):
         eliot.log_message(what, who=who)
 """
-    assert {message_type: event.fields for message_type, event in read(text).items()} == {
+    assert {message_type: event.fields for message_type, event in read_events(text).items()} == {
         "thing.went": ("who",),
         "thing.came": ("who",),
     }
 
 
-def test_a_type_that_an_object_was_made_with_is_found_where_it_is_made() -> None:
+def test_a_type_passed_to_a_constructor_is_found_at_the_call() -> None:
     text = """
 class Told:
     def __init__(self, line):
@@ -65,15 +65,15 @@
 
 told = Told("thing.unreadable")
 """
-    assert read(text)["thing.unreadable"].fields == ("key",)
+    assert read_events(text)["thing.unreadable"].fields == ("key",)
 
 
-def test_a_type_that_can_not_be_worked_out_is_an_error() -> None:
+def test_a_type_that_can_not_be_resolved_is_an_error() -> None:
     with pytest.raises(ValueError, match=r"some/module\.py:2"):
-        read("\neliot.log_message(odd(), key=1)")
+        read_events("\neliot.log_message(odd(), key=1)")
 
 
-def test_every_type_that_is_named_in_the_code_is_on_the_page() -> None:
+def test_event_types_and_refusal_codes_are_on_the_page() -> None:
     page = log_events_page()
     for message_type in (
         "request.served",
@@ -86,7 +86,7 @@
         assert f"| `{code.value}` |" in page
 
 
-def test_the_committed_page_is_that_of_the_code() -> None:
+def test_the_committed_page_is_up_to_date() -> None:
     assert PAGE.read_text(encoding="utf-8") == log_events_page()
 
 
--- a/tests/unit/test_log_output.py
+++ b/tests/unit/test_log_output.py
@@ -1,4 +1,4 @@
-"""The log never waits for its reader, stays bounded, and says what it dropped."""
+"""Log output never blocks on its reader, stays bounded, and reports dropped lines."""
 
 import asyncio
 import os
@@ -19,67 +19,67 @@
     data = b""
     while True:
         try:
-            piece = os.read(descriptor, 1 << 16)
+            chunk = os.read(descriptor, 1 << 16)
         except BlockingIOError:
             break
-        if not piece:
+        if not chunk:
             break
-        data += piece
+        data += chunk
     return [orjson.loads(line) for line in data.splitlines()]
 
 
-def test_a_reader_that_stalls_holds_nothing_up_and_learns_what_it_missed() -> None:
+def test_a_stalled_reader_blocks_nothing_and_gets_the_number_of_dropped_lines() -> None:
     async def main() -> None:
-        reading, writing = os.pipe()
-        log = LogOutput(writing)
-        began = time.perf_counter()
+        read_end, write_end = os.pipe()
+        log = LogOutput(write_end)
+        began_s = time.perf_counter()
         for number in range(20_000):
             log({"message_type": "request.refused", "number": number, "text": "x" * 40})
-        assert time.perf_counter() - began < 2.0
+        assert time.perf_counter() - began_s < 2.0
         assert log._buffered_bytes <= BUFFER_BYTES
         assert log.dropped > 0
-        lines = read_lines(reading)
+        lines = read_lines(read_end)
         for _ in range(50):
             await asyncio.sleep(0.005)
-            lines += read_lines(reading)
+            lines += read_lines(read_end)
         assert not log._buffer
         log({"message_type": "request.refused", "number": -1})
-        lines += read_lines(reading)
-        said = sum(int(str(line["lines"])) for line in lines if "lines" in line)
-        assert said == log.dropped
+        lines += read_lines(read_end)
+        reported_drops = sum(int(str(line["lines"])) for line in lines if "lines" in line)
+        assert reported_drops == log.dropped
         numbers = [line["number"] for line in lines if "number" in line]
         assert numbers[-1] == -1
         assert len(numbers) == 20_001 - log.dropped
-        os.close(reading)
-        os.close(writing)
+        os.close(read_end)
+        os.close(write_end)
 
     asyncio.run(main())
 
 
-def test_ordinary_lines_give_way_and_failures_stay() -> None:
-    reading, writing = os.pipe()
-    log = LogOutput(writing)
+def test_ordinary_lines_are_thinned_and_failures_are_kept() -> None:
+    read_end, write_end = os.pipe()
+    log = LogOutput(write_end)
     for _ in range(3 * ORDINARY_PER_SECOND):
         log({"message_type": "request.served"})
     log({"message_type": "request.refused"})
-    types = [line["message_type"] for line in read_lines(reading)]
+    types = [line["message_type"] for line in read_lines(read_end)]
     assert types.count("request.served") <= 2 * ORDINARY_PER_SECOND
     assert types[-1] == "request.refused"
     assert log.ordinary.thinned >= ORDINARY_PER_SECOND
-    os.close(reading)
-    os.close(writing)
+    os.close(read_end)
+    os.close(write_end)
 
 
-def test_a_reader_that_is_gone_is_no_error() -> None:
-    reading, writing = os.pipe()
-    os.close(reading)
-    log = LogOutput(writing)
+def test_a_closed_reader_is_no_error() -> None:
+    read_end, write_end = os.pipe()
+    os.close(read_end)
+    log = LogOutput(write_end)
     log({"message_type": "host.started"})
     assert log.dropped == 1
-    os.close(writing)
+    os.close(write_end)
 
 
-def test_the_budget_starts_anew_each_second() -> None:
+def test_the_line_budget_is_reset_each_second() -> None:
     budget = LineBudget(2)
     assert [budget.takes(10.0), budget.takes(10.5), budget.takes(10.9)] == [True, True, False]
     assert budget.takes(11.0)
--- a/tests/unit/test_log_sizes.py
+++ b/tests/unit/test_log_sizes.py
@@ -1,4 +1,4 @@
-"""Reading logs holds what is reported, and not what was served as usual."""
+"""Reading logs does not keep ordinary lines in memory."""
 
 import tracemalloc
 from collections.abc import Callable, Sequence
@@ -11,9 +11,9 @@
 from bayhinge._internal.queries.tracing import trace
 from tests.lib.made_log import write_log
 
-SHORT, LONG = 4_000, 16_000
-MOST_BYTES_A_LINE = 16
-"""Windows and counters of distinct times grow a little; a line that is kept takes over 500."""
+SHORT_LINES, LONG_LINES = 4_000, 16_000
+MAX_BYTES_PER_LINE = 16
+"""Windows and counters of distinct times grow a little; a line kept in memory takes over 500."""
 
 
 def peak_bytes(work: Callable[[], object]) -> int:
@@ -38,10 +38,10 @@
     tmp_path: Path, read: Callable[[Sequence[Path]], object]
 ) -> None:
     peaks = []
-    for count in (SHORT, LONG):
+    for count in (SHORT_LINES, LONG_LINES):
         folder = tmp_path / str(count)
         folder.mkdir()
         files = write_log(folder, count, troubled=0.0, endpoints=3)
         read(files)
         peaks.append(peak_bytes(lambda files=files: read(files)))  # type: ignore[misc]
-    assert (peaks[1] - peaks[0]) / (LONG - SHORT) < MOST_BYTES_A_LINE
+    assert (peaks[1] - peaks[0]) / (LONG_LINES - SHORT_LINES) < MAX_BYTES_PER_LINE
--- a/tests/unit/test_set_fence.py
+++ b/tests/unit/test_set_fence.py
@@ -14,7 +14,7 @@
 from bayhinge._internal.services.disks.disk_request_handler import DiskRequestHandler
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.store import ObjectStore
-from tests.unit.test_left_behind_disks import SETTINGS
+from tests.unit.test_failed_attempts_disks import SETTINGS
 
 OTHERS = [
     wire.DiskMember(f"disk-{n}", n, f"127.0.0.{n}:5", hall)
--- a/tests/unit/test_unheard_sets.py
+++ b/tests/unit/test_unheard_sets.py
@@ -22,7 +22,7 @@
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.store import ObjectStore
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
-from tests.unit.test_left_behind_disks import SETTINGS
+from tests.unit.test_failed_attempts_disks import SETTINGS
 from tests.unit.test_set_fence import OTHERS
 
 
