--- a/tests/unit/test_caller_addresses.py
+++ b/tests/unit/test_caller_addresses.py
@@ -55,8 +55,8 @@
     assert len(addresses) == MIN_ADVERTISED_HOSTS + SPARE_HOSTS
     assert set(advertised(local_hosts[::-1])) == set(addresses[:MIN_ADVERTISED_HOSTS])
     lost = addresses[0]
-    left = [host for host in local_hosts if host.address != lost]
-    assert len(set(advertised(left)) & set(addresses)) == MIN_ADVERTISED_HOSTS - 1, (
+    remaining = [host for host in local_hosts if host.address != lost]
+    assert len(set(advertised(remaining)) & set(addresses)) == MIN_ADVERTISED_HOSTS - 1, (
         "the other hosts stay advertised"
     )
 
--- a/tests/unit/test_disk_fence.py
+++ b/tests/unit/test_disk_fence.py
@@ -88,24 +88,26 @@
         needed = reservations_needed(len(replicas), self.tolerated)
         attempt = f"turn-{next(self.attempts)}"
         waiting = {member.host for member in replicas}
-        one = Reservation(attempt, version, waiting, needed)
-        self.reservations.append(one)
-        return one
+        reservation = Reservation(attempt, version, waiting, needed)
+        self.reservations.append(reservation)
+        return reservation
 
-    def _deliver(self, one: Reservation, host: str) -> None:
+    def _deliver(self, reservation: Reservation, host: str) -> None:
         disk = self.disk_by_host[host]
         known = self._known(disk.version) if disk.version else KnownSet(0, (), (), self.tolerated)
-        verdict = known.verdict(disk.me, PROGRAM, one.version, disk.has_caught_up)
+        verdict = known.verdict(disk.me, PROGRAM, reservation.version, disk.has_caught_up)
         if self.is_fenced and verdict is not Verdict.TAKEN:
             return  # The host may retry; until then the reservation waits.
-        one.waiting.discard(host)
-        disk.ledger[one.attempt] = TOKENS
-        one.replies.append(dict(disk.ledger))
-        if len(one.replies) >= one.needed and not one.is_decided:
-            one.is_decided = True
-            committed = committed_tokens(one.attempt, ((reply, {}) for reply in one.replies))
+        reservation.waiting.discard(host)
+        disk.ledger[reservation.attempt] = TOKENS
+        reservation.replies.append(dict(disk.ledger))
+        if len(reservation.replies) >= reservation.needed and not reservation.is_decided:
+            reservation.is_decided = True
+            committed = committed_tokens(
+                reservation.attempt, ((reply, {}) for reply in reservation.replies)
+            )
             if committed + TOKENS <= BUDGET:
-                self.granted.append(one.attempt)
+                self.granted.append(reservation.attempt)
 
     # ---- updates of the set ----
 
@@ -183,10 +185,10 @@
 
     def reserve(self, version: int, *hosts: str) -> None:
         self.model.version_by_entry["entry-1"] = version
-        one = self.model.begin_turn("entry-1")
+        reservation = self.model.begin_turn("entry-1")
         for host in hosts:
-            if host in one.waiting:
-                self.model._deliver(one, host)
+            if host in reservation.waiting:
+                self.model._deliver(reservation, host)
 
     def wipe(self, host: str) -> None:
         self.model._add_disk(host, self.disk(host).me.hall)
@@ -234,7 +236,9 @@
         host = f"disk-new-{number}"
         model._add_disk(host, HALLS[number])
         script.change(*remaining, host)
-        script.learn("disk-2", *(one for one in model.disk_by_host if one.startswith("disk-new")))
+        script.learn(
+            "disk-2", *(name for name in model.disk_by_host if name.startswith("disk-new"))
+        )
     script.copy("disk-new-1", "disk-2", "disk-new-0")
     script.copy("disk-new-0", "disk-2", "disk-new-1")
     script.reserve(model.newest, "disk-2", "disk-new-0", "disk-new-1")
--- a/tests/unit/test_disk_fence_drawn.py
+++ b/tests/unit/test_disk_fence_drawn.py
@@ -44,7 +44,10 @@
 
 Start = tuple[int, int, int]
 STARTS: list[Start] = [(1, 3, 1), (1, 4, 0), (1, 5, 0), (2, 3, 0), (2, 5, 0), (2, 4, 0)]
-"""Initial sites: tolerated losses, members of the set, disks outside of it. Some have shrunk."""
+"""Initial sites: tolerated losses, members of the set, and disks outside of it.
+
+Some sets have shrunk.
+"""
 
 SETTINGS = settings(
     max_examples=50,
@@ -56,7 +59,10 @@
 
 
 class Drawn(RuleBasedStateMachine):
-    """A site that never loses more disks at once than it tolerates."""
+    """A site that never loses more disks at once than it tolerates.
+
+    Hypothesis sorts rules and arguments by name: a rename may change the derandomized runs.
+    """
 
     turns = Bundle("turns")
 
--- a/tests/unit/test_endpoint_book.py
+++ b/tests/unit/test_endpoint_book.py
@@ -145,7 +145,7 @@
     state.complaints = 4
     assert chosen_endpoint(table) == "b"
     assert chosen_endpoint(table, PlacementPreference(incarnation("a"))) == "b", (
-        "also if the endpoint has a warm cache"
+        "even if the preferred endpoint has a warm cache"
     )
     table.apply_peer_loads({"b": 8})
     assert chosen_endpoint(table) == "a"
