--- a/tests/unit/test_caller_addresses.py
+++ b/tests/unit/test_caller_addresses.py
@@ -72,19 +72,19 @@
 
 def test_partitioned_hosts_are_left_out_unless_most_hosts_are_partitioned() -> None:
     local_hosts = hosts(MIN_ADVERTISED_HOSTS, "north")
-    partitioned = [attrs.evolve(host, is_cut_off=True) for host in local_hosts[:3]]
+    partitioned = [attrs.evolve(host, is_partitioned=True) for host in local_hosts[:3]]
     addresses = advertised(partitioned + local_hosts[3:])
     assert not {host.address for host in partitioned} & set(addresses)
     assert len(addresses) == MIN_ADVERTISED_HOSTS - 3, (
         "too few for the hall alone, but there is no other hall"
     )
-    all_partitioned = [attrs.evolve(host, is_cut_off=True) for host in local_hosts]
+    all_partitioned = [attrs.evolve(host, is_partitioned=True) for host in local_hosts]
     assert len(advertised(all_partitioned)) == MIN_ADVERTISED_HOSTS
 
 
 def test_spares_are_hosts_that_already_send_requests() -> None:
     far = hosts(12, "south")
-    sending = [attrs.evolve(host, is_told=True) for host in far[:3]]
+    sending = [attrs.evolve(host, is_advertised=True) for host in far[:3]]
     spares = {
         addresses_for(hosts(12, "north") + sending + far[3:], "north", "land", random.Random(seed))[
             -1
--- a/tests/unit/test_connecting_play.py
+++ b/tests/unit/test_connecting_play.py
@@ -12,7 +12,7 @@
 
 from bayhinge._internal.decisions import caller_addresses
 from bayhinge._internal.decisions.caller_addresses import ReadyHost, addresses_for
-from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
+from bayhinge._internal.decisions.endpoint_book import EndpointTable, PlacementPreference
 from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 
 HALL_HOSTS = 35
@@ -56,13 +56,13 @@
 
 
 def hall_table() -> EndpointTable:
-    table = EndpointTable("north")
+    endpoint_table = EndpointTable("north")
     for service, count in (("llm", ENGINES), ("app", SERVICES)):
         for number in range(count):
             instance = f"{service}-{number}"
             address = f"127.0.0.1:{number}"
-            table.put(EndpointEntry(instance, service, address, "north", SLOTS, False))
-    return table
+            endpoint_table.put(EndpointEntry(instance, service, address, "north", SLOTS, False))
+    return endpoint_table
 
 
 def simulate(
@@ -72,7 +72,7 @@
     prefers_connected: bool = True,
 ) -> SimulationResult:
     generator = random.Random(7)
-    table = hall_table()
+    endpoint_table = hall_table()
     idle: dict[tuple[str, str], list[float]] = {}
     completions: list[tuple[float, str, str]] = []
     requests_by_host: dict[str, int] = {}
@@ -83,7 +83,7 @@
         while completions and completions[0][0] <= now_s:
             ended_s, host, instance = heapq.heappop(completions)
             idle.setdefault((host, instance), []).append(ended_s + IDLE_CONNECTION_S)
-            table.find(instance).running_here -= 1  # type: ignore[union-attr]
+            endpoint_table.find(instance).running_here -= 1  # type: ignore[union-attr]
         host = generator.choice(advertised)
         if host in lost_hosts:
             refused += 1
@@ -101,7 +101,7 @@
         }
         if prefers_connected:
             preference = attrs.evolve(preference, connected=frozenset(connected_instances))
-        state = table.choose("llm" if is_turn else "app", preference, (), now_s)
+        state = endpoint_table.choose("llm" if is_turn else "app", preference, (), now_s)
         assert state is not None
         state.running_here += 1
         most_at_once = max(most_at_once, state.running_here)
--- a/tests/unit/test_endpoint_starts.py
+++ b/tests/unit/test_endpoint_starts.py
@@ -8,20 +8,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.endpoint_incarnations import (
-    CLOCK_SKEW_S,
-    Contact,
-    NewIncarnation,
-    began_s,
-    belongs_to,
-    is_over,
-)
-from bayhinge._internal.decisions.endpoint_table import (
+from bayhinge._internal.decisions.endpoint_book import (
     EndpointState,
     EndpointTable,
     EntryChange,
     PlacementPreference,
 )
+from bayhinge._internal.decisions.endpoint_starts import (
+    CLOCK_SKEW_S,
+    ConnectionTimes,
+    NewIncarnation,
+    began_s,
+    belongs_to,
+    is_stale,
+)
 from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
 from bayhinge._internal.decisions.load_table import HostLoadReport, LoadTable
 from bayhinge._internal.exceptions import UnreadableObjectError
@@ -39,22 +39,22 @@
 
 
 def table_of(*entries: EndpointEntry) -> EndpointTable:
-    table = EndpointTable("north")
+    endpoint_table = EndpointTable("north")
     for one in entries:
-        table.put(one)
-    return table
+        endpoint_table.put(one)
+    return endpoint_table
 
 
-def state_of(table: EndpointTable, instance: str = "a") -> EndpointState:
-    state = table.find(instance)
+def state_of(endpoint_table: EndpointTable, instance: str = "a") -> EndpointState:
+    state = endpoint_table.find(instance)
     assert state is not None
     return state
 
 
 def chosen_endpoint(
-    table: EndpointTable, preference: PlacementPreference | None = None
+    endpoint_table: EndpointTable, preference: PlacementPreference | None = None
 ) -> str | None:
-    state = table.choose("app", preference or PlacementPreference(), (), NOW_S)
+    state = endpoint_table.choose("app", preference or PlacementPreference(), (), NOW_S)
     return None if state is None else state.entry.instance
 
 
@@ -89,9 +89,9 @@
 
 def test_an_entry_without_a_start_time_has_an_unknown_one() -> None:
     value = orjson.dumps(ENTRY_OBJECT)
-    assert PlatformObjectReader().read_endpoint("servers/a", value).start == EndpointIncarnation(
-        "a"
-    )
+    assert PlatformObjectReader().read_endpoint(
+        "servers/a", value
+    ).incarnation == EndpointIncarnation("a")
 
 
 # ---- the order of incarnations ----
@@ -99,84 +99,90 @@
 
 def test_an_unknown_start_time_is_neither_before_nor_after_another() -> None:
     unknown, known = EndpointIncarnation("a"), EndpointIncarnation("a", BORN_MS)
-    assert not unknown.is_after(known)
-    assert not known.is_after(unknown)
-    assert unknown.may_be(known)
-    assert known.may_be(unknown)
-    assert not known.may_be(EndpointIncarnation("a", BORN_MS + 1))
-    assert not known.may_be(EndpointIncarnation("b", BORN_MS))
+    assert not unknown.is_later_than(known)
+    assert not known.is_later_than(unknown)
+    assert unknown.may_be_same_as(known)
+    assert known.may_be_same_as(unknown)
+    assert not known.may_be_same_as(EndpointIncarnation("a", BORN_MS + 1))
+    assert not known.may_be_same_as(EndpointIncarnation("b", BORN_MS))
 
 
 def test_a_later_incarnation_begins_with_a_fresh_state() -> None:
-    table = table_of(entry(), entry("b", address="10.0.0.2:80"))
-    former = state_of(table)
-    former.running_here, former.running_at_peers, former.complaints = 3, 4, 2
+    endpoint_table = table_of(entry(), entry("b", address="10.0.0.2:80"))
+    former = state_of(endpoint_table)
+    former.running_here, former.running_at_peers, former.failure_reports = 3, 4, 2
     former.is_suspected = True
     for _ in range(5):
         former.record_failure(NOW_S)
-    assert chosen_endpoint(table) == "b"
-    assert table.put(entry(born_ms=BORN_MS + 1)) is EntryChange.RESTARTED
-    assert state_of(table) is not former
-    assert (state_of(table).load, state_of(table).effective_load, state_of(table).failures) == (
+    assert chosen_endpoint(endpoint_table) == "b"
+    assert endpoint_table.put(entry(born_ms=BORN_MS + 1)) is EntryChange.RESTARTED
+    assert state_of(endpoint_table) is not former
+    assert (
+        state_of(endpoint_table).load,
+        state_of(endpoint_table).effective_load,
+        state_of(endpoint_table).failures,
+    ) == (
         0,
         0,
         0,
     )
-    assert not state_of(table).is_suspected
-    assert not table.resting(NOW_S)
-    assert chosen_endpoint(table) == "a"
+    assert not state_of(endpoint_table).is_suspected
+    assert not endpoint_table.ejected(NOW_S)
+    assert chosen_endpoint(endpoint_table) == "a"
 
 
 def test_late_results_of_the_former_incarnation_do_not_affect_the_next() -> None:
-    table = table_of(entry())
-    former = state_of(table)
-    table.put(entry(born_ms=BORN_MS + 1))
+    endpoint_table = table_of(entry())
+    former = state_of(endpoint_table)
+    endpoint_table.put(entry(born_ms=BORN_MS + 1))
     former.record_failure(NOW_S)
     former.running_here -= 1
-    assert not table.resting(NOW_S)
-    assert state_of(table).running_here == 0
+    assert not endpoint_table.ejected(NOW_S)
+    assert state_of(endpoint_table).running_here == 0
 
 
 def test_a_late_entry_never_replaces_a_later_incarnation() -> None:
-    table = table_of(entry(born_ms=BORN_MS + 1, address="10.0.0.2:80"))
-    newest = state_of(table)
+    endpoint_table = table_of(entry(born_ms=BORN_MS + 1, address="10.0.0.2:80"))
+    newest = state_of(endpoint_table)
     newest.is_suspected = True
-    assert table.put(entry(address="10.0.0.1:80")) is EntryChange.OUTDATED
-    assert state_of(table) is newest
+    assert endpoint_table.put(entry(address="10.0.0.1:80")) is EntryChange.OUTDATED
+    assert state_of(endpoint_table) is newest
     assert newest.entry.address == "10.0.0.2:80"
     assert newest.is_suspected, "the entry of the later incarnation has not returned"
 
 
 def test_a_late_entry_does_not_restore_a_removed_endpoint() -> None:
-    table = table_of(entry(born_ms=BORN_MS + 1))
-    assert table.remove("a")
-    assert table.put(entry()) is EntryChange.OUTDATED
-    assert table.find("a") is None
-    assert table.put(entry(born_ms=BORN_MS + 1)) is EntryChange.FOUND
-    table.remove("a")
-    assert table.put(entry(born_ms=BORN_MS + 2)) is EntryChange.RESTARTED
-    table.remove("a")
-    table.forget_removed(EndpointIncarnation("a", BORN_MS + 1))
-    assert table.put(entry()) is EntryChange.OUTDATED, "another incarnation is still remembered"
-    table.forget_removed(EndpointIncarnation("a", BORN_MS + 2))
-    assert table.put(entry()) is EntryChange.FOUND
+    endpoint_table = table_of(entry(born_ms=BORN_MS + 1))
+    assert endpoint_table.remove("a")
+    assert endpoint_table.put(entry()) is EntryChange.OUTDATED
+    assert endpoint_table.find("a") is None
+    assert endpoint_table.put(entry(born_ms=BORN_MS + 1)) is EntryChange.FOUND
+    endpoint_table.remove("a")
+    assert endpoint_table.put(entry(born_ms=BORN_MS + 2)) is EntryChange.RESTARTED
+    endpoint_table.remove("a")
+    endpoint_table.forget_removed(EndpointIncarnation("a", BORN_MS + 1))
+    assert endpoint_table.put(entry()) is EntryChange.OUTDATED, (
+        "another incarnation is still remembered"
+    )
+    endpoint_table.forget_removed(EndpointIncarnation("a", BORN_MS + 2))
+    assert endpoint_table.put(entry()) is EntryChange.FOUND
 
 
 def test_an_entry_without_a_start_time_updates_the_known_incarnation() -> None:
-    table = table_of(entry())
-    state = state_of(table)
-    assert table.put(entry(born_ms=None, address="10.0.0.2:80")) is EntryChange.CHANGED
-    assert state_of(table) is state
+    endpoint_table = table_of(entry())
+    state = state_of(endpoint_table)
+    assert endpoint_table.put(entry(born_ms=None, address="10.0.0.2:80")) is EntryChange.CHANGED
+    assert state_of(endpoint_table) is state
     assert state.entry == entry(address="10.0.0.2:80")
-    assert table.put(entry(born_ms=BORN_MS - 1)) is EntryChange.OUTDATED
+    assert endpoint_table.put(entry(born_ms=BORN_MS - 1)) is EntryChange.OUTDATED
 
 
 def test_an_unknown_incarnation_keeps_its_state_when_its_start_time_becomes_known() -> None:
-    table = table_of(entry(born_ms=None))
-    state = state_of(table)
+    endpoint_table = table_of(entry(born_ms=None))
+    state = state_of(endpoint_table)
     state.running_here = 2
-    assert table.put(entry()) is EntryChange.CHANGED
-    assert state_of(table) is state
+    assert endpoint_table.put(entry()) is EntryChange.CHANGED
+    assert state_of(endpoint_table) is state
     assert state.running_here == 2
 
 
@@ -196,10 +202,10 @@
 
 
 def _latest_born_ms(born_times_ms: Iterable[int | None]) -> int | None:
-    table = EndpointTable("north")
+    endpoint_table = EndpointTable("north")
     for born_ms in born_times_ms:
-        table.put(entry(born_ms=born_ms))
-    state = table.find("a")
+        endpoint_table.put(entry(born_ms=born_ms))
+    state = endpoint_table.find("a")
     return None if state is None else state.entry.born_ms
 
 
@@ -214,50 +220,58 @@
 def test_an_endpoint_whose_address_was_reused_is_the_last_resort() -> None:
     later = entry("b", BORN_MS + 1)
     for order in ((entry(), later), (later, entry())):
-        table = table_of(*order)
-        assert [state.entry.instance for state in table.replaced_at("10.0.0.1:80")] == ["a"]
-        assert chosen_endpoint(table) == "b"
-        state_of(table, "b").running_here = 1_000
-        assert chosen_endpoint(table) == "b"
-        table.remove("b")
-        assert chosen_endpoint(table) == "a", (
+        endpoint_table = table_of(*order)
+        assert [state.entry.instance for state in endpoint_table.replaced_at("10.0.0.1:80")] == [
+            "a"
+        ]
+        assert chosen_endpoint(endpoint_table) == "b"
+        state_of(endpoint_table, "b").running_here = 1_000
+        assert chosen_endpoint(endpoint_table) == "b"
+        endpoint_table.remove("b")
+        assert chosen_endpoint(endpoint_table) == "a", (
             "the other one was removed, and the entry of this one is present"
         )
 
 
 @pytest.mark.parametrize("born_ms", [None, BORN_MS])
 def test_an_entry_with_the_same_or_no_start_time_replaces_no_endpoint(born_ms: int | None) -> None:
-    table = table_of(entry(), entry("b", born_ms))
-    assert table.replaced_at("10.0.0.1:80") == []
+    endpoint_table = table_of(entry(), entry("b", born_ms))
+    assert endpoint_table.replaced_at("10.0.0.1:80") == []
 
 
 def test_an_endpoint_that_restarted_elsewhere_is_no_longer_replaced() -> None:
-    table = table_of(entry(), entry("b", BORN_MS + 1))
-    table.put(entry(born_ms=BORN_MS + 2, address="10.0.0.9:80"))
-    assert table.replaced_at("10.0.0.1:80") == table.replaced_at("10.0.0.9:80") == []
-    assert chosen_endpoint(table) == "a"
+    endpoint_table = table_of(entry(), entry("b", BORN_MS + 1))
+    endpoint_table.put(entry(born_ms=BORN_MS + 2, address="10.0.0.9:80"))
+    assert (
+        endpoint_table.replaced_at("10.0.0.1:80") == endpoint_table.replaced_at("10.0.0.9:80") == []
+    )
+    assert chosen_endpoint(endpoint_table) == "a"
 
 
 # ---- cached prompts ----
 
 
 def test_a_prompt_cached_by_a_former_incarnation_attracts_no_turn() -> None:
-    table = table_of(entry("a", BORN_MS + 1), entry("b", address="10.0.0.2:80"))
-    table.apply_peer_loads({"a": 2})
+    endpoint_table = table_of(entry("a", BORN_MS + 1), entry("b", address="10.0.0.2:80"))
+    endpoint_table.apply_peer_loads({"a": 2})
     assert (
         chosen_endpoint(
-            table, PlacementPreference(EndpointIncarnation("a", BORN_MS + 1), kept_tokens=20_000)
+            endpoint_table,
+            PlacementPreference(EndpointIncarnation("a", BORN_MS + 1), kept_tokens=20_000),
         )
         == "a"
     )
     assert (
         chosen_endpoint(
-            table, PlacementPreference(EndpointIncarnation("a", BORN_MS), kept_tokens=20_000)
+            endpoint_table,
+            PlacementPreference(EndpointIncarnation("a", BORN_MS), kept_tokens=20_000),
         )
         == "b"
     )
     assert (
-        chosen_endpoint(table, PlacementPreference(EndpointIncarnation("a"), kept_tokens=20_000))
+        chosen_endpoint(
+            endpoint_table, PlacementPreference(EndpointIncarnation("a"), kept_tokens=20_000)
+        )
         == "a"
     ), "it may be the same incarnation"
 
@@ -266,9 +280,11 @@
 
 
 def connection_times(
-    opened_s: float, received_s: float | None = None, address: str = "x"
-) -> Contact:
-    return Contact(address, opened_s, opened_s if received_s is None else received_s)
+    opened_s: float, last_received_s: float | None = None, address: str = "x"
+) -> ConnectionTimes:
+    return ConnectionTimes(
+        address, opened_s, opened_s if last_received_s is None else last_received_s
+    )
 
 
 def test_a_start_time_is_converted_to_the_monotonic_clock() -> None:
@@ -279,32 +295,32 @@
 
 
 def test_a_connection_opened_before_the_start_is_stale() -> None:
-    start = NewIncarnation("x", NOW_S)
-    assert is_over(connection_times(NOW_S - 1), start)
-    assert not is_over(connection_times(NOW_S + 1), start)
-    assert belongs_to(connection_times(NOW_S + 1), start)
-    assert not belongs_to(connection_times(NOW_S - 1), start)
+    incarnation = NewIncarnation("x", NOW_S)
+    assert is_stale(connection_times(NOW_S - 1), incarnation)
+    assert not is_stale(connection_times(NOW_S + 1), incarnation)
+    assert belongs_to(connection_times(NOW_S + 1), incarnation)
+    assert not belongs_to(connection_times(NOW_S - 1), incarnation)
 
 
 def test_a_connection_that_received_data_since_the_start_is_not_stale() -> None:
-    start = NewIncarnation("x", NOW_S)
-    assert not is_over(connection_times(NOW_S - 1, NOW_S + CLOCK_SKEW_S + 0.1), start)
-    assert is_over(connection_times(NOW_S - 1, NOW_S + CLOCK_SKEW_S / 2), start), (
+    incarnation = NewIncarnation("x", NOW_S)
+    assert not is_stale(connection_times(NOW_S - 1, NOW_S + CLOCK_SKEW_S + 0.1), incarnation)
+    assert is_stale(connection_times(NOW_S - 1, NOW_S + CLOCK_SKEW_S / 2), incarnation), (
         "this is within the clock skew"
     )
 
 
 def test_within_the_clock_skew_a_run_continues_and_an_idle_connection_is_not_reused() -> None:
-    for start, opened_s in (
+    for incarnation, opened_s in (
         (NewIncarnation("x", NOW_S), NOW_S - CLOCK_SKEW_S),
         (NewIncarnation("x", None), NOW_S - 60),
     ):
-        assert not is_over(connection_times(opened_s), start)
-        assert not belongs_to(connection_times(opened_s), start)
+        assert not is_stale(connection_times(opened_s), incarnation)
+        assert not belongs_to(connection_times(opened_s), incarnation)
 
 
 def test_a_connection_to_another_address_is_always_stale() -> None:
-    assert is_over(connection_times(NOW_S + 1), NewIncarnation("y", None))
+    assert is_stale(connection_times(NOW_S + 1), NewIncarnation("y", None))
     assert not belongs_to(connection_times(NOW_S + 1), NewIncarnation("y", NOW_S))
 
 
@@ -314,7 +330,7 @@
 def test_hosts_that_do_not_know_an_incarnation_are_found_by_their_revision() -> None:
     revisions = IncarnationRevisions()
     assert not revisions.not_known_by(0)
-    revisions.note("a", 50)
+    revisions.record("a", 50)
     assert set(revisions.not_known_by(49)) == {"a"}
     assert not revisions.not_known_by(50)
     assert not revisions.not_known_by(None), (
@@ -330,14 +346,16 @@
 
 def test_a_coordinator_forgets_loads_failure_reports_and_grants_of_a_former_incarnation() -> None:
     load_table = LoadTable()
-    load_table.hear(HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S)
+    load_table.record_report(
+        HostLoadReport("h", 1, 1, 0, {"a": 5, "b": 1}, frozenset({"a", "b"})), NOW_S
+    )
     grant = load_table.grant("h", "a")
     load_table.grant("h", "b")
     load_table.forget_endpoint("a")
     assert nonzero(load_table.running_by_endpoint()) == {"b": 2}
     assert nonzero(load_table.failure_reports_by_endpoint()) == {"b": 1}
     # Later reports count once, also if they include requests that were granted before.
-    load_table.hear(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
+    load_table.record_report(HostLoadReport("h", 1, 2, grant, {"a": 1, "b": 1}, frozenset()), NOW_S)
     assert nonzero(load_table.running_by_endpoint()) == {"a": 1, "b": 2}
     load_table.forget_silent(NOW_S + 60)
     assert not nonzero(load_table.running_by_endpoint())
--- a/tests/unit/test_endpoint_updates.py
+++ b/tests/unit/test_endpoint_updates.py
@@ -6,19 +6,19 @@
 import orjson
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation
-from bayhinge._internal.decisions.endpoint_table import EndpointState, EndpointTable
+from bayhinge._internal.decisions.endpoint_book import EndpointState, EndpointTable
+from bayhinge._internal.decisions.endpoint_starts import NewIncarnation
 from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
-from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
+from bayhinge._internal.services.gateway.hall_homes import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange, sum_loads
 from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
+from bayhinge._internal.services.gateway.runs_under_way import ActiveRuns
 from bayhinge._internal.services.gateway.store_listeners import (
     MISSING_AFTER_OUTAGE_GRACE_S,
     MISSING_ENTRY_GRACE_S,
@@ -52,14 +52,14 @@
     """A host's state of the endpoints."""
 
     def __init__(self) -> None:
-        self.table = EndpointTable("north")
-        self.connections = EndpointConnectionPool()
+        self.endpoint_table = EndpointTable("north")
+        self.connection_pool = EndpointConnectionPool()
         self.runs = ActiveRuns()
         self.restarts = EndpointRestarts(
-            self.table, self.connections, self.runs, lambda: BORN_MS + 9_000
+            self.endpoint_table, self.connection_pool, self.runs, lambda: BORN_MS + 9_000
         )
         self.listener = EndpointTableUpdater(
-            PlatformObjectReader(), self.table, self.connections, self.restarts
+            PlatformObjectReader(), self.endpoint_table, self.connection_pool, self.restarts
         )
 
     def apply_entry(self, value: bytes | None, key: str = KEY, revision: int = 5) -> None:
@@ -69,7 +69,7 @@
         self.listener.replace_all(value_by_key, is_after_outage)
 
     def state(self) -> EndpointState:
-        state = self.table.find("a")
+        state = self.endpoint_table.find("a")
         assert state is not None
         return state
 
@@ -97,12 +97,12 @@
         host.apply_entry(None)
         host.apply_entry(entry_value(BORN_MS))
         await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
-        assert host.table.find("a") is None
+        assert host.endpoint_table.find("a") is None
         host.apply_entry(entry_value(BORN_MS))
-        assert host.table.find("a") is None
+        assert host.endpoint_table.find("a") is None
         await asyncio.sleep(REMOVED_ENTRY_KEEP_S)
         host.apply_entry(entry_value(BORN_MS))
-        assert host.table.find("a") is not None
+        assert host.endpoint_table.find("a") is not None
 
     run_virtual(scenario())
 
@@ -166,7 +166,7 @@
         run = host.runs.begin(host.state())
         host.apply_entry(None)
         await asyncio.sleep(MISSING_ENTRY_GRACE_S + 0.1)
-        assert host.table.find("a") is None
+        assert host.endpoint_table.find("a") is None
         host.apply_entry(entry_value(BORN_MS))
         assert host.state().running_here == 1
         host.runs.end(run)
@@ -176,12 +176,12 @@
 
 
 def test_data_received_from_a_former_incarnation_does_not_count_for_the_next() -> None:
-    connections = EndpointConnectionPool()
-    connections._last_received_s_by_key["a"] = 10.0
-    connections.start_again("a", NewIncarnation("x", 9.0))
-    assert connections.has_received_since("a", 9.5), "received from the new incarnation"
-    connections.start_again("a", NewIncarnation("x", 11.0))
-    assert not connections.has_received_since("a", 9.5)
+    connection_pool = EndpointConnectionPool()
+    connection_pool._last_received_s_by_key["a"] = 10.0
+    connection_pool.close_previous_incarnations("a", NewIncarnation("x", 9.0))
+    assert connection_pool.has_received_since("a", 9.5), "received from the new incarnation"
+    connection_pool.close_previous_incarnations("a", NewIncarnation("x", 11.0))
+    assert not connection_pool.has_received_since("a", 9.5)
 
 
 # ---- loads ----
@@ -189,7 +189,7 @@
 
 def exchange_of(host: Host) -> LoadExchange:
     me = wire.Hello(host="me", hall="north", incarnation=1)
-    exchange = LoadExchange(me, host.table, HallCoordinators.__new__(HallCoordinators))
+    exchange = LoadExchange(me, host.endpoint_table, HallCoordinators.__new__(HallCoordinators))
     host.restarts.forget_loads = exchange.forget_endpoint
     host.restarts.known_revision = lambda: 50
     return exchange
@@ -206,14 +206,14 @@
         host.apply_entry(entry_value(BORN_MS))
         exchange.receive_loads(load_report(1, 40))
         exchange.refresh_endpoint_table()
-        assert (host.state().running_at_peers, host.state().complaints) == (3, 1)
+        assert (host.state().running_at_peers, host.state().failure_reports) == (3, 1)
         host.apply_entry(entry_value(BORN_MS + 1))
         for beat, known_to, counts in ((2, 49, 0), (3, 50, 1), (4, None, 1)):
             exchange.refresh_endpoint_table()
             exchange.receive_loads(load_report(beat, known_to))
             exchange.refresh_endpoint_table()
             state = host.state()
-            assert (state.running_at_peers, state.complaints) == (3 * counts, counts)
+            assert (state.running_at_peers, state.failure_reports) == (3 * counts, counts)
 
     run_virtual(scenario())
 
@@ -222,12 +222,16 @@
     async def scenario() -> None:
         host = Host()
         exchange = exchange_of(host)
-        host.table.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS))
+        host.endpoint_table.put(
+            EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
+        )
         exchange._receive_hall_table(wire.HallLoads("south", "home", 1, 1, {"a": 6}, 40))
         exchange.record_remote_grant(host.state())
         exchange.refresh_endpoint_table()
         assert host.state().running_at_peers == 7
-        host.table.put(EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS + 1))
+        host.endpoint_table.put(
+            EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS + 1)
+        )
         host.restarts.handle_restart(
             host.state(), EndpointEntry("a", "app", "10.0.0.1:80", "south", 4, False, BORN_MS)
         )
@@ -245,7 +249,7 @@
 
 def test_heartbeats_of_outdated_hosts_are_left_out_of_the_sum() -> None:
     revisions = IncarnationRevisions()
-    revisions.note("a", 50)
+    revisions.record("a", 50)
     heartbeats = [
         wire.Hello(host=str(known_to), running_by_endpoint={"a": 2, "b": 1})
         for known_to in (49, 50, None)
@@ -268,7 +272,7 @@
 
 def placer_of(host: Host) -> CoordinatorPlacer:
     return CoordinatorPlacer(
-        host.table, OwnHallCoordinator(), exchange_of(host), UpToDatePeer(), "north"
+        host.endpoint_table, OwnHallCoordinator(), exchange_of(host), UpToDatePeer(), "north"
     )
 
 
@@ -284,7 +288,7 @@
         host.apply_entry(entry_value(BORN_MS))
         host.apply_entry(entry_value(BORN_MS, 90), "servers/b")
         host.apply_entry(entry_value(BORN_MS + 1, 81))
-        state = host.table.find("b")
+        state = host.endpoint_table.find("b")
         assert state is not None
         state.running_here = 3
         assert placer.answer(place_call(49, "", None)).endpoint == "b"
@@ -299,7 +303,7 @@
         placer = placer_of(host)
         host.apply_entry(entry_value(BORN_MS + 1))
         host.apply_entry(entry_value(BORN_MS, 90), "servers/b")
-        state = host.table.find("a")
+        state = host.endpoint_table.find("a")
         assert state is not None
         state.running_here = 2
         assert placer.answer(place_call(50, "a", BORN_MS)).endpoint == "b"
@@ -351,7 +355,7 @@
         follower = PrefixFollower(store, "servers/", lambda: 5.0, listener, UpToDatePeer())
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(0.5)
-        follower.hear(60, "peer")
+        follower.observe_revision(60, "peer")
         await asyncio.sleep(1.0)
         task.cancel()
         assert listener.value_by_key == {KEY: b"new"}
--- a/tests/unit/test_failed_attempts_disks.py
+++ b/tests/unit/test_failed_attempts_disks.py
@@ -112,7 +112,7 @@
 
     async def main() -> None:
         host = DiskHost(attrs.evolve(SETTINGS, data_folder=str(tmp_path)), cast(ObjectStore, None))
-        host.gossip.say_now = lambda: None  # type: ignore[method-assign]
+        host.gossip.send_now = lambda: None  # type: ignore[method-assign]
         host.apply_disk_set(wire.DiskSet(1, [host.me, other, *before]))
         may_answer = asyncio.Event()
         queried_positions: list[int] = []
--- a/tests/unit/test_failed_attempts_elsewhere.py
+++ b/tests/unit/test_failed_attempts_elsewhere.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bayhinge._internal.bench.world.virtual_time import LoopClock, run_virtual
-from bayhinge._internal.decisions.offers import Done, Outcome
+from bayhinge._internal.decisions.offers import CallCompletion, Outcome
 from bayhinge._internal.exceptions import PeerUnreachableError
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.frames import encode_message
@@ -26,7 +26,7 @@
 from bayhinge.coordination.config_feed import ConfigFeed, FeedTimes
 from bayhinge.coordination.membership import Membership
 from bayhinge.coordination.store import Change, ChangePage, Listing, PollingStore, StoredObject
-from bayhinge.coordination.store_availability import StoreAvailability
+from bayhinge.coordination.store_contact import StoreAvailability
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 from tests.functional.test_endpoint_link import Wire, answer, ask, read_request, run
 from tests.lib.read_only_store import ReadOnlyStore
@@ -50,10 +50,10 @@
     """Guards against parsing the next answer after the start of an unrequested one."""
     part = b"HTTP/1.1 200 OK\r\nBayhinge-Odd: 1\r\nX-Cut: "[:size]
 
-    async def scenario(connections: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(connections, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connection_pool, address)
         assert await first.read_body() == b"body"
-        connections.release(connection, None)
+        connection_pool.release(connection, None)
         assert not connection.is_open
 
     run(endpoint_with_surplus(part), scenario)
@@ -62,12 +62,12 @@
 def test_the_start_of_a_surplus_answer_does_not_change_the_next_head() -> None:
     part = b"HTTP/1.1 503 Full\r\nBayhinge-Not-Executed: 1\r\nX-Cut: "
 
-    async def scenario(connections: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(connections, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connection_pool, address)
         await first.read_body()
-        connections.release(connection, None)
+        connection_pool.release(connection, None)
         try:
-            _, second = await ask(connections, address)
+            _, second = await ask(connection_pool, address)
         except Exception:
             return
         names = {name for name, _ in second.headers}
@@ -80,12 +80,12 @@
     """Answers a list late, with the state at the time of the request."""
 
     def __init__(self) -> None:
-        self._contact = StoreAvailability()
+        self._availability = StoreAvailability()
         self.may_answer = asyncio.Event()
 
     @property
-    def contact(self) -> StoreAvailability:
-        return self._contact
+    def availability(self) -> StoreAvailability:
+        return self._availability
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
         await self.may_answer.wait()
@@ -134,14 +134,14 @@
         follower.should_watch = lambda: False
         following = asyncio.create_task(follower.run())
         await asyncio.sleep(0.02)
-        follower.hear(5, "peer")
+        follower.observe_revision(5, "peer")
         await asyncio.sleep(0.1)
         assert listener.states == [{"servers/new"}]
         store.may_answer.set()
         await asyncio.sleep(0.1)
         follower.stop()
         following.cancel()
-        known = follower.known()
+        known = follower.snapshot()
         assert known.complete_to == 5
         assert set(known.value_by_key) == {"servers/new"}, listener.states
 
@@ -265,7 +265,7 @@
         membership = SimpleNamespace(me=SimpleNamespace(peer_address="here"))
         grants = RemoteGrants(cast(Membership, membership), cast(QueueDispatcher, None), peers)
         granted = GrantedEndpoint("g", "cell", "e-1", "e-1:1", 0.0, "there")
-        grants.done(granted, Done("g", Outcome.FINISHED))
+        grants.done(granted, CallCompletion("g", Outcome.FINISHED))
         await asyncio.sleep(60)
         assert peers.called_methods == ["done"]
 
--- a/tests/unit/test_heartbeats.py
+++ b/tests/unit/test_heartbeats.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.last_seen import AGE_UNITS_PER_S, start_of
+from bayhinge._internal.decisions.sightings import AGE_UNITS_PER_S, short_incarnation
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services import gossip
@@ -68,12 +68,12 @@
         return {heartbeat.host for heartbeat in self.gossip.ready_entry_hosts()}
 
 
-INCARNATION_OF_B = start_of((1 << 40) + len("b"))
+INCARNATION_OF_B = short_incarnation((1 << 40) + len("b"))
 
 
 @pytest.fixture
 def listener(tmp_path: object, monkeypatch: pytest.MonkeyPatch) -> Listener:
-    monkeypatch.setattr(gossip, "listed_s", lambda period_s: LISTED_S)
+    monkeypatch.setattr(gossip, "advertised_s", lambda period_s: LISTED_S)
     return Listener(tmp_path)
 
 
@@ -128,13 +128,13 @@
         listener.receive("b", HostPhase.READY)
         listener.gossip._check_stall(gossip.STALL_S / 2)
         now_s = asyncio.get_running_loop().time()
-        assert INCARNATION_OF_B in listener.gossip._sightings.ages(now_s)
+        assert INCARNATION_OF_B in listener.gossip._last_seen.ages(now_s)
         listener.gossip._check_stall(gossip.STALL_S * 2)
         listener.receive("cc", HostPhase.READY, {INCARNATION_OF_B: 0})
-        assert listener.gossip._sightings.ages(now_s) == {}
+        assert listener.gossip._last_seen.ages(now_s) == {}
         listener.gossip._stalled_until_s = now_s
         listener.receive("cc", HostPhase.READY, {INCARNATION_OF_B: 0}, beat=2)
-        assert INCARNATION_OF_B in listener.gossip._sightings.ages(now_s)
+        assert INCARNATION_OF_B in listener.gossip._last_seen.ages(now_s)
 
     asyncio.run(main())
 
@@ -150,7 +150,7 @@
 
 
 def test_heartbeats_carry_ages_in_few_bytes() -> None:
-    ages = {start_of(number << 20): 3 * AGE_UNITS_PER_S for number in range(40)}
+    ages = {short_incarnation(number << 20): 3 * AGE_UNITS_PER_S for number in range(40)}
     required_fields: tuple[object, ...] = (
         "h",
         1,
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.endpoint_table import EndpointTable
+from bayhinge._internal.decisions.endpoint_book import EndpointTable
 from bayhinge._internal.decisions.watchers import (
     MIN_WATCH_S,
     WatchSlot,
@@ -23,7 +23,7 @@
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services import prefix_follower
 from bayhinge._internal.services.gateway.disk_directory import SUSPECT_S, DiskDirectory
-from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
+from bayhinge._internal.services.gateway.hall_homes import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
 from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as COORDINATOR_SUSPECT_S
 from bayhinge._internal.services.gossip import MIN_SILENCE_S, Gossip
@@ -33,7 +33,7 @@
 from bayhinge.coordination.config_feed import ConfigFeed, FeedTimes
 from bayhinge.coordination.lease import Lease
 from bayhinge.coordination.store import PollingStore
-from bayhinge.coordination.store_availability import StoreAvailability
+from bayhinge.coordination.store_contact import StoreAvailability
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 from tests.lib.jumping_clock import JUMPS_S, jump
 from tests.lib.platform_data import settings_text
@@ -131,12 +131,12 @@
         gossip = Gossip(site, HostRole.ENTRY)
         receive_heartbeat(gossip, "edge-2")
         await asyncio.sleep(MIN_SILENCE_S * 0.9)
-        assert_always(True, lambda: bool(gossip.fresh(HostRole.ENTRY)))
+        assert_always(True, lambda: bool(gossip.recent_heartbeats(HostRole.ENTRY)))
         assert_always(True, lambda: bool(gossip.ready_entry_hosts()))
         gossip._forget_silent()
         assert gossip._observed_addresses()
         await asyncio.sleep(2.5)
-        assert_always(False, lambda: bool(gossip.fresh(HostRole.ENTRY)))
+        assert_always(False, lambda: bool(gossip.recent_heartbeats(HostRole.ENTRY)))
         assert_always(False, lambda: bool(gossip.ready_entry_hosts()))
 
     run_virtual(scenario())
@@ -164,8 +164,8 @@
 def test_loads_of_a_host_count_until_their_timeout(site: SiteSettings) -> None:
     async def scenario() -> None:
         gossip = Gossip(site, HostRole.ENTRY)
-        table = EndpointTable("north")
-        exchange = LoadExchange(gossip.me, table, HallCoordinators(gossip))
+        endpoint_table = EndpointTable("north")
+        exchange = LoadExchange(gossip.own_heartbeat, endpoint_table, HallCoordinators(gossip))
         loads = HostLoads("edge-2", 1, 1, 0, {ENDPOINT: 3}, [])
 
         def counted() -> bool:
@@ -185,7 +185,7 @@
     """The part of a store that a follower needs if it never reads objects."""
 
     def __init__(self) -> None:
-        self.contact = StoreAvailability()
+        self.availability = StoreAvailability()
 
 
 def test_the_time_after_an_outage_lasts_for_its_duration() -> None:
@@ -195,10 +195,10 @@
             cast(PollingStore, store), "servers/", lambda: 5.0, cast(Any, None), cast(Peers, None)
         )
         assert_always(False, follower._is_after_outage)
-        store.contact.record_failure(is_silent=True)
+        store.availability.record_failure(timed_out=True)
         await asyncio.sleep(5.0)
-        store.contact.record_answer()
-        assert store.contact.recovered_s == asyncio.get_running_loop().time()
+        store.availability.record_answer()
+        assert store.availability.recovered_s == asyncio.get_running_loop().time()
         await asyncio.sleep(prefix_follower.AFTER_OUTAGE_S * 0.9)
         assert_always(True, follower._is_after_outage)
         await asyncio.sleep(prefix_follower.AFTER_OUTAGE_S * 0.2)
--- a/tests/unit/test_load_table.py
+++ b/tests/unit/test_load_table.py
@@ -15,56 +15,58 @@
     return HostLoadReport(host, start, beat, grant, running)
 
 
-def nonzero_counts(table: LoadTable) -> dict[str, int]:
-    return {name: count for name, count in table.running_by_endpoint().items() if count}
+def nonzero_counts(load_table: LoadTable) -> dict[str, int]:
+    return {name: count for name, count in load_table.running_by_endpoint().items() if count}
 
 
 def test_a_grant_counts_once_before_and_after_the_host_reports_it() -> None:
-    table = LoadTable()
-    table.hear(report("a", 1, {"e": 1}), 0.0)
-    grant = table.grant("a", "e")
-    assert nonzero_counts(table) == {"e": 2}
-    table.hear(report("a", 2, {"e": 1}, grant - 1), 0.1)
-    assert nonzero_counts(table) == {"e": 2}, "the host had not received the grant when it reported"
-    table.hear(report("a", 3, {"e": 2}, grant), 0.2)
-    assert nonzero_counts(table) == {"e": 2}
+    load_table = LoadTable()
+    load_table.record_report(report("a", 1, {"e": 1}), 0.0)
+    grant = load_table.grant("a", "e")
+    assert nonzero_counts(load_table) == {"e": 2}
+    load_table.record_report(report("a", 2, {"e": 1}, grant - 1), 0.1)
+    assert nonzero_counts(load_table) == {"e": 2}, (
+        "the host had not received the grant when it reported"
+    )
+    load_table.record_report(report("a", 3, {"e": 2}, grant), 0.2)
+    assert nonzero_counts(load_table) == {"e": 2}
 
 
 def test_an_outdated_report_is_ignored() -> None:
-    table = LoadTable()
-    table.hear(report("a", 2, {"e": 5}), 0.0)
-    table.hear(report("a", 1, {"e": 9}), 0.1)
-    assert nonzero_counts(table) == {"e": 5}
+    load_table = LoadTable()
+    load_table.record_report(report("a", 2, {"e": 5}), 0.0)
+    load_table.record_report(report("a", 1, {"e": 9}), 0.1)
+    assert nonzero_counts(load_table) == {"e": 5}
 
 
 def test_counts_of_a_silent_or_restarted_host_are_dropped() -> None:
-    table = LoadTable()
-    table.hear(report("a", 7, {"e": 5}), 0.0)
-    table.grant("a", "f")
-    table.hear(report("b", 1, {"e": 1}), REPORT_TIMEOUT_S)
-    table.hear(report("a", 1, {"e": 2}, start=2), REPORT_TIMEOUT_S)
-    assert nonzero_counts(table) == {"e": 3}
-    table.forget_silent(2 * REPORT_TIMEOUT_S + 0.1)
-    assert nonzero_counts(table) == {}
+    load_table = LoadTable()
+    load_table.record_report(report("a", 7, {"e": 5}), 0.0)
+    load_table.grant("a", "f")
+    load_table.record_report(report("b", 1, {"e": 1}), REPORT_TIMEOUT_S)
+    load_table.record_report(report("a", 1, {"e": 2}, start=2), REPORT_TIMEOUT_S)
+    assert nonzero_counts(load_table) == {"e": 3}
+    load_table.forget_silent(2 * REPORT_TIMEOUT_S + 0.1)
+    assert nonzero_counts(load_table) == {}
 
 
 def test_a_new_coordinator_continues_the_numbers_of_grants() -> None:
-    table = LoadTable()
-    table.hear(report("a", 9, {}, grant=40), 0.0)
-    assert table.grant("a", "e") == 41
-    table.hear(report("a", 10, {}, grant=40), 0.1)
-    assert nonzero_counts(table) == {"e": 1}
+    load_table = LoadTable()
+    load_table.record_report(report("a", 9, {}, grant=40), 0.0)
+    assert load_table.grant("a", "e") == 41
+    load_table.record_report(report("a", 10, {}, grant=40), 0.1)
+    assert nonzero_counts(load_table) == {"e": 1}
 
 
 def test_failure_reports_count_hosts_and_end_with_a_report_without_them() -> None:
-    table = LoadTable()
+    load_table = LoadTable()
     for host in ("a", "b"):
-        table.hear(HostLoadReport(host, 1, 1, 0, {}, frozenset({"e"})), 0.0)
-    assert table.failure_reports_by_endpoint()["e"] == 2
-    table.hear(report("a", 2, {}), 0.1)
-    assert table.failure_reports_by_endpoint()["e"] == 1
-    table.forget_silent(REPORT_TIMEOUT_S + 0.1)
-    assert table.failure_reports_by_endpoint()["e"] == 0
+        load_table.record_report(HostLoadReport(host, 1, 1, 0, {}, frozenset({"e"})), 0.0)
+    assert load_table.failure_reports_by_endpoint()["e"] == 2
+    load_table.record_report(report("a", 2, {}), 0.1)
+    assert load_table.failure_reports_by_endpoint()["e"] == 1
+    load_table.forget_silent(REPORT_TIMEOUT_S + 0.1)
+    assert load_table.failure_reports_by_endpoint()["e"] == 0
 
 
 class LoadTableMachine(RuleBasedStateMachine):
@@ -74,7 +76,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.table = LoadTable()
+        self.load_table = LoadTable()
         self.beats = Counter[str]()
         self.last_grant = Counter[str]()
         self.running = {host: Counter[str]() for host in self.HOSTS}
@@ -86,8 +88,8 @@
 
     @rule(host=st.sampled_from(HOSTS), endpoint=st.sampled_from("ef"), is_lost=st.booleans())
     def place(self, host: str, endpoint: str, is_lost: bool) -> None:
-        self.table.hear(self._report(host), 0.0)
-        grant = self.table.grant(host, endpoint)
+        self.load_table.record_report(self._report(host), 0.0)
+        grant = self.load_table.grant(host, endpoint)
         if not is_lost:
             self.last_grant[host] = grant
             self.running[host][endpoint] += 1
@@ -102,19 +104,21 @@
     @rule(position=st.integers(0, 20))
     def deliver(self, position: int) -> None:
         if self.reports_in_flight:
-            self.table.hear(self.reports_in_flight.pop(position % len(self.reports_in_flight)), 0.0)
+            self.load_table.record_report(
+                self.reports_in_flight.pop(position % len(self.reports_in_flight)), 0.0
+            )
 
     @invariant()
     def counts_are_not_negative(self) -> None:
-        assert min(self.table.running_by_endpoint().values(), default=0) >= 0
+        assert min(self.load_table.running_by_endpoint().values(), default=0) >= 0
 
     def teardown(self) -> None:
         # After each host has placed a request and reported, the sums match the hosts.
         for host in self.HOSTS:
             self.place(host, "e", False)
-            self.table.hear(self._report(host), 0.0)
+            self.load_table.record_report(self._report(host), 0.0)
         total = sum(self.running.values(), Counter[str]())
-        assert nonzero_counts(self.table) == dict(+total)
+        assert nonzero_counts(self.load_table) == dict(+total)
 
 
 LoadTableMachine.TestCase.settings = settings(
