--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -207,7 +207,7 @@
         f"{_FUNCTIONAL}sending.py",
         f"{_FUNCTIONAL}silent_endpoints.py",
     ),
-    "doubt": ("tests/unit/test_answer_timeouts.py", f"{_FUNCTIONAL}silent_endpoints.py"),
+    "doubt": ("tests/unit/test_answer_bounds.py", f"{_FUNCTIONAL}silent_endpoints.py"),
     "lapsed entries": (
         *_PLATFORM,
         f"{_LEFT}elsewhere.py",
