--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -156,7 +156,7 @@
     ),
 }
 
-_LEFT = "tests/unit/test_left_behind_"
+_LEFT = "tests/unit/test_failed_attempts_"
 _FUNCTIONAL = "tests/functional/test_"
 _PLATFORM = tuple(
     f"{_FUNCTIONAL}platform_{what}.py" for what in ("requests", "turns", "objects", "stops")
--- a/tests/unit/test_load_board.py
+++ b/tests/unit/test_load_table.py
@@ -1,4 +1,4 @@
-"""What a hall coordinator knows of the requests in flight at its endpoints."""
+"""The hall coordinator's count of running requests at the endpoints of its hall."""
 
 from collections import Counter
 
@@ -15,48 +15,50 @@
     return HostLoadReport(host, start, beat, grant, running)
 
 
-def known(load_table: LoadTable) -> dict[str, int]:
+def nonzero_counts(load_table: LoadTable) -> dict[str, int]:
     return {name: count for name, count in load_table.running_by_endpoint().items() if count}
 
 
-def test_a_grant_counts_at_once_and_once_until_the_host_says_so_itself() -> None:
+def test_a_grant_counts_once_before_and_after_the_host_reports_it() -> None:
     load_table = LoadTable()
     load_table.record_report(report("a", 1, {"e": 1}), 0.0)
     grant = load_table.grant("a", "e")
-    assert known(load_table) == {"e": 2}
+    assert nonzero_counts(load_table) == {"e": 2}
     load_table.record_report(report("a", 2, {"e": 1}, grant - 1), 0.1)
-    assert known(load_table) == {"e": 2}, "the host had not the answer when it spoke"
+    assert nonzero_counts(load_table) == {"e": 2}, (
+        "the host had not received the grant when it reported"
+    )
     load_table.record_report(report("a", 3, {"e": 2}, grant), 0.2)
-    assert known(load_table) == {"e": 2}
+    assert nonzero_counts(load_table) == {"e": 2}
 
 
-def test_an_overtaken_report_says_nothing() -> None:
+def test_an_outdated_report_is_ignored() -> None:
     load_table = LoadTable()
     load_table.record_report(report("a", 2, {"e": 5}), 0.0)
     load_table.record_report(report("a", 1, {"e": 9}), 0.1)
-    assert known(load_table) == {"e": 5}
+    assert nonzero_counts(load_table) == {"e": 5}
 
 
-def test_a_host_that_is_silent_or_starts_anew_leaves_nothing_behind() -> None:
+def test_counts_of_a_silent_or_restarted_host_are_dropped() -> None:
     load_table = LoadTable()
     load_table.record_report(report("a", 7, {"e": 5}), 0.0)
     load_table.grant("a", "f")
     load_table.record_report(report("b", 1, {"e": 1}), REPORT_TIMEOUT_S)
     load_table.record_report(report("a", 1, {"e": 2}, start=2), REPORT_TIMEOUT_S)
-    assert known(load_table) == {"e": 3}
+    assert nonzero_counts(load_table) == {"e": 3}
     load_table.forget_silent(2 * REPORT_TIMEOUT_S + 0.1)
-    assert known(load_table) == {}
+    assert nonzero_counts(load_table) == {}
 
 
-def test_a_new_coordinator_continues_from_the_grants_of_the_previous_one() -> None:
+def test_a_new_coordinator_continues_the_numbers_of_grants() -> None:
     load_table = LoadTable()
     load_table.record_report(report("a", 9, {}, grant=40), 0.0)
     assert load_table.grant("a", "e") == 41
     load_table.record_report(report("a", 10, {}, grant=40), 0.1)
-    assert known(load_table) == {"e": 1}
+    assert nonzero_counts(load_table) == {"e": 1}
 
 
-def test_failure_reports_count_hosts_and_end_with_the_report_that_has_none() -> None:
+def test_failure_reports_count_hosts_and_end_with_a_report_without_them() -> None:
     load_table = LoadTable()
     for host in ("a", "b"):
         load_table.record_report(HostLoadReport(host, 1, 1, 0, {}, frozenset({"e"})), 0.0)
@@ -67,8 +69,8 @@
     assert load_table.failure_reports_by_endpoint()["e"] == 0
 
 
-class Board(RuleBasedStateMachine):
-    """Hosts that begin and end requests, with reports that are lost and overtake each other."""
+class LoadTableMachine(RuleBasedStateMachine):
+    """Hosts that begin and end requests, with lost grants and reordered reports."""
 
     HOSTS = ("a", "b", "c")
 
@@ -78,7 +80,7 @@
         self.beats = Counter[str]()
         self.last_grant = Counter[str]()
         self.running = {host: Counter[str]() for host in self.HOSTS}
-        self.on_the_way: list[HostLoadReport] = []
+        self.reports_in_flight: list[HostLoadReport] = []
 
     def _report(self, host: str) -> HostLoadReport:
         self.beats[host] += 1
@@ -97,25 +99,29 @@
         for endpoint in +self.running[host]:
             self.running[host][endpoint] -= 1
             break
-        self.on_the_way.append(self._report(host))
+        self.reports_in_flight.append(self._report(host))
 
     @rule(position=st.integers(0, 20))
     def deliver(self, position: int) -> None:
-        if self.on_the_way:
-            self.load_table.record_report(self.on_the_way.pop(position % len(self.on_the_way)), 0.0)
+        if self.reports_in_flight:
+            self.load_table.record_report(
+                self.reports_in_flight.pop(position % len(self.reports_in_flight)), 0.0
+            )
 
     @invariant()
-    def nothing_is_negative(self) -> None:
+    def counts_are_not_negative(self) -> None:
         assert min(self.load_table.running_by_endpoint().values(), default=0) >= 0
 
     def teardown(self) -> None:
-        # Once every host has placed again and spoken, the sums are those of the hosts.
+        # After each host has placed a request and reported, the sums match the hosts.
         for host in self.HOSTS:
             self.place(host, "e", False)
             self.load_table.record_report(self._report(host), 0.0)
         total = sum(self.running.values(), Counter[str]())
-        assert known(self.load_table) == dict(+total)
+        assert nonzero_counts(self.load_table) == dict(+total)
 
 
-Board.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
-TestBoard = Board.TestCase
+LoadTableMachine.TestCase.settings = settings(
+    max_examples=60, stateful_step_count=30, deadline=None
+)
+TestLoadTable = LoadTableMachine.TestCase
