--- a/tests/unit/test_start_messages.py
+++ b/tests/unit/test_incarnation_messages.py
@@ -1,4 +1,4 @@
-"""Starts in messages between hosts: few bytes, and readable by hosts of before and after."""
+"""Endpoint incarnations in messages between hosts: compact, and compatible with older releases."""
 
 from typing import Any
 
@@ -11,13 +11,13 @@
 """A field's type, its number and 64 bits."""
 
 LOADS = wire.HostLoads("h", 1, 2, 3, {"a": 4}, ["b"])
-HELLO = wire.Hello(
+HEARTBEAT = wire.Hello(
     "h", 1, 2, wire.HostRole.ENTRY, wire.HostPhase.READY, "n", "g", "p", "f", {}, {}, 0, [], False
 )
 MESSAGES = [
     (LOADS, "endpoints_known_to"),
     (wire.HallLoads("n", "h", 1, 2, {"a": 4}), "endpoints_known_to"),
-    (HELLO, "endpoints_known_to"),
+    (HEARTBEAT, "endpoints_known_to"),
     (wire.PlaceCall(LOADS, "app", "a", "", []), "wished_born_ms"),
     (wire.TurnEntry(wire.EntryKind.TURN, "t", "p", 1, None, b"x", "a", 1.0), "endpoint_born_ms"),
     (wire.ReserveReply(1, {}, {}, b"x", None, "a"), "endpoint_born_ms"),
@@ -25,7 +25,7 @@
 
 
 class OlderHost:
-    """Reads and writes a message without one of its fields."""
+    """Reads and writes a message as an older release does, without one of its fields."""
 
     def __init__(self, message: Any, field: str) -> None:
         kind = type(message)
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize(("message", "field"), MESSAGES)
-def test_a_host_of_before_reads_what_one_of_now_says(message: Any, field: str) -> None:
+def test_an_older_host_reads_a_message_with_the_field(message: Any, field: str) -> None:
     bare = encode_message(message)
     setattr(message, field, 1_700_000_000_000)
     data = encode_message(message)
@@ -49,5 +49,7 @@
 
 
 @pytest.mark.parametrize(("message", "field"), MESSAGES)
-def test_what_a_host_of_before_says_leaves_the_start_unknown(message: Any, field: str) -> None:
+def test_a_message_of_an_older_host_leaves_the_incarnation_unknown(
+    message: Any, field: str
+) -> None:
     assert getattr(decode_message(type(message)(), encode_message(message)), field) is None
--- a/tests/unit/test_sightings.py
+++ b/tests/unit/test_last_seen.py
@@ -1,4 +1,4 @@
-"""Hosts of a hall tell each other whom they heard: all know the same hosts, silent ones leave."""
+"""Hosts of a hall share when they last saw each other: all list the same, without silent ones."""
 
 import random
 
@@ -23,14 +23,14 @@
 
 
 class Hall:
-    """Hosts that greet each other by turns in virtual time, as on a large site."""
+    """Hosts that send each other heartbeats in rotation, in virtual time, as on a large site."""
 
-    def __init__(self, tells_ages: bool) -> None:
-        self.tells_ages = tells_ages
+    def __init__(self, shares_ages: bool) -> None:
+        self.shares_ages = shares_ages
         self.random = random.Random(5)
         self.period_s = PERIOD_S * SITE_HOSTS / PERIOD_HOSTS
-        self.sightings = [LastSeen() for _ in range(HALL_HOSTS)]
-        self.turns = [
+        self.last_seen = [LastSeen() for _ in range(HALL_HOSTS)]
+        self.targets = [
             self.random.sample(
                 [other for other in range(HALL_HOSTS) if other != host], HALL_HOSTS - 1
             )
@@ -45,63 +45,63 @@
             self.next_s[host] = now_s + self.period_s * self.random.uniform(0.8, 1.2)
             if host in self.silent:
                 continue
-            turns = self.turns[host]
-            for other in turns[:NEAR_TARGETS]:
-                if self.tells_ages:
-                    self.sightings[other].hear(self.sightings[host].ages(now_s), now_s)
-                self.sightings[other].see(host, now_s)
-            self.turns[host] = turns[NEAR_TARGETS:] + turns[:NEAR_TARGETS]
+            targets = self.targets[host]
+            for other in targets[:NEAR_TARGETS]:
+                if self.shares_ages:
+                    self.last_seen[other].hear(self.last_seen[host].ages(now_s), now_s)
+                self.last_seen[other].see(host, now_s)
+            self.targets[host] = targets[NEAR_TARGETS:] + targets[:NEAR_TARGETS]
 
     def listed(self, host: int, now_s: float) -> set[int]:
-        seen = self.sightings[host].seen_s
+        seen = self.last_seen[host].seen_s
         return {
             o for o in range(HALL_HOSTS) if o == host or seen(o) >= now_s - listed_s(self.period_s)
         }
 
-    def told(self, host: int, now_s: float) -> set[str]:
+    def advertised(self, host: int, now_s: float) -> set[str]:
         ready = [ReadyHost(f"host-{other}", "north", "") for other in self.listed(host, now_s)]
         return set(addresses_for(ready, "north", "", self.random))
 
 
-def figures(tells_ages: bool) -> tuple[float, int, float]:
-    """Plays 60 s.
+def simulate(shares_ages: bool) -> tuple[float, int, float]:
+    """Simulates 60 s.
 
-    Returns the share of a hall that a host lists, hosts that callers are told of by anybody,
-    and the share of the told ones that everybody names.
+    Returns the share of a hall that a host lists, the number of hosts that any host advertises to
+    callers, and the share of these that all hosts advertise.
     """
-    hall = Hall(tells_ages)
+    hall = Hall(shares_ages)
     listed: list[int] = []
-    told: list[int] = []
+    advertised: list[int] = []
     shared: list[float] = []
     for second in range(20, 60):
         hall.play(second)
-        answers = [hall.told(host, second) for host in range(HALL_HOSTS)]
+        answers = [hall.advertised(host, second) for host in range(HALL_HOSTS)]
         listed += [len(hall.listed(host, second)) for host in range(HALL_HOSTS)]
-        everybody = set().union(*answers)
-        told.append(len(everybody))
-        shared.append(len(everybody.intersection(*answers)) / MIN_ADVERTISED_HOSTS)
+        advertised_by_any = set().union(*answers)
+        advertised.append(len(advertised_by_any))
+        shared.append(len(advertised_by_any.intersection(*answers)) / MIN_ADVERTISED_HOSTS)
     return (
         sum(listed) / len(listed) / HALL_HOSTS,
-        max(told),
+        max(advertised),
         sum(shared) / len(shared),
     )
 
 
-def test_all_hosts_of_a_large_hall_tell_callers_of_the_same_few() -> None:
-    known, told, shared = figures(tells_ages=False)
-    print("by their own ears", known, told, shared)
+def test_all_hosts_of_a_large_hall_advertise_the_same_few() -> None:
+    known, advertised, shared = simulate(shares_ages=False)
+    print("without shared ages", known, advertised, shared)
     assert known < 0.6
-    assert told >= 3 * MIN_ADVERTISED_HOSTS
+    assert advertised >= 3 * MIN_ADVERTISED_HOSTS
     assert shared < 0.1
-    known, told, shared = figures(tells_ages=True)
-    print("by all ears", known, told, shared)
+    known, advertised, shared = simulate(shares_ages=True)
+    print("with shared ages", known, advertised, shared)
     assert known > 0.97
-    assert told <= MIN_ADVERTISED_HOSTS + 2
+    assert advertised <= MIN_ADVERTISED_HOSTS + 2
     assert shared > 0.8
 
 
-def test_hosts_that_fall_silent_leave_every_list_in_time() -> None:
-    hall = Hall(tells_ages=True)
+def test_silent_hosts_are_dropped_from_every_list_in_time() -> None:
+    hall = Hall(shares_ages=True)
     hall.play(30.0)
     hall.silent = set(range(17))
     hall.play(30.0 + MAX_ADVERTISED_S)
@@ -109,39 +109,39 @@
         assert not hall.listed(host, 30.0 + MAX_ADVERTISED_S) & hall.silent
 
 
-def test_ages_only_grow_on_their_way() -> None:
+def test_ages_only_grow_when_forwarded() -> None:
     first, second = LastSeen(), LastSeen()
     first.see(7, 10.0)
     second.hear(first.ages(11.0), 11.5)
-    assert second.seen_s(7) == 10.5, "half a second on the way"
+    assert second.seen_s(7) == 10.5, "half a second in transit"
     first.hear(second.ages(12.0), 12.0)
     assert first.seen_s(7) == 10.5
     first.hear({7: 5 * AGE_UNITS_PER_S}, 12.0)
-    assert first.seen_s(7) == 10.5, "older news change nothing"
+    assert first.seen_s(7) == 10.5, "an older sighting changes nothing"
     assert first.ages(10.5 + MAX_AGE_S + 0.1) == {}
 
 
-def test_bad_ages_are_never_in_the_future() -> None:
-    sightings = LastSeen()
-    sightings.hear({1: -32768}, 5.0)
-    assert sightings.seen_s(1) == 5.0
+def test_negative_ages_are_never_in_the_future() -> None:
+    last_seen = LastSeen()
+    last_seen.hear({1: -32768}, 5.0)
+    assert last_seen.seen_s(1) == 5.0
 
 
-def test_a_host_that_takes_no_callers_is_forgotten() -> None:
-    sightings = LastSeen()
-    sightings.see(1, 5.0)
-    sightings.leave(1)
-    assert sightings.ages(5.0) == {}
-    sightings.leave(1)
+def test_a_host_that_accepts_no_callers_is_removed() -> None:
+    last_seen = LastSeen()
+    last_seen.see(1, 5.0)
+    last_seen.leave(1)
+    assert last_seen.ages(5.0) == {}
+    last_seen.leave(1)
 
 
-def test_starts_are_told_by_the_low_bits_of_their_incarnation() -> None:
+def test_incarnations_are_identified_by_their_low_bits() -> None:
     assert start_of(5) == 5
     assert start_of((1 << 61) + 5) == 5
     assert start_of((1 << 32) - 1) == -1
 
 
-def test_a_small_site_leaves_a_silent_host_out_sooner() -> None:
+def test_a_small_site_drops_a_silent_host_sooner() -> None:
     assert listed_s(PERIOD_S) == 1.5
     assert listed_s(PERIOD_S * 81 / PERIOD_HOSTS) == 1.5
     assert listed_s(PERIOD_S * SITE_HOSTS / PERIOD_HOSTS) == 3.5
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -1,4 +1,4 @@
-"""Where time was lost, from the lines of hosts."""
+"""Time that programs lost, and its causes, computed from the log lines of hosts."""
 
 import xml.etree.ElementTree as ET
 from pathlib import Path
@@ -62,7 +62,7 @@
     return next(each for each in found.programs if each.name == name)
 
 
-def test_windows_count_what_ended_in_them_and_what_went_wrong_meanwhile() -> None:
+def test_windows_count_the_requests_and_failures_that_ended_in_them() -> None:
     first, second, third = losses_of(lines(), 2.0).windows
     assert (first.from_s, first.served, first.late, first.unanswered) == (0.0, 9, 0, 0)
     assert (second.served, second.late, second.unanswered) == (1, 1, 2)
@@ -82,7 +82,7 @@
     assert found.usual_s_by_service == {"llm": 0.2, "app": 0.05}
 
 
-def test_a_reason_counts_once_whatever_its_figures() -> None:
+def test_reasons_that_differ_only_in_numbers_are_one_cause() -> None:
     whys = ("no answer for\n 0.312 s", "no answer for 0.4 s")
     ends = [line(1.0, "request.ended", outcome="broken_off", why=why) for why in whys]
     found = losses_of(lines(ends), 2.0)
@@ -93,35 +93,35 @@
     assert losses_of(lines(), 2.0) == losses_of(lines(LOGS[::-1]), 2.0)
 
 
-def test_the_report_tells_windows_causes_and_what_is_usual() -> None:
+def test_the_report_lists_windows_causes_and_usual_durations() -> None:
     text = "\n".join(report(losses_of(lines(), 2.0)))
     assert "disk.silent 1, host.leaving 1" in text
     assert "late: llm" in text
     assert "usual of llm: 200 ms" in text
 
 
-def test_a_program_is_told_against_what_its_turns_usually_take(found: Losses) -> None:
+def test_a_program_is_compared_with_the_usual_duration_of_its_turns(found: Losses) -> None:
     assert program(found, "late-1").usual_s == pytest.approx(0.2)
     assert "against 0.20 s usual" in "\n".join(report(found))
-    # Of a try without an answer nobody knows which service it was for.
+    # The service of an attempt without an answer is unknown.
     assert program(found, "lost-1").usual_s == 0.0
 
 
-def test_a_late_turn_tells_its_failed_tries_and_what_no_line_splits(found: Losses) -> None:
+def test_a_late_turn_is_split_into_failed_sends_and_unattributed_time(found: Losses) -> None:
     late = program(found, "late-1")
     assert late.kind is Kind.LATE
     assert late.lost_s == pytest.approx(1.0)
-    # A doubt ("not heard for") ends no try: the time runs to the line that ended it.
+    # A suspicion ("not heard for") ends no attempt: its time runs to the line that ended it.
     assert late.s_by_phase == pytest.approx({Phase.FAILED_SENDS: 0.5, Phase.NOT_SPLIT: 0.7})
 
 
-def test_an_end_that_waits_for_disks_is_time_of_disks(found: Losses) -> None:
+def test_an_end_that_waits_for_disks_counts_as_disk_time(found: Losses) -> None:
     late = program(found, "late-2")
     assert late.lost_s == pytest.approx(0.7)
     assert late.s_by_phase == pytest.approx({Phase.DISKS: 0.5, Phase.NOT_SPLIT: 0.4})
 
 
-def test_a_refused_program_lost_the_time_until_its_next_try(found: Losses) -> None:
+def test_a_refused_program_lost_the_time_until_its_next_attempt(found: Losses) -> None:
     refused = program(found, "refused-1")
     assert refused.kind is Kind.REFUSED
     assert refused.s_by_phase == pytest.approx({Phase.BETWEEN_REQUESTS: 0.6, Phase.NOT_SPLIT: 0.2})
@@ -129,10 +129,10 @@
     assert refused.untimed == 1
 
 
-def test_the_time_without_its_host_is_told_apart(found: Losses) -> None:
-    away = program(found, "away-1")
-    assert away.kind is Kind.REFUSED
-    assert away.s_by_phase == pytest.approx(
+def test_downtime_of_the_host_is_a_phase_of_its_own(found: Losses) -> None:
+    interrupted = program(found, "away-1")
+    assert interrupted.kind is Kind.REFUSED
+    assert interrupted.s_by_phase == pytest.approx(
         {
             Phase.HOST_DOWN: 2.0,
             Phase.BETWEEN_REQUESTS: 0.6,
@@ -140,15 +140,15 @@
             Phase.NOT_SPLIT: 0.7 + 0.4,
         }
     )
-    # All of the try that failed, the time between, and what the second took beyond the usual.
-    assert away.lost_s == pytest.approx(0.7 + 2.6 + 0.5)
+    # The failed attempt, the time between, and the second attempt's excess over the usual.
+    assert interrupted.lost_s == pytest.approx(0.7 + 2.6 + 0.5)
 
 
-def test_a_program_that_was_never_answered_is_lost(found: Losses) -> None:
+def test_a_program_that_was_never_answered_counts_as_failed(found: Losses) -> None:
     lost = program(found, "lost-1")
     assert lost.kind is Kind.FAILED
     assert lost.untimed == 2
-    # The second try was refused, and no line says when it began.
+    # The second attempt was refused, and no line says when it began.
     assert lost.s_by_phase == pytest.approx({Phase.FAILED_SENDS: 0.5, Phase.NOT_SPLIT: 2.0})
     assert lost.causes == {
         Cause("refused", "outcome_unknown"): 1,
@@ -156,7 +156,7 @@
     }
 
 
-def test_what_the_caller_brought_on_itself_is_no_loss(found: Losses) -> None:
+def test_a_request_declined_by_fault_of_its_caller_is_no_loss(found: Losses) -> None:
     declined = program(found, "declined-1")
     assert declined.kind is Kind.DECLINED
     assert declined.lost_s == 0.0
@@ -164,7 +164,7 @@
     assert sum(window.unanswered for window in found.windows) == 4
 
 
-def test_programs_come_worst_first_and_ordinary_ones_not_at_all(found: Losses) -> None:
+def test_programs_are_listed_worst_first_without_unaffected_ones(found: Losses) -> None:
     assert [each.name for each in found.programs] == [
         "lost-1",
         "away-1",
@@ -175,9 +175,9 @@
     ]
 
 
-def test_hosts_that_went_without_a_word_are_found_by_their_next_start(found: Losses) -> None:
-    away = [(each.host, each.from_s, each.to_s) for each in found.downtimes]
-    assert away == [("disk-1", 1004.8, 1006.9), ("entry-1", 1007.0, 1009.0)]
+def test_crashed_hosts_are_found_by_their_next_start(found: Losses) -> None:
+    downtimes = [(each.host, each.from_s, each.to_s) for each in found.downtimes]
+    assert downtimes == [("disk-1", 1004.8, 1006.9), ("entry-1", 1007.0, 1009.0)]
 
 
 def test_sums_by_phase_and_kind(found: Losses) -> None:
@@ -190,7 +190,7 @@
     }
 
 
-def test_the_report_says_what_the_logs_cannot_tell(found: Losses) -> None:
+def test_the_report_names_time_that_the_logs_can_not_attribute(found: Losses) -> None:
     text = "\n".join(report(found))
     assert "not split" in text
     assert "choosing, connecting" in text
@@ -211,8 +211,8 @@
         assert name in page
     chart = page[page.index("<svg") : page.index("</svg>") + 6]
     texts = " ".join(each.text or "" for each in ET.fromstring(chart).iter())
-    for told in ("served", "late", "lost", "hosts", "disks", "store", "endpoints"):
-        assert told in texts
+    for label in ("served", "late", "lost", "hosts", "disks", "store", "endpoints"):
+        assert label in texts
 
 
 def test_the_page_is_the_same_each_time(found: Losses) -> None:
@@ -226,13 +226,13 @@
     assert page.read_text().startswith(begins)
 
 
-def test_the_tool_writes_no_page_of_another_kind(tmp_path: Path) -> None:
+def test_the_tool_rejects_an_unsupported_page_format(tmp_path: Path) -> None:
     with pytest.raises(SystemExit) as ended:
         losses(*FILES, page=tmp_path / "losses.png")
     assert ended.value.code == status_codes.EXIT_USAGE
 
 
-def test_the_tool_reads_files_and_says_where_they_hold_no_log(
+def test_the_tool_reads_files_and_exits_with_not_found_without_log_lines(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "host.log"
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: deaths, outages, pauses, and the pace of a large fleet."""
+"""Membership: failure detection, store outages, and the heartbeat rate of a large fleet."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class Fleet:
-    """Members that beat, and what each held dead."""
+    """Members that send heartbeats, and the deaths that each of them declared."""
 
     def __init__(self, count: int) -> None:
         objects = MemoryObjects()
@@ -30,22 +30,22 @@
         ]
         self.deaths: list[tuple[str, str, float]] = []
         for member in self.members:
-            member.on_death = self._note(member)
+            member.on_death = self._death_recorder(member)
         self.tasks = [asyncio.create_task(member.run()) for member in self.members]
 
-    def _note(self, member: Membership) -> Callable[[HostInfo], None]:
-        def note(info: HostInfo) -> None:
+    def _death_recorder(self, member: Membership) -> Callable[[HostInfo], None]:
+        def record_death(info: HostInfo) -> None:
             now = asyncio.get_running_loop().time()
             self.deaths.append((member.me.host, info.host, now))
 
-        return note
+        return record_death
 
     def stop(self) -> None:
         for task in self.tasks:
             task.cancel()
 
 
-def test_a_host_that_stops_is_held_dead_by_all_others_in_time() -> None:
+def test_a_host_that_stops_is_declared_dead_by_all_others_in_time() -> None:
     async def scenario() -> None:
         fleet = Fleet(5)
         await asyncio.sleep(10)
@@ -60,7 +60,7 @@
     run_virtual(scenario())
 
 
-def test_an_outage_and_a_slow_store_kill_nobody() -> None:
+def test_an_outage_and_a_slow_store_cause_no_deaths() -> None:
     async def scenario() -> None:
         fleet = Fleet(5)
         await asyncio.sleep(10)
@@ -68,7 +68,7 @@
             faults.down = True
         await asyncio.sleep(3600)
         for number, faults in enumerate(fleet.faults):
-            # They come back one after the other, each with everybody's beat stale.
+            # They reconnect one after the other, each with stale heartbeats of all others.
             faults.down = False
             await asyncio.sleep(0.5 * number)
         for faults in fleet.faults:
@@ -80,7 +80,7 @@
     run_virtual(scenario())
 
 
-def test_a_host_cut_off_from_the_store_is_held_dead_and_holds_nobody_dead() -> None:
+def test_a_host_partitioned_from_the_store_is_declared_dead_and_declares_none() -> None:
     async def scenario() -> None:
         fleet = Fleet(4)
         await asyncio.sleep(10)
@@ -93,14 +93,14 @@
     run_virtual(scenario())
 
 
-def test_a_large_fleet_beats_more_slowly_and_kills_nobody() -> None:
+def test_a_large_fleet_sends_fewer_heartbeats_and_declares_no_deaths() -> None:
     async def scenario() -> None:
         fleet = Fleet(150)
         await asyncio.sleep(30)
         before = fleet.objects.revision
         await asyncio.sleep(30)
-        beats_a_second = (fleet.objects.revision - before) / 30
-        assert beats_a_second <= 61
+        heartbeats_per_s = (fleet.objects.revision - before) / 30
+        assert heartbeats_per_s <= 61
         assert fleet.members[0].heartbeat_s > 2 * TIMES.heartbeat_s
         assert fleet.deaths == []
         fleet.stop()
@@ -108,7 +108,7 @@
     run_virtual(scenario())
 
 
-def test_a_pacer_follows_its_share() -> None:
+def test_a_write_pacer_keeps_its_rate() -> None:
     pacer = WritePacer(10.0, 1)
 
     async def spent(writes: int) -> float:
--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -1,4 +1,4 @@
-"""What counts as an outage of the store, and how soon a site has news behind one."""
+"""What counts as an outage of the store, and how soon hosts have the changes made after one."""
 
 import asyncio
 
@@ -17,24 +17,24 @@
 from tests.lib.silent_store import ANSWER_S, CALL_S, WAIT_MARGIN_S
 from tests.lib.watching_site import PREFIXES, WatchingSite
 
-LONGEST_RETRY_S = 0.75
-"""The longest pause between two calls to a store that fails."""
+MAX_RETRY_PAUSE_S = 0.75
+"""The longest pause between two calls to a failing store."""
 
 
-# ---- what one process learns ----
+# ---- one process ----
 
 
-def test_only_the_first_answer_after_failures_is_a_return() -> None:
+def test_only_the_first_answer_after_failures_is_a_recovery() -> None:
     async def scenario() -> None:
-        returns: list[int] = []
-        contact = StoreAvailability(on_recovery=[lambda: returns.append(1)])
-        contact.record_answer()
-        assert returns == []
-        contact.record_failure(is_silent=False)
-        contact.record_failure(is_silent=False)
-        contact.record_answer()
-        contact.record_answer()
-        assert returns == [1]
+        recoveries: list[int] = []
+        availability = StoreAvailability(on_recovery=[lambda: recoveries.append(1)])
+        availability.record_answer()
+        assert recoveries == []
+        availability.record_failure(is_silent=False)
+        availability.record_failure(is_silent=False)
+        availability.record_answer()
+        availability.record_answer()
+        assert recoveries == [1]
 
     run_virtual(scenario())
 
@@ -43,13 +43,15 @@
     ("is_silent", "lasts_s", "was_outage"),
     [(False, 0.01, False), (False, 1.0, True), (True, 0.01, True)],
 )
-def test_a_cut_watch_is_no_outage(is_silent: bool, lasts_s: float, was_outage: bool) -> None:
+def test_only_a_lasting_failure_or_silence_is_an_outage(
+    is_silent: bool, lasts_s: float, was_outage: bool
+) -> None:
     async def scenario() -> bool:
-        contact = StoreAvailability()
-        contact.record_failure(is_silent)
+        availability = StoreAvailability()
+        availability.record_failure(is_silent)
         await asyncio.sleep(lasts_s)
-        contact.record_answer()
-        return contact.recovered_s == asyncio.get_running_loop().time()
+        availability.record_answer()
+        return availability.recovered_s == asyncio.get_running_loop().time()
 
     assert run_virtual(scenario()) is was_outage
 
@@ -60,25 +62,25 @@
 @given(
     halls=st.integers(1, 3),
     hosts_per_hall=st.integers(1, 3),
-    begins_after_s=st.floats(0.0, 7.0),
+    start_delay_s=st.floats(0.0, 7.0),
     away_s=st.floats(0.05, 14.0),
-    changes_after_s=st.floats(0.0, 0.5),
+    change_delay_s=st.floats(0.0, 0.5),
 )
 @settings(max_examples=60, deadline=None)
 def test_a_change_behind_any_outage_is_known_everywhere_in_time(
-    halls: int, hosts_per_hall: int, begins_after_s: float, away_s: float, changes_after_s: float
+    halls: int, hosts_per_hall: int, start_delay_s: float, away_s: float, change_delay_s: float
 ) -> None:
     async def scenario() -> float:
         site = WatchingSite(halls, hosts_per_hall)
         await asyncio.sleep(1.0)
-        # Wakes all watches in one moment, as operators do.
+        # Ends all watches at one moment, as an operator's change does.
         site.truth.put()
         await site.seconds_until_known()
-        await asyncio.sleep(begins_after_s)
+        await asyncio.sleep(start_delay_s)
         site.truth.go_away()
         await asyncio.sleep(away_s)
         site.truth.come_back()
-        await asyncio.sleep(changes_after_s)
+        await asyncio.sleep(change_delay_s)
         site.truth.put()
         took_s = await site.seconds_until_known()
         site.stop()
@@ -86,15 +88,15 @@
 
     watches = halls * min(hosts_per_hall, WATCHERS_PER_HALL) * len(PREFIXES)
     unnoticed_s = WATCH_PERIOD_S / watches + MIN_WATCH_S + WAIT_MARGIN_S
-    noticed_s = CALL_S + LONGEST_RETRY_S
-    told_s = PEER_FETCH_DELAY_S + 0.1
-    assert run_virtual(scenario()) <= max(unnoticed_s, noticed_s) + told_s
+    noticed_s = CALL_S + MAX_RETRY_PAUSE_S
+    peer_fetch_s = PEER_FETCH_DELAY_S + 0.1
+    assert run_virtual(scenario()) <= max(unnoticed_s, noticed_s) + peer_fetch_s
 
 
 def test_an_outage_within_all_watches_is_found_at_the_next_end() -> None:
-    async def scenario(begins_after_s: float) -> float:
+    async def scenario(start_delay_s: float) -> float:
         site = WatchingSite(halls=3, hosts_per_hall=1)
-        await asyncio.sleep(7.0 + begins_after_s)
+        await asyncio.sleep(7.0 + start_delay_s)
         site.truth.go_away()
         await asyncio.sleep(0.01)
         site.truth.come_back()
@@ -113,15 +115,15 @@
 def longest_until_known(
     halls: int, hosts_per_hall: int, away_s: float, entry_before_s: float, down: int = 0
 ) -> float:
-    """Returns the longest time to a change behind a silence that began soon after an entry's.
+    """Returns the longest delay of a change after an outage soon after a change of an entry.
 
-    The entry's change wakes the watches of entries, and each of them pauses before its next call:
-    that call comes when the store is back, and says nothing of the silence.
+    The entry's change ends the watches of entries, and each of them pauses before its next call:
+    that call is made after the outage, and doesn't reveal it.
     """
 
-    async def scenario(begins_after_s: float) -> float:
+    async def scenario(start_delay_s: float) -> float:
         site = WatchingSite(halls, hosts_per_hall)
-        await asyncio.sleep(7.0 + begins_after_s)
+        await asyncio.sleep(7.0 + start_delay_s)
         site.take_down(down)
         site.truth.put("servers/one")
         await asyncio.sleep(entry_before_s)
@@ -150,27 +152,27 @@
 @pytest.mark.parametrize(("halls", "down"), [(1, 0), (2, 0), (3, 0), (2, 1), (3, 1)])
 def test_ends_of_entries_watches_bring_the_configuration_too(halls: int, down: int) -> None:
     took_s = longest_until_known(halls, WATCHERS_PER_HALL, 0.05, entry_before_s=0.02, down=down)
-    # A host that is down has two ends, which stand apart.
+    # A host that is down leaves out two watch ends, which aren't adjacent.
     gap_s = WATCH_PERIOD_S / (halls * WATCHERS_PER_HALL * len(PREFIXES)) * (1 + down)
-    # Turns within the pause after the entry's change, and right behind it, are passed over.
-    passed_over_s = MIN_PAUSE_S + MIN_WATCH_S
-    assert took_s <= gap_s + passed_over_s + WAIT_MARGIN_S + PEER_FETCH_DELAY_S + 0.1
+    # Slots within the pause after the entry's change, and right after it, are skipped.
+    skipped_s = MIN_PAUSE_S + MIN_WATCH_S
+    assert took_s <= gap_s + skipped_s + WAIT_MARGIN_S + PEER_FETCH_DELAY_S + 0.1
 
 
 def test_a_watch_that_is_sent_anew_is_sent_at_once() -> None:
-    """It hears nothing in a pause, and the pause behind its last news was over before.
+    """Guards against a needless pause, in which requests still go to a leaving endpoint.
 
-    Seen: an endpoint that leaves was still asked 1.0 s after it had said so.
+    The pause after the last change has ended before.
     """
 
-    async def scenario(begins_after_s: float) -> float:
+    async def scenario(start_delay_s: float) -> float:
         site = WatchingSite(1, 1)
-        await asyncio.sleep(7.0 + begins_after_s)
+        await asyncio.sleep(7.0 + start_delay_s)
         for _ in range(4):
             site.truth.put()
             await asyncio.sleep(MAX_PAUSE_S)
-        # Other objects change all the time: each watch's end shows that the store has gone on.
-        changing = asyncio.create_task(change_always(site, "hosts/one"))
+        # Other objects keep changing: each watch ends with a newer revision of the store.
+        changing = asyncio.create_task(change_continuously(site, "hosts/one"))
         await asyncio.sleep(MAX_PAUSE_S + 1.5)
         site.truth.put()
         took_s = await site.seconds_until_known()
@@ -182,7 +184,7 @@
     assert max(run_virtual(scenario(moment)) for moment in moments) <= 2 * ANSWER_S + 0.02
 
 
-async def change_always(site: WatchingSite, key: str) -> None:
+async def change_continuously(site: WatchingSite, key: str) -> None:
     while True:
         site.truth.put(key)
         await asyncio.sleep(0.1)
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -1,4 +1,4 @@
-"""Objects as other writers leave them: what can't be read names nobody, and the others hold."""
+"""Malformed objects in the store: they are reported, and the valid ones stay in use."""
 
 import asyncio
 from collections.abc import Callable
@@ -53,8 +53,8 @@
     max_leaves=8,
 )
 MUTATED_ENTRIES = st.builds(
-    lambda fields, gone: orjson.dumps(
-        {key: value for key, value in (ENTRY | fields).items() if key not in gone}
+    lambda fields, removed: orjson.dumps(
+        {key: value for key, value in (ENTRY | fields).items() if key not in removed}
     ),
     st.dictionaries(st.sampled_from([*ENTRY, "born", "phase"]), JSON, max_size=3),
     st.sets(st.sampled_from(sorted(ENTRY)), max_size=2),
@@ -63,32 +63,32 @@
 NAMES = st.text(max_size=20) | st.sampled_from(["", "a/b", "i-1", "i" * 4000, "\r\nx: y"])
 
 
-class Watched:
-    """A belief of endpoints with its book and its log lines."""
+class UpdaterHarness:
+    """An endpoint table with its updater and the log lines that they write."""
 
     def __init__(self) -> None:
-        self.book = EndpointTable("north")
-        links = EndpointConnectionPool()
-        restarts = EndpointRestarts(self.book, links, ActiveRuns(), lambda: 0)
-        self.belief = EndpointTableUpdater(READER, self.book, links, restarts)
+        self.endpoint_table = EndpointTable("north")
+        connections = EndpointConnectionPool()
+        restarts = EndpointRestarts(self.endpoint_table, connections, ActiveRuns(), lambda: 0)
+        self.updater = EndpointTableUpdater(READER, self.endpoint_table, connections, restarts)
         self.lines: list[Line] = []
 
-    def told(self, kind: str) -> list[Line]:
+    def lines_of(self, kind: str) -> list[Line]:
         return told(self.lines, kind)
 
     def chosen(self) -> str | None:
-        found = self.book.choose("app", PlacementPreference(), (), 0.0)
+        found = self.endpoint_table.choose("app", PlacementPreference(), (), 0.0)
         return None if found is None else found.entry.instance
 
-    def say(self, instance: str, value: bytes | None) -> None:
-        self.belief.apply(Change(f"servers/{instance}", value, 1, 1), False)
+    def apply_entry(self, instance: str, value: bytes | None) -> None:
+        self.updater.apply(Change(f"servers/{instance}", value, 1, 1), False)
 
 
-def watch(scenario: Callable[[Watched], None]) -> None:
+def run_with_harness(scenario: Callable[[UpdaterHarness], None]) -> None:
     async def main() -> None:
-        watched = Watched()
-        with collected_lines() as watched.lines:
-            scenario(watched)
+        harness = UpdaterHarness()
+        with collected_lines() as harness.lines:
+            scenario(harness)
 
     asyncio.run(main())
 
@@ -96,7 +96,7 @@
 # ---- entries ----
 
 
-def test_an_entry_that_is_well_is_read_also_with_fields_that_came_later() -> None:
+def test_a_valid_entry_is_read_also_with_unknown_fields() -> None:
     more = {"phase": "dual", "models": [{"name": "m"}], "born": 1771002900729, "of_tomorrow": None}
     for fields in ({}, more, {"cold_left_ms": 12.5}, {"slots": 1}, {"version": ""}, {"seq": 0}):
         entry = READER.read_endpoint("servers/i-1", orjson.dumps(ENTRY | fields))
@@ -120,97 +120,97 @@
 
 
 def test_an_endpoint_of_a_service_that_is_not_named_gets_no_requests() -> None:
-    def scenario(watched: Watched) -> None:
-        watched.say("i-1", orjson.dumps(ENTRY | {"service": "of-tomorrow"}))
-        assert watched.chosen() is None
-        assert watched.book.find("i-1") is not None
-        watched.say("i-2", GOOD)
-        assert watched.chosen() == "i-2"
+    def scenario(harness: UpdaterHarness) -> None:
+        harness.apply_entry("i-1", orjson.dumps(ENTRY | {"service": "of-tomorrow"}))
+        assert harness.chosen() is None
+        assert harness.endpoint_table.find("i-1") is not None
+        harness.apply_entry("i-2", GOOD)
+        assert harness.chosen() == "i-2"
 
-    watch(scenario)
+    run_with_harness(scenario)
 
 
 def test_a_name_with_a_slash_does_not_pass_for_its_last_part() -> None:
-    def scenario(watched: Watched) -> None:
-        watched.say("i-1", GOOD)
-        watched.say("other/i-1", ODD_ENTRY_BY_FORM["state unknown"])
-        watched.say("other/i-1", None)
-        belief = watched.book.find("i-1")
-        assert belief is not None
-        assert not belief.is_suspected
-        assert watched.chosen() == "i-1"
+    def scenario(harness: UpdaterHarness) -> None:
+        harness.apply_entry("i-1", GOOD)
+        harness.apply_entry("other/i-1", ODD_ENTRY_BY_FORM["state unknown"])
+        harness.apply_entry("other/i-1", None)
+        endpoint = harness.endpoint_table.find("i-1")
+        assert endpoint is not None
+        assert not endpoint.is_suspected
+        assert harness.chosen() == "i-1"
 
-    watch(scenario)
+    run_with_harness(scenario)
 
 
 @pytest.mark.parametrize("form", ODD_ENTRY_BY_FORM)
 def test_an_odd_entry_over_a_good_one_gets_nothing_new_and_the_next_good_one_counts(
     form: str,
 ) -> None:
-    def scenario(watched: Watched) -> None:
-        watched.say("i-1", GOOD)
-        running = watched.book.find("i-1")
+    def scenario(harness: UpdaterHarness) -> None:
+        harness.apply_entry("i-1", GOOD)
+        running = harness.endpoint_table.find("i-1")
         assert running is not None
         running.running_here = 1
-        watched.say("i-1", ODD_ENTRY_BY_FORM[form])
-        assert watched.chosen() is None, "not even as a last resort"
-        # Its run goes on and is counted where it was.
-        assert watched.book.find("i-1") is running
-        watched.say("i-1", GOOD)
-        assert watched.chosen() == "i-1"
-        assert watched.book.find("i-1") is running
+        harness.apply_entry("i-1", ODD_ENTRY_BY_FORM[form])
+        assert harness.chosen() is None, "not even as a last resort"
+        # Its run continues and stays counted.
+        assert harness.endpoint_table.find("i-1") is running
+        harness.apply_entry("i-1", GOOD)
+        assert harness.chosen() == "i-1"
+        assert harness.endpoint_table.find("i-1") is running
 
-    watch(scenario)
+    run_with_harness(scenario)
 
 
 @pytest.mark.parametrize("is_after_outage", [False, True])
 def test_an_odd_entry_in_a_list_hides_no_other_one(is_after_outage: bool) -> None:
     odd = {f"servers/odd-{n}": value for n, value in enumerate(ODD_ENTRY_BY_FORM.values())}
 
-    def scenario(watched: Watched) -> None:
-        watched.say("i-1", GOOD)
+    def scenario(harness: UpdaterHarness) -> None:
+        harness.apply_entry("i-1", GOOD)
         listed = odd | {"servers/": GOOD, "servers/i-2": GOOD, "servers/i-1": b"{}"}
-        watched.belief.replace_all(listed, is_after_outage)
-        assert watched.chosen() == "i-2"
-        assert {one.entry.instance for one in watched.book.all()} == {"i-1", "i-2"}
-        watched.belief.replace_all({"servers/i-1": GOOD}, is_after_outage)
-        assert watched.chosen() == "i-1"
-        assert watched.belief.unreadable.current == 0
+        harness.updater.replace_all(listed, is_after_outage)
+        assert harness.chosen() == "i-2"
+        assert {one.entry.instance for one in harness.endpoint_table.all()} == {"i-1", "i-2"}
+        harness.updater.replace_all({"servers/i-1": GOOD}, is_after_outage)
+        assert harness.chosen() == "i-1"
+        assert harness.updater.unreadable.current == 0
 
-    watch(scenario)
+    run_with_harness(scenario)
 
 
-def test_an_odd_entry_has_one_line_a_key_and_change() -> None:
-    def scenario(watched: Watched) -> None:
+def test_an_odd_entry_is_logged_once_per_key_and_change() -> None:
+    def scenario(harness: UpdaterHarness) -> None:
         odd = orjson.dumps(ENTRY | {"slots": 0})
         for _ in range(5):
-            watched.say("i-1", odd)
-            watched.belief.replace_all({"servers/i-1": odd}, False)
-        lines = watched.told("endpoint.unreadable")
+            harness.apply_entry("i-1", odd)
+            harness.updater.replace_all({"servers/i-1": odd}, False)
+        lines = harness.lines_of("endpoint.unreadable")
         assert [line["key"] for line in lines] == ["servers/i-1"]
         assert "'slots' must be >= 1" in lines[0]["findings"][0]
-        assert (watched.belief.unreadable.current, watched.belief.unreadable.total) == (1, 10)
-        watched.say("i-1", b"5")
-        watched.say("i-1", GOOD)
-        watched.say("i-1", odd)
-        assert len(watched.told("endpoint.unreadable")) == 3
+        assert (harness.updater.unreadable.current, harness.updater.unreadable.total) == (1, 10)
+        harness.apply_entry("i-1", b"5")
+        harness.apply_entry("i-1", GOOD)
+        harness.apply_entry("i-1", odd)
+        assert len(harness.lines_of("endpoint.unreadable")) == 3
 
-    watch(scenario)
+    run_with_harness(scenario)
 
 
-def test_odd_entries_without_number_make_few_lines_and_no_long_ones() -> None:
-    def scenario(watched: Watched) -> None:
+def test_many_odd_entries_are_logged_in_few_and_short_lines() -> None:
+    def scenario(harness: UpdaterHarness) -> None:
         value = orjson.dumps(ENTRY | {"service": ["x" * 100_000]})
         for number in range(2 * unreadable_objects.MAX_TRACKED_KEYS):
-            watched.say(f"{number}" * 500, value)
-        lines = watched.told("endpoint.unreadable")
-        # The loop's second may turn once meanwhile.
+            harness.apply_entry(f"{number}" * 500, value)
+        lines = harness.lines_of("endpoint.unreadable")
+        # The one-second window of the rate limit may change once meanwhile.
         assert len(lines) <= 3 * unreadable_objects.MAX_LOG_LINES_PER_S
         assert max(len(str(line)) for line in lines) < 1000
-        assert watched.belief.unreadable.total == 2 * unreadable_objects.MAX_TRACKED_KEYS
-        assert watched.belief.unreadable.current == unreadable_objects.MAX_TRACKED_KEYS
+        assert harness.updater.unreadable.total == 2 * unreadable_objects.MAX_TRACKED_KEYS
+        assert harness.updater.unreadable.current == unreadable_objects.MAX_TRACKED_KEYS
 
-    watch(scenario)
+    run_with_harness(scenario)
 
 
 @FUZZ
@@ -234,24 +234,24 @@
 @FUZZ
 @given(st.lists(st.tuples(NAMES, ANY_VALUES | st.none(), st.booleans()), max_size=8))
 def test_no_odd_news_costs_an_entry_that_is_well(
-    news: list[tuple[str, bytes | None, bool]],
+    updates: list[tuple[str, bytes | None, bool]],
 ) -> None:
-    def scenario(watched: Watched) -> None:
+    def scenario(harness: UpdaterHarness) -> None:
         good = {"servers/i-well": GOOD}
-        for name, value, is_list in [*news, ("i-new", GOOD, False)]:
+        for name, value, is_list in [*updates, ("i-new", GOOD, False)]:
             key = f"servers/{name}"
             if is_list and value is not None:
-                watched.belief.replace_all({key: value} | good, False)
+                harness.updater.replace_all({key: value} | good, False)
             else:
-                watched.belief.replace_all(good, False)
-                watched.belief.apply(Change(key, value, 1, 1), False)
-            known = watched.book.find("i-well")
+                harness.updater.replace_all(good, False)
+                harness.updater.apply(Change(key, value, 1, 1), False)
+            known = harness.endpoint_table.find("i-well")
             assert known is not None
             assert not known.is_suspected
             assert not known.entry.is_leaving
-        assert watched.book.find("i-new") is not None
+        assert harness.endpoint_table.find("i-new") is not None
 
-    watch(scenario)
+    run_with_harness(scenario)
 
 
 @FUZZ
@@ -269,7 +269,7 @@
 
 @FUZZ
 @given(st.binary(max_size=60))
-def test_an_object_whose_text_is_none_hides_no_other_one(data: bytes) -> None:
+def test_an_object_that_is_not_utf_8_hides_no_other_one(data: bytes) -> None:
     raw = bytes(byte for byte in data if byte >= 0x20 and byte not in b'"\\')
     odd = b'{"metadata":{"name":"i-odd","revision":1},"spec":{"service":"%s"}}' % raw
     well = b'{"metadata":{"name":"i-well","revision":2},"spec":{"slots":4}}'
@@ -289,31 +289,31 @@
 @pytest.mark.parametrize("form", ODD_CONFIGURATION_BY_FORM)
 def test_a_configuration_that_can_not_be_used_leaves_the_one_in_force(form: str) -> None:
     async def main() -> None:
-        belief = ConfigurationState(READER, CONFIGURATION_KEY)
-        belief.replace_all({CONFIGURATION_KEY: orjson.dumps(CONFIGURATION)}, False)
+        state = ConfigurationState(READER, CONFIGURATION_KEY)
+        state.replace_all({CONFIGURATION_KEY: orjson.dumps(CONFIGURATION)}, False)
         odd = ODD_CONFIGURATION_BY_FORM[form]
-        belief.apply(Change(CONFIGURATION_KEY, odd, 2, 2), False)
-        belief.replace_all({CONFIGURATION_KEY: odd}, False)
-        assert belief.table is not None
-        assert (belief.table.version, len(belief.table.routes)) == (7, 5)
-        assert belief.unreadable.total == 2
+        state.apply(Change(CONFIGURATION_KEY, odd, 2, 2), False)
+        state.replace_all({CONFIGURATION_KEY: odd}, False)
+        assert state.table is not None
+        assert (state.table.version, len(state.table.routes)) == (7, 5)
+        assert state.unreadable.total == 2
         newer = orjson.dumps(CONFIGURATION | {"version": 9})
-        belief.apply(Change(CONFIGURATION_KEY, newer, 3, 3), False)
-        assert belief.table.version == 9
-        assert belief.unreadable.current == 0
+        state.apply(Change(CONFIGURATION_KEY, newer, 3, 3), False)
+        assert state.table.version == 9
+        assert state.unreadable.current == 0
 
     asyncio.run(main())
 
 
 def test_another_object_beside_the_configuration_is_none() -> None:
     async def main() -> None:
-        belief = ConfigurationState(READER, CONFIGURATION_KEY)
+        state = ConfigurationState(READER, CONFIGURATION_KEY)
         other = orjson.dumps(CONFIGURATION | {"version": 99, "routes": []})
         both = {"config/draft": other, CONFIGURATION_KEY: orjson.dumps(CONFIGURATION)}
-        belief.replace_all(both, False)
-        belief.apply(Change("config/main/draft", other, 2, 2), False)
-        assert belief.table is not None
-        assert belief.table.version == 7
+        state.replace_all(both, False)
+        state.apply(Change("config/main/draft", other, 2, 2), False)
+        assert state.table is not None
+        assert state.table.version == 7
 
     asyncio.run(main())
 
@@ -321,7 +321,7 @@
 @pytest.mark.parametrize("form", CLOSING_ROUTE_FIELDS_BY_FORM)
 def test_an_odd_route_closes_its_place_and_the_others_hold(form: str) -> None:
     table = READER.read_configuration(odd_route(1, **CLOSING_ROUTE_FIELDS_BY_FORM[form]))
-    # Not the service of the shorter prefix, which no configuration lets these requests go to.
+    # Not the route of the shorter prefix: no configuration sends these requests there.
     closed = table.find("desk.example", "/chat/special/1")
     assert isinstance(closed, InvalidRoute)
     assert closed.name == "r-special"
@@ -330,7 +330,7 @@
         assert isinstance(table.find("desk.example", path), Route), path
 
 
-def test_what_a_configuration_may_leave_out_may_be_null() -> None:
+def test_optional_configuration_fields_may_be_null() -> None:
     nulls = dict.fromkeys(
         ("slo_ms", "priority", "attempts", "retained", "retention_s", "resumable", "gap_slo_ms")
     )
--- a/tests/unit/test_odd_own_objects.py
+++ b/tests/unit/test_odd_own_objects.py
@@ -1,4 +1,4 @@
-"""Odd objects among the product's own: changes of configuration, heartbeats, listed endpoints."""
+"""Malformed objects of the product itself: configuration changes, heartbeats, endpoint lists."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 Scenario = Callable[[MemoryObjects, ConfigFeed], Awaitable[None]]
 
 
-def with_feed(scenario: Scenario) -> None:
+def run_with_feed(scenario: Scenario) -> None:
     async def main() -> None:
         objects = MemoryObjects()
         store = MemoryObjectStore(objects)
@@ -52,7 +52,7 @@
         await feed.propose("template", "desk", TEMPLATE + "\n", "op", 1)
         assert (feed.revision, feed.is_current()) == (2, True)
 
-    with_feed(scenario)
+    run_with_feed(scenario)
 
 
 def test_more_odd_names_than_a_page_holds_hide_no_change() -> None:
@@ -63,7 +63,7 @@
         await feed.step()
         assert (feed.revision, feed.is_current()) == (1, True)
 
-    with_feed(scenario)
+    run_with_feed(scenario)
 
 
 def test_a_change_that_can_not_be_read_is_not_vouched_for_until_it_is_mended() -> None:
@@ -78,7 +78,7 @@
         await feed.step()
         assert (feed.revision, feed.is_current(), feed.corrupt_by_key) == (3, True, {})
 
-    with_feed(scenario)
+    run_with_feed(scenario)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -112,7 +112,7 @@
         assert found.is_ok(), found.error
         assert found.ok.budget_tokens == 1000
 
-    with_feed(scenario)
+    run_with_feed(scenario)
 
 
 def status(state: str) -> bytes:
@@ -125,9 +125,9 @@
         objects = MemoryObjects()
         info = HostInfo("a~1", "a", "hall", "p:1", "c:1", HostState.SERVING, 0, 0.0)
         member = Membership(MemoryObjectStore(objects), "hosts", info, TIMES)
-        gone: list[str] = []
+        departed: list[str] = []
         died: list[str] = []
-        member.on_gone = lambda one: gone.append(one.host)
+        member.on_gone = lambda one: departed.append(one.host)
         member.on_death = lambda one: died.append(one.host)
         task = asyncio.create_task(member.run())
         await objects.put("hosts/odd", odd, None)
@@ -136,11 +136,11 @@
         assert {one.host for one in member.alive()} == {"a", "b"}
         stored = await objects.put("hosts/b~1", odd, stored.version)
         await asyncio.sleep(2.0)
-        assert (gone, died, task.done()) == ([], [], False)
+        assert (departed, died, task.done()) == ([], [], False)
         for _ in range(6):
             stored = await objects.put("hosts/b~1", status("serving"), stored.version)
             await asyncio.sleep(1.0)
-        assert (gone, died) == ([], [])
+        assert (departed, died) == ([], [])
         await objects.put("hosts/b~1", odd, stored.version)
         await asyncio.sleep(8.0)
         assert died == ["b"]
@@ -172,17 +172,17 @@
 
 
 class ListServer(StandinServer):
-    """Answers with whatever it was given."""
+    """Answers with the JSON value that a test has set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.says: Any = None
+        self.response: Any = None
 
     def add_routes(self, app: web.Application) -> None:
         app.router.add_get("/v1/endpoints", self._get)
 
     async def _get(self, request: web.Request) -> web.Response:
-        return web.json_response(self.says)
+        return web.json_response(self.response)
 
 
 def test_odd_entries_of_the_list_of_endpoints_hide_no_other_one() -> None:
@@ -191,12 +191,12 @@
         await server.start()
         listed = HttpEndpointList(server.base_url, 1.0)
         for odd in ODD_LISTED:
-            server.says = {"endpoints": [odd, LISTED, odd]}
+            server.response = {"endpoints": [odd, LISTED, odd]}
             found = await listed.fetch()
             assert found is not None
             assert [one.name for one in found] == ["e-1"], odd
         for odd in (None, 5, [], {"endpoints": None}, {"endpoints": {"a": 1}}):
-            server.says = odd
+            server.response = odd
             assert await listed.fetch() is None, odd
         await listed.close()
         await server.stop()
--- a/tests/unit/test_placing_play.py
+++ b/tests/unit/test_placing_play.py
@@ -1,8 +1,7 @@
-"""Programs played against placement: what callers get on a site of few slots and little memory.
+"""Simulated programs on a site with few slots and little memory.
 
-Users saw a burst on such a site end 447 of 1,078 programs late and 120 failed: turns left the
-engines that held their history for one request less, their prompts were read anew, the reading
-held up all others there, and so on, for ten seconds after the burst.
+Guards against a burst that moves turns away from the engines that hold their history: prompts are
+recomputed there, which delays all other requests on these engines.
 """
 
 import pytest
@@ -14,9 +13,8 @@
 BURST = ProgramLoad(per_s=30, burst=1.8)
 
 
-def test_a_burst_leaves_programs_in_time_and_prompts_are_read_once() -> None:
+def test_a_burst_delays_few_programs_and_recomputes_few_prompts() -> None:
     outcome = PlacingPlay(SiteShape(), BURST).run()
-    # By shares of slots alone: 0.651 in time, 15.5 million tokens read.
     assert outcome.share_in_time >= 0.98
     assert outcome.tokens_read <= 1.25 * outcome.tokens_new
 
@@ -25,7 +23,7 @@
     ("name", "value", "least_lost"),
     [("TOKENS_PER_REQUEST", 1e9, 0.2), ("TOKENS_PER_REQUEST", 4000.0, 0.05)],
 )
-def test_the_burst_shows_a_weight_that_is_wrong(
+def test_the_burst_reveals_a_wrong_weight(
     monkeypatch: pytest.MonkeyPatch, name: str, value: float, least_lost: float
 ) -> None:
     monkeypatch.setattr(placement_weights, name, value)
@@ -41,7 +39,7 @@
         SiteShape(halls=3, engines_a_hall=2, slots=64, speed=ModelSpeed(max_batch=64)),
     ],
 )
-def test_sites_of_other_shapes_serve_the_same_load_an_engine(shape: SiteShape) -> None:
+def test_sites_of_other_shapes_serve_the_same_load_per_engine(shape: SiteShape) -> None:
     engines = shape.halls * shape.engines_a_hall
     outcome = PlacingPlay(shape, ProgramLoad(per_s=engines, burst=1.8, length_s=15)).run()
     assert outcome.share_in_time >= 0.98
--- a/tests/unit/test_platform_formats.py
+++ b/tests/unit/test_platform_formats.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's names in, the product's types out, and findings for odd input."""
+"""The platform adapter: decodes the platform's formats, and reports invalid input as findings."""
 
 from pathlib import Path
 
@@ -35,7 +35,7 @@
 )
 
 
-def test_settings_are_read_and_named_anew(tmp_path: Path) -> None:
+def test_platform_settings_are_translated(tmp_path: Path) -> None:
     path = tmp_path / "local.toml"
     path.write_text(settings_text("edge-1", "10.1.0.38"))
     settings = read_settings(path).ok
@@ -90,13 +90,13 @@
     assert any(place in finding for finding in findings), findings
 
 
-def test_a_file_that_is_no_toml_is_one_finding(tmp_path: Path) -> None:
+def test_a_file_that_is_not_toml_gives_one_finding(tmp_path: Path) -> None:
     path = tmp_path / "local.toml"
     path.write_text("node_name = ")
     assert len(read_settings(path).error) == 1
 
 
-def test_a_request_is_decoded_once() -> None:
+def test_a_request_is_decoded() -> None:
     request = FORMAT.read_request("POST", "/a%2Fb?x=%20", HEADERS)
     assert request is not None
     assert (request.host, request.path, request.attempt) == ("desk.example", "/a%2Fb", "a1")
@@ -106,7 +106,7 @@
     assert FORMAT.read_request("GET", "/", ((b"Host", b"x"),)) is None
 
 
-def test_what_callers_may_not_set_is_not_passed_on() -> None:
+def test_headers_that_callers_may_not_set_are_dropped() -> None:
     request = FORMAT.read_request("POST", "/a%2Fb?x=%20", HEADERS)
     assert request is not None
     head = FORMAT.request_head(request, 7, "i-1", 1.25, 3).decode()
@@ -123,8 +123,8 @@
     assert head.endswith("\r\n\r\n")
 
 
-def test_the_marks_of_an_answer() -> None:
-    marks = FORMAT.read_answer(
+def test_answer_metadata_is_read_from_the_headers() -> None:
+    metadata = FORMAT.read_answer(
         503,
         (
             (b"bayhinge-attempt-id", b"a1"),
@@ -132,7 +132,12 @@
             (b"Keep-Alive", b"max=5, timeout=12"),
         ),
     )
-    assert (marks.attempt, marks.not_run, marks.is_signed, marks.idle_s) == ("a1", True, False, 12)
+    assert (metadata.attempt, metadata.not_run, metadata.is_signed, metadata.idle_s) == (
+        "a1",
+        True,
+        False,
+        12,
+    )
     assert FORMAT.read_answer(421, ()).wrong_instance
     assert FORMAT.read_answer(200, ((b"Content-Encoding", b"gzip"),)).is_encoded
 
@@ -154,7 +159,7 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"[]", b"{}", b'{"version": "x"}', b'{"version": 1'])
-def test_a_configuration_of_unknown_form_is_refused(value: bytes) -> None:
+def test_a_configuration_of_unknown_form_is_rejected(value: bytes) -> None:
     with pytest.raises(UnreadableObjectError):
         PlatformObjectReader().read_configuration(value)
 
--- a/tests/unit/test_quota_bucket.py
+++ b/tests/unit/test_quota_bucket.py
@@ -1,4 +1,4 @@
-"""Limits of client accounts: never passed in any window, and few requests refused below them."""
+"""Limits of client accounts: never exceeded in any window, few requests refused below them."""
 
 import random
 
@@ -22,15 +22,15 @@
     return most
 
 
-def _ask(
+def _try_take(
     bucket: QuotaBucket, now_s: float, begins: bool = False, share: float = 1.0, **more: bool
 ) -> float | None:
     bucket.fill(now_s, share, **more)
     return bucket.take(begins)
 
 
-def _takes(bucket: QuotaBucket, now_s: float) -> bool:
-    return _ask(bucket, now_s) is None
+def _grants(bucket: QuotaBucket, now_s: float) -> bool:
+    return _try_take(bucket, now_s) is None
 
 
 def _allowed(quota: Quota) -> float:
@@ -44,22 +44,24 @@
 
 @settings(max_examples=200, deadline=None)
 @given(quotas, st.lists(st.tuples(st.floats(0, 0.5), st.integers(1, 200)), max_size=60))
-def test_one_home_never_passes_a_limit(quota: Quota, clumps: list[tuple[float, int]]) -> None:
+def test_one_coordinator_never_exceeds_a_limit(
+    quota: Quota, bursts: list[tuple[float, int]]
+) -> None:
     bucket = QuotaBucket(quota, MARGIN, 0.0, SETTLED_S)
     now_s, granted_s = 0.0, []
-    for pause_s, asked in clumps:
+    for pause_s, requested in bursts:
         now_s += pause_s
-        granted_s += [now_s for _ in range(asked) if _takes(bucket, now_s)]
+        granted_s += [now_s for _ in range(requested) if _grants(bucket, now_s)]
     assert _most_in_a_window(granted_s, MARGIN.window_s) <= _allowed(quota)
 
 
 @settings(max_examples=200, deadline=None)
 @given(quotas, st.floats(5.5, 9.0), st.floats(0.0, 1.0), st.booleans(), st.integers(1, 10**6))
-def test_a_home_that_changes_under_a_storm_passes_no_limit(
-    quota: Quota, changes_s: float, both_for_s: float, stands_in: bool, draws: int
+def test_a_change_of_coordinator_under_overload_exceeds_no_limit(
+    quota: Quota, changes_s: float, both_for_s: float, stands_in: bool, seed: int
 ) -> None:
-    """Two hosts grant for up to a second; the new one knows nothing of the other's grants."""
-    generator = random.Random(draws)
+    """Two hosts grant for up to a second; the new one doesn't know the other's grants."""
+    generator = random.Random(seed)
     before = QuotaBucket(quota, MARGIN, 0.0, SETTLED_S)
     after: QuotaBucket | None = None
     granted_s = []
@@ -69,66 +71,66 @@
         after = after or (QuotaBucket(quota, MARGIN, now_s, 0.0) if now_s > changes_s else None)
         is_late = now_s < changes_s + both_for_s
         if after is None or (is_late and generator.random() < 0.5):
-            is_granted = _takes(before, now_s)
+            is_granted = _grants(before, now_s)
         else:
-            is_granted = _ask(after, now_s, stands_in=stands_in and is_late) is None
+            is_granted = _try_take(after, now_s, stands_in=stands_in and is_late) is None
         granted_s += [now_s] if is_granted else []
     assert _most_in_a_window(granted_s, MARGIN.window_s) <= _allowed(quota)
 
 
-def test_homes_on_both_sides_of_a_cut_share_the_limit() -> None:
+def test_coordinators_on_both_sides_of_a_partition_share_the_limit() -> None:
     quota = Quota(100.0, 50.0)
     sides = [(QuotaBucket(quota, MARGIN, 0.0, 0.0), share) for share in (0.7, 0.3)]
     granted_s = [
         step / 1000
         for step in range(12_000)
         for bucket, share in sides
-        if _ask(bucket, step / 1000, share=share) is None
+        if _try_take(bucket, step / 1000, share=share) is None
     ]
     assert _most_in_a_window(granted_s, MARGIN.window_s) <= _allowed(quota)
 
 
-def test_usual_traffic_is_not_refused_also_behind_a_change_of_home() -> None:
+def test_usual_traffic_is_not_refused_after_a_change_of_coordinator() -> None:
     """Six tenths of the limit, in programs of 20 requests each over 4 seconds."""
     generator = random.Random(7)
     quota = Quota(125.0, 125.0)
     begins = [generator.uniform(0.0, 240.0) for _ in range(int(0.6 * 125.0 * 240.0 / 20))]
-    asked_s = sorted(begin + generator.uniform(0.0, 4.0) for begin in begins for _ in range(20))
+    requested_s = sorted(begin + generator.uniform(0.0, 4.0) for begin in begins for _ in range(20))
     bucket = QuotaBucket(quota, MARGIN, 20.0, 0.0)
-    refused = [now_s for now_s in asked_s if now_s > 20.0 and not _takes(bucket, now_s)]
-    assert len(refused) / len(asked_s) < 0.001
+    refused = [now_s for now_s in requested_s if now_s > 20.0 and not _grants(bucket, now_s)]
+    assert len(refused) / len(requested_s) < 0.001
 
 
-def test_programs_that_begin_leave_room_for_those_under_way() -> None:
+def test_new_programs_leave_room_for_running_ones() -> None:
     bucket = QuotaBucket(Quota(10.0, 41.0), QuotaMargin(), 0.0, SETTLED_S)
     granted = []
     for begins in (True, False):
         count = 0
-        while _ask(bucket, 0.0, begins=begins) is None:
+        while _try_take(bucket, 0.0, begins=begins) is None:
             count += 1
         granted.append(count)
     assert granted == [33, 8]
 
 
-def test_the_time_to_come_again_is_true() -> None:
+def test_the_returned_waiting_time_is_exact() -> None:
     bucket = QuotaBucket(Quota(4.0, 4.0), QuotaMargin(), 0.0, SETTLED_S)
-    while (wait_s := _ask(bucket, 0.0)) is None:
+    while (wait_s := _try_take(bucket, 0.0)) is None:
         pass
     assert wait_s == pytest.approx(0.25)
-    assert not _takes(bucket, wait_s - 0.01)
-    assert _takes(bucket, wait_s)
+    assert not _grants(bucket, wait_s - 0.01)
+    assert _grants(bucket, wait_s)
 
 
-def test_what_was_given_back_may_be_taken_again() -> None:
+def test_returned_requests_can_be_granted_again() -> None:
     bucket = QuotaBucket(Quota(1.0, 2.0), QuotaMargin(), 0.0, SETTLED_S)
-    assert [_takes(bucket, 0.0) for _ in range(3)] == [True, True, False]
+    assert [_grants(bucket, 0.0) for _ in range(3)] == [True, True, False]
     bucket.give_back(1)
-    assert _takes(bucket, 0.0)
+    assert _grants(bucket, 0.0)
     bucket.give_back(100)
-    assert [_takes(bucket, 0.0) for _ in range(3)] == [True, True, False]
+    assert [_grants(bucket, 0.0) for _ in range(3)] == [True, True, False]
 
 
-def test_a_lower_limit_binds_at_once() -> None:
+def test_a_lower_limit_applies_at_once() -> None:
     bucket = QuotaBucket(Quota(100.0, 100.0), QuotaMargin(), 0.0, SETTLED_S)
     bucket.set_quota(Quota(1.0, 2.0))
-    assert sum(_takes(bucket, TAKEOVER_S) for _ in range(50)) == 2
+    assert sum(_grants(bucket, TAKEOVER_S) for _ in range(50)) == 2
--- a/tests/unit/test_quota_ways.py
+++ b/tests/unit/test_quota_ways.py
@@ -1,7 +1,6 @@
-"""Three ways to hold accounts to their limits over 58 hosts: what callers get under the same loads.
+"""Compares three ways to enforce account limits over 58 hosts under the same loads.
 
-Figures (means of eight seeds) stand in the design page on the shifted work; here stands what must
-hold: the home's way never passes what is allowed, and ends at least as many programs as the others.
+The quota coordinator never exceeds a limit, and completes at least as many programs as the others.
 """
 
 from statistics import mean
@@ -25,7 +24,7 @@
 SEEDS = range(1, 9)
 
 
-def _plays(way: type[FixedShares | Home | ToldDemand], rate: float, load: Load) -> list[Outcome]:
+def _simulate(way: type[FixedShares | Home | ToldDemand], rate: float, load: Load) -> list[Outcome]:
     quota = Quota(rate, rate)
     ways: list[Way] = [way(quota, MARGIN, HOSTS) for _ in SEEDS]
     return [
@@ -35,16 +34,16 @@
 
 @pytest.mark.parametrize("hot", [1.0, 4.4, 7.5])
 @pytest.mark.parametrize("rate", [5.0, 23.0, 125.0])
-def test_the_home_s_way_is_within_the_limit_and_ends_the_most_programs(
+def test_the_coordinator_keeps_the_limit_and_completes_the_most_programs(
     rate: float, hot: float
 ) -> None:
     load = Load(0.62, hot)
-    home = _plays(Home, rate, load)
-    assert max(one.most for one in home) <= 1.0
+    coordinator = _simulate(Home, rate, load)
+    assert max(one.most for one in coordinator) <= 1.0
     for other in (FixedShares, ToldDemand):
-        others = _plays(other, rate, load)
-        assert mean(one.whole for one in home) >= mean(one.whole for one in others)
+        others = _simulate(other, rate, load)
+        assert mean(one.whole for one in coordinator) >= mean(one.whole for one in others)
 
 
 def test_usual_load_of_a_large_account_is_not_refused() -> None:
-    assert mean(one.refused for one in _plays(Home, 125.0, Load(0.62))) < 0.001
+    assert mean(one.refused for one in _simulate(Home, 125.0, Load(0.62))) < 0.001
--- a/tests/unit/test_request_rate.py
+++ b/tests/unit/test_request_rate.py
@@ -1,11 +1,11 @@
-"""What a host says of the requests that callers ask of it."""
+"""The request rate that a host reports."""
 
 import pytest
 
 from bayhinge._internal.decisions.request_rate import RequestRate
 
 
-def test_a_rise_counts_at_once_and_a_fall_slowly() -> None:
+def test_the_rate_follows_a_rise_at_once_and_a_fall_slowly() -> None:
     rate = RequestRate()
     rate.note(10, 1.0)
     assert rate.per_s == 10
--- a/tests/unit/test_routing.py
+++ b/tests/unit/test_routing.py
@@ -32,23 +32,23 @@
 @given(st.lists(st.tuples(st.sampled_from("hg"), prefixes), max_size=8), paths)
 def test_the_longest_prefix_of_the_host_wins(places: list[tuple[str, str]], path: str) -> None:
     routes = [route(host, prefix) for host, prefix in places]
-    fitting = [one for one in routes if one.host == "h" and path.startswith(one.path_prefix)]
-    longest = max(fitting, key=lambda one: len(one.path_prefix), default=None)
+    matching = [one for one in routes if one.host == "h" and path.startswith(one.path_prefix)]
+    longest = max(matching, key=lambda one: len(one.path_prefix), default=None)
     assert table(*routes).find("h", path) == longest
 
 
-def test_of_two_routes_in_one_place_the_first_counts() -> None:
+def test_of_two_routes_with_the_same_prefix_the_first_wins() -> None:
     found = table(route("h", "/a/", "first"), route("h", "/a/", "second")).find("h", "/a/x")
     assert found is not None
     assert found.name == "first"
 
 
-def test_finding_takes_no_longer_with_many_routes() -> None:
+def test_lookup_time_does_not_grow_with_the_number_of_routes() -> None:
     many = table(*(route("h", f"/r{number}/") for number in range(20_000)))
     began = time.process_time()
     for _ in range(1000):
         assert many.find("h", "/nowhere/x") is None
-    # One look through 20,000 routes takes a millisecond and more by itself.
+    # A linear search of 20,000 routes takes over a millisecond.
     assert time.process_time() - began < 0.1
 
 
--- a/tests/unit/test_runs_of_every_kind.py
+++ b/tests/unit/test_runs_of_every_kind.py
@@ -1,4 +1,4 @@
-"""Runs that end in every way that an endpoint knows, and what is recorded of them."""
+"""Streams whose runs end in every possible way: what the caller gets and what is recorded."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -22,7 +22,7 @@
 from tests.lib.cut_answers import ROUTE, SIGNED, Caller, CutAnswer
 
 EVENTS = 4
-BEAT = b": beat\n\n"
+HEARTBEAT = b": beat\n\n"
 UNSIGNED = AnswerMetadata("a", False, False, False, False, None)
 ENCODED = AnswerMetadata("a", True, False, False, True, None)
 BOUNDS = AnswerTimeouts(1.0, True, 0.005)
@@ -42,7 +42,7 @@
 
 @attrs.define
 class SilentAnswer(CutAnswer):
-    """Falls silent in place of breaking off."""
+    """Goes silent instead of breaking off."""
 
     async def read_pieces(self) -> AsyncIterator[bytes]:
         for piece in self.pieces:
@@ -60,52 +60,57 @@
         return b"no"
 
 
-class Keeper:
+class RecorderStub:
     def __init__(self) -> None:
         self.closed: list[tuple[bytes, int, EndpointIncarnation]] = []
 
     async def close(
-        self, turn: OpenTurn, text: bytes, tokens: int, start: EndpointIncarnation, keep_s: float
+        self, turn: OpenTurn, text: bytes, tokens: int, engine: EndpointIncarnation, keep_s: float
     ) -> None:
-        self.closed.append((text, tokens, start))
+        self.closed.append((text, tokens, engine))
 
 
-KINDS = ["cut", "cut", "cut", "silent", "status", "unsigned", "encoded"]
+FAILURE_KINDS = ["cut", "cut", "cut", "silent", "status", "unsigned", "encoded"]
 Run = tuple[str, int, int, int]
+"""Kind of the end, bytes before it, bytes per piece, and events sent again at the beginning."""
 
 
-async def play(has: int | None, ends: list[Run]) -> tuple[Caller, StreamDelivery, Keeper]:
-    caller, keeper = Caller(), Keeper()
-    request = RoutedRequest("POST", "/x", "host", (), "a", resume_after=has, body=b"new")
+async def deliver_runs(
+    received_to: int | None, failed_runs: list[Run]
+) -> tuple[Caller, StreamDelivery, RecorderStub]:
+    caller, recorder = Caller(), RecorderStub()
+    request = RoutedRequest("POST", "/x", "host", (), "a", resume_after=received_to, body=b"new")
     turn = OpenTurn("a", TurnContext("p", None, 0, None), b"", EndpointIncarnation(), 0)
     delivery = StreamDelivery(
         cast(Exchange, caller),
         PlatformCallFormat(),
-        cast(TurnRecorder, keeper),
+        cast(TurnRecorder, recorder),
         turn,
         request,
         3,
         ROUTE,
     )
-    for run, (kind, length, size, early) in enumerate([*ends, ("whole", 10_000, 5, 0)], start=1):
+    for run, (kind, length, size, early) in enumerate(
+        [*failed_runs, ("whole", 10_000, 5, 0)], start=1
+    ):
         entry = EndpointEntry(f"e-{run}", "llm", "127.0.0.1:1", "north", 4, False, run)
         delivery.run = ActiveRun(EndpointState(entry))
         first = max(1, (delivery.resume_after or 0) + 1 - early)
         text = b"".join(
-            BEAT * (number % 2) + event(number, run) for number in range(first, EVENTS + 1)
+            HEARTBEAT * (number % 2) + event(number, run) for number in range(first, EVENTS + 1)
         )
-        kept = text[:length]
-        pieces = [kept[start : start + size] for start in range(0, len(kept), size)]
-        form = SilentAnswer if kind == "silent" else BodyAnswer
-        answer = form(pieces, kind != "whole", status=503 if kind == "status" else 200)
-        marks = {"unsigned": UNSIGNED, "encoded": ENCODED}.get(kind, SIGNED)
+        sent = text[:length]
+        pieces = [sent[start : start + size] for start in range(0, len(sent), size)]
+        answer_type = SilentAnswer if kind == "silent" else BodyAnswer
+        answer = answer_type(pieces, kind != "whole", status=503 if kind == "status" else 200)
+        metadata = {"unsigned": UNSIGNED, "encoded": ENCODED}.get(kind, SIGNED)
         try:
-            await delivery.deliver(cast(Answer, answer), marks, True, BOUNDS)
+            await delivery.deliver(cast(Answer, answer), metadata, True, BOUNDS)
         except IncompleteAnswerError:
             assert delivery.may_continue
         else:
             break
-    return caller, delivery, keeper
+    return caller, delivery, recorder
 
 
 @settings(max_examples=400, deadline=None)
@@ -113,25 +118,30 @@
     st.none() | st.integers(0, EVENTS),
     st.lists(
         st.tuples(
-            st.sampled_from(KINDS), st.integers(0, 150), st.integers(1, 60), st.integers(0, 3)
+            st.sampled_from(FAILURE_KINDS),
+            st.integers(0, 150),
+            st.integers(1, 60),
+            st.integers(0, 3),
         ),
         max_size=5,
     ),
 )
-def test_the_caller_and_the_record_have_each_event_once_as_one_run_made_it(
-    has: int | None, ends: list[Run]
+def test_caller_and_record_get_each_event_once_and_whole(
+    received_to: int | None, failed_runs: list[Run]
 ) -> None:
-    caller, delivery, keeper = asyncio.run(play(has, ends))
+    caller, delivery, recorder = asyncio.run(deliver_runs(received_to, failed_runs))
     assert caller.is_whole
-    rest = caller.body.replace(BEAT, b"")
-    said = b"new"
-    for number in range((has or 0) + 1, EVENTS + 1):
-        made = [run for run in range(1, len(ends) + 2) if rest.startswith(event(number, run))]
+    rest = caller.body.replace(HEARTBEAT, b"")
+    expected_text = b"new"
+    for number in range((received_to or 0) + 1, EVENTS + 1):
+        made = [
+            run for run in range(1, len(failed_runs) + 2) if rest.startswith(event(number, run))
+        ]
         assert len(made) == 1, (number, rest)
         rest = rest.removeprefix(event(number, made[0]))
-        said += data(number, made[0]) + b"\n"
+        expected_text += data(number, made[0]) + b"\n"
     assert rest == b""
-    ((text, tokens, start),) = keeper.closed
-    assert text == said
-    assert tokens == 3 * (EVENTS - (has or 0)) == delivery.tokens_delivered
-    assert start == delivery.incarnation
+    ((text, tokens, engine),) = recorder.closed
+    assert text == expected_text
+    assert tokens == 3 * (EVENTS - (received_to or 0)) == delivery.tokens_delivered
+    assert engine == delivery.incarnation
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and accounts: every finding at once, with its place."""
+"""Settings and accounts: all findings are reported at once, each with its place."""
 
 from pathlib import Path
 
@@ -78,7 +78,7 @@
         ("[host]\nwhat is this\n", "neither a section"),
     ],
 )
-def test_a_text_that_is_no_ini_has_a_place(text: str, problem: str) -> None:
+def test_a_text_that_is_not_ini_is_reported_with_its_line(text: str, problem: str) -> None:
     (finding,) = read_settings(text, "host.ini").error
     assert problem in finding.problem
     assert finding.place.line > 0
@@ -106,7 +106,7 @@
     assert account.revision == 5
 
 
-def test_an_account_without_its_template_is_no_account() -> None:
+def test_an_account_without_its_template_is_an_error() -> None:
     text = "[account]\ntemplate = gone\n"
     resolved = resolve_account(ConfigText(ConfigKind.ACCOUNT, "desk", text, 5), None)
     assert "'gone' does not exist" in resolved.error
--- a/tests/unit/test_soak_ledger.py
+++ b/tests/unit/test_soak_ledger.py
@@ -1,4 +1,4 @@
-"""The soak's ledger tells each broken promise, and nothing where all are kept."""
+"""The soak's ledger reports each broken guarantee, and nothing else."""
 
 import random
 from typing import Any
@@ -13,18 +13,18 @@
 EVENTS = 3
 
 
-def made_by(mark: str) -> list[bytes]:
+def events_of(mark: str) -> list[bytes]:
     return [f"id: {number}\ndata: {mark}{number}\n\n".encode() for number in range(1, EVENTS + 1)]
 
 
 def run_of(sent: Sent, mark: str = "a") -> Run:
     body = sent.body if sent.expected_body is None else sent.expected_body
-    return Run(sent.attempt, "POST", "/", body, [], made=made_by(mark))
+    return Run(sent.attempt, "POST", "/", body, [], made=events_of(mark))
 
 
 def turn(attempt: str = "s1", **fields: Any) -> Sent:
     sent = Sent(attempt, "turn", "entry-0", b"hello\n", expected_body=b"hello\n", status=200)
-    whole = attrs.evolve(sent, answer=b"".join(made_by("a")), is_whole=True, is_ended=True)
+    whole = attrs.evolve(sent, answer=b"".join(events_of("a")), is_whole=True, is_ended=True)
     return attrs.evolve(whole, **fields)
 
 
@@ -37,7 +37,7 @@
     return ledger.check([engine])
 
 
-def test_two_turns_of_a_chain_are_well() -> None:
+def test_a_correct_chain_of_two_turns_has_no_problems() -> None:
     history = b"hello\n" + b"a1\na2\na3\n" + b"more\n"
     second = turn("s2", body=b"more\n", expected_body=history, previous="s1")
     assert problems_of(turn(), second) == []
@@ -46,25 +46,25 @@
 @pytest.mark.parametrize(
     ("sent", "what"),
     [
-        (turn(answer=b"id: " + b"".join(made_by("a"))), "an event that no run of it made"),
-        (turn(answer=b"".join(made_by("a")[:2])), "ended as whole after 2 events"),
-        (turn(answer=b"".join(made_by("b"))), "an event that no run of it made"),
+        (turn(answer=b"id: " + b"".join(events_of("a"))), "an event that no run of it made"),
+        (turn(answer=b"".join(events_of("a")[:2])), "ended as whole after 2 events"),
+        (turn(answer=b"".join(events_of("b"))), "an event that no run of it made"),
         (turn(status=0, answer=b"", is_whole=False), "no answer from a host that was well"),
         (turn(status=0, answer=b"", is_whole=False, was_leaving=True), "a planned stop cut it"),
         (turn(status=503, answer=b"", is_whole=False), "told that it did not run, and it ran"),
     ],
 )
-def test_what_is_broken_is_told(sent: Sent, what: str) -> None:
+def test_a_broken_guarantee_is_reported(sent: Sent, what: str) -> None:
     problems = problems_of(sent)
     assert any(what in problem for problem in problems), problems
 
 
-def test_a_stopping_host_may_close_what_it_has_not_read() -> None:
+def test_a_stopping_host_may_close_a_request_that_it_has_not_read() -> None:
     sent = turn(status=0, answer=b"", is_whole=False, was_leaving=True)
     assert problems_of(sent, runs=[]) == []
 
 
-def test_a_turn_that_goes_on_behind_another_text_is_told() -> None:
+def test_a_turn_that_continues_another_text_is_reported() -> None:
     second = turn("s2", body=b"more\n", expected_body=b"hello\na1\na2\nmore\n", previous="s1")
     assert any("another text than s1 said" in problem for problem in problems_of(turn(), second))
 
--- a/tests/unit/test_soak_mutants.py
+++ b/tests/unit/test_soak_mutants.py
@@ -1,4 +1,4 @@
-"""Each guard that a mutant takes out is still where its table says."""
+"""Each edit that removes a guard for a mutant still applies to the source."""
 
 import compileall
 import shutil
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("guard", EDITS_BY_NAME)
-def test_a_guard_can_be_taken_out(guard: str, tmp_path: Path) -> None:
+def test_a_guard_can_be_removed(guard: str, tmp_path: Path) -> None:
     shutil.copytree(ROOT / "src", tmp_path / "src")
     for edit in EDITS_BY_NAME[guard]:
         edit.apply(tmp_path)
--- a/tests/unit/test_soak_plans.py
+++ b/tests/unit/test_soak_plans.py
@@ -1,4 +1,4 @@
-"""What the seeds of a soak draw: one that showed a fault must go on to play the same."""
+"""Fault plans that the soak draws: a seed that once failed must keep drawing the same plan."""
 
 import asyncio
 import random
@@ -13,13 +13,13 @@
 from tests.soak.plans import PLAN_BY_KIND
 
 
-def played(kind: str, seed: int) -> tuple[tuple[int, int], list[str]]:
+def drawn_plan(kind: str, seed: int) -> tuple[tuple[int, int], list[str]]:
     async def main() -> tuple[tuple[int, int], list[str]]:
         source, plan = random.Random(seed), PLAN_BY_KIND[kind]
         store = cast(PlatformStoreServer, None)
         faults = Faults(source, store, [], [], [], [], print)
-        of_endpoints = EndpointFaults(source, store, [], cast(NeverToUse, None), print)
-        series = plan.series(source, faults, of_endpoints)
+        endpoint_faults = EndpointFaults(source, store, [], cast(NeverToUse, None), print)
+        series = plan.series(source, faults, endpoint_faults)
         return plan.size(seed), [fault.__name__ for fault in series]
 
     return asyncio.run(main())
@@ -33,18 +33,18 @@
     ),
     1106: ((4, 5), ["stop_entry", "hurt_entry"], ["exchange_addresses", "break_streams"]),
 }
-"""The size of the site, faults of hosts and the store, and of endpoints, of seeds that failed."""
+"""Size of the site, faults of hosts and the store, and faults of endpoints, by failed seed."""
 
 
 @pytest.mark.parametrize("seed", DRAWN_BY_SEED)
-def test_a_seed_that_showed_a_fault_goes_on_to_play_the_same(seed: int) -> None:
-    size, of_hosts, of_endpoints = DRAWN_BY_SEED[seed]
-    assert played("overlapping", seed) == (size, of_hosts + of_endpoints)
+def test_a_seed_that_once_failed_draws_the_same_plan(seed: int) -> None:
+    size, host_faults, endpoint_faults = DRAWN_BY_SEED[seed]
+    assert drawn_plan("overlapping", seed) == (size, host_faults + endpoint_faults)
 
 
 @pytest.mark.parametrize("kind", ["short-silences", "short-silences-hurt"])
-def test_short_silences_come_beside_entries_that_change(kind: str) -> None:
-    size, series = played(kind, 1)
+def test_short_silences_are_combined_with_changing_entries(kind: str) -> None:
+    size, series = drawn_plan(kind, 1)
     assert size == (7, 3)
     assert series.count("change_behind_short_silence") == 1
     assert series.count("write_odd_entry") == 3
--- a/tests/unit/test_running_time.py
+++ b/tests/unit/test_stall_tolerant_timeouts.py
@@ -1,8 +1,6 @@
-"""Bounds on waiting in a process that stands still meanwhile, on a real loop.
+"""Timeouts in a process whose event loop stalls, on a real loop.
 
-What was seen: three hosts of a busy machine each logged ``home.silent``, "no answer in time", 0.12
-to 0.14 s after a request, while the home had answered: their loops had stood still for longer than
-the 0.04 s that a home has. Twelve requests then were placed without it.
+Guards against taking a peer for silent although its answer arrived while the loop was stalled.
 """
 
 import asyncio
@@ -19,40 +17,40 @@
 )
 
 LIMIT_S = 0.04
-STANDS_STILL_S = 0.1
+STALL_S = 0.1
 
 
-async def answered_while_standing_still() -> bytes:
-    """Waits for an answer that comes in time, in a loop that stands still past the bound."""
+async def answer_during_stall() -> bytes:
+    """Waits for an answer that arrives in time, in a loop that stalls past the limit."""
     loop = asyncio.get_running_loop()
     near, far = socket.socketpair()
     with near, far:
         reader, writer = await asyncio.open_connection(sock=near)
 
-        def stand_still() -> None:
+        def stall() -> None:
             far.send(b"answer")
-            time.sleep(STANDS_STILL_S)
+            time.sleep(STALL_S)
 
-        loop.call_later(LIMIT_S / 10, stand_still)
+        loop.call_later(LIMIT_S / 10, stall)
         answers: asyncio.Queue[bytes] = asyncio.Queue()
 
-        async def pass_on() -> None:
+        async def forward() -> None:
             answers.put_nowait(await reader.readexactly(6))
 
-        passing_on = asyncio.ensure_future(pass_on())
+        forwarding = asyncio.ensure_future(forward())
         try:
             async with stall_tolerant_timeout(LIMIT_S):
                 return await answers.get()
         finally:
-            passing_on.cancel()
+            forwarding.cancel()
             writer.close()
 
 
-def test_an_answer_that_came_while_the_process_stood_still_is_taken() -> None:
-    assert asyncio.run(answered_while_standing_still()) == b"answer"
+def test_an_answer_that_arrived_during_a_stall_is_accepted() -> None:
+    assert asyncio.run(answer_during_stall()) == b"answer"
 
 
-def test_silence_ends_after_the_bound() -> None:
+def test_silence_times_out_after_the_limit() -> None:
     async def scenario() -> float:
         loop = asyncio.get_running_loop()
         began_s = loop.time()
@@ -65,30 +63,30 @@
     assert took_s >= LIMIT_S - 0.001
 
 
-def assert_standing_still_uses_up_one_part(wait: Callable[[], Awaitable[None]]) -> None:
-    """Waits in a loop that stands still past the bound soon after the wait has begun."""
+def assert_stall_uses_up_one_slice(wait: Callable[[], Awaitable[None]]) -> None:
+    """Waits in a loop that stalls past the limit soon after the wait has begun."""
 
     async def scenario() -> float:
         loop = asyncio.get_running_loop()
-        loop.call_later(LIMIT_S / 10, time.sleep, STANDS_STILL_S)
+        loop.call_later(LIMIT_S / 10, time.sleep, STALL_S)
         began_s = loop.time()
         await wait()
         return loop.time() - began_s
 
     took_s = asyncio.run(scenario())
-    assert took_s >= STANDS_STILL_S + LIMIT_S * (SLICES - 2) / SLICES
+    assert took_s >= STALL_S + LIMIT_S * (SLICES - 2) / SLICES
 
 
-def test_standing_still_uses_up_one_part_of_the_bound() -> None:
+def test_a_stall_uses_up_one_slice_of_the_limit() -> None:
     async def wait() -> None:
         with pytest.raises(TimeoutError):
             async with stall_tolerant_timeout(LIMIT_S):
                 await asyncio.Event().wait()
 
-    assert_standing_still_uses_up_one_part(wait)
+    assert_stall_uses_up_one_slice(wait)
 
 
-def test_what_ends_in_time_leaves_no_timer_behind() -> None:
+def test_a_wait_that_ends_in_time_leaves_no_timer() -> None:
     async def scenario() -> None:
         async with stall_tolerant_timeout(LIMIT_S):
             await asyncio.sleep(0)
@@ -97,15 +95,15 @@
     asyncio.run(scenario())
 
 
-def test_a_bound_on_several_waits_ends_once_for_all_of_them() -> None:
+def test_a_deadline_of_several_waits_ends_once_for_all_of_them() -> None:
     async def scenario() -> tuple[int, float]:
         loop = asyncio.get_running_loop()
-        bound = StallTolerantDeadline(LIMIT_S)
+        deadline = StallTolerantDeadline(LIMIT_S)
         waiting = {asyncio.ensure_future(asyncio.sleep(LIMIT_S * part)) for part in (0.25, 0.5, 9)}
         began_s = loop.time()
         ended = 0
-        while bound.left_s > 0:
-            finished, waiting = await bound.first_of(waiting)
+        while deadline.left_s > 0:
+            finished, waiting = await deadline.first_of(waiting)
             ended += len(finished)
         for task in waiting:
             task.cancel()
@@ -116,17 +114,17 @@
     assert took_s >= LIMIT_S - 0.001
 
 
-def test_standing_still_uses_up_one_part_of_a_bound_on_several_waits() -> None:
+def test_a_stall_uses_up_one_slice_of_a_deadline_of_several_waits() -> None:
     async def wait() -> None:
         never = asyncio.ensure_future(asyncio.Event().wait())
         finished, waiting = await StallTolerantDeadline(LIMIT_S).first_of({never})
         assert (finished, waiting) == (set(), {never})
         never.cancel()
 
-    assert_standing_still_uses_up_one_part(wait)
+    assert_stall_uses_up_one_slice(wait)
 
 
-def test_no_bound_never_ends() -> None:
+def test_no_limit_never_times_out() -> None:
     async def scenario() -> None:
         async with stall_tolerant_timeout(None):
             await asyncio.sleep(LIMIT_S)
--- a/tests/unit/test_stalls_endpoints.py
+++ b/tests/unit/test_stalls_endpoints.py
@@ -1,4 +1,4 @@
-"""A host that stood still leaves no endpoint's stream for it, and reaches endpoints."""
+"""A host whose event loop stalled abandons no stream for it, and connects to endpoints."""
 
 import asyncio
 import threading
@@ -24,7 +24,7 @@
 
 @attrs.define
 class StreamedAnswer:
-    """An endpoint's answer whose pieces come over a real connection."""
+    """An endpoint's answer whose pieces arrive over a real connection."""
 
     reader: asyncio.StreamReader
 
@@ -34,22 +34,22 @@
 
 
 async def read_stream(events: int, stall_s: float) -> list[bytes]:
-    """Reads a stream whose events come every 5 ms from another thread."""
+    """Reads a stream of one event per 5 ms from another thread, in a loop that stalls once."""
 
-    def send(far: "asyncio.Transport", left: int) -> None:
+    def send(peer: "asyncio.Transport", left: int) -> None:
         if left:
-            far.write(b"data: x\n\n")
-            elsewhere.call_later(0.005, send, far, left - 1)
+            peer.write(b"data: x\n\n")
+            server_loop.call_later(0.005, send, peer, left - 1)
 
-    class Far(asyncio.Protocol):
+    class SendingProtocol(asyncio.Protocol):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             send(cast(asyncio.Transport, transport), events)
 
-    elsewhere = asyncio.new_event_loop()
-    thread = threading.Thread(target=elsewhere.run_forever, daemon=True)
+    server_loop = asyncio.new_event_loop()
+    thread = threading.Thread(target=server_loop.run_forever, daemon=True)
     thread.start()
-    serving = elsewhere.create_server(Far, "127.0.0.1", 0)
-    server = asyncio.run_coroutine_threadsafe(serving, elsewhere).result(5)
+    serving = server_loop.create_server(SendingProtocol, "127.0.0.1", 0)
+    server = asyncio.run_coroutine_threadsafe(serving, server_loop).result(5)
     reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
     asyncio.get_running_loop().call_later(0.02, time.sleep, stall_s)
     pieces: list[bytes] = []
@@ -60,19 +60,19 @@
                 break
     finally:
         writer.close()
-        elsewhere.call_soon_threadsafe(elsewhere.stop)
+        server_loop.call_soon_threadsafe(server_loop.stop)
         thread.join(5)
         server.close()
-        elsewhere.close()
+        server_loop.close()
     return pieces
 
 
-def test_a_stream_is_not_left_because_its_host_stood_still() -> None:
+def test_a_stream_is_not_abandoned_after_a_stall_of_its_host() -> None:
     pieces = asyncio.run(read_stream(40, 3 * PAUSE_S))
     assert b"".join(pieces).count(b"\n\n") == 40
 
 
-def test_a_stream_that_pauses_for_too_long_is_left() -> None:
+def test_a_stream_that_pauses_for_too_long_is_abandoned() -> None:
     class Pausing:
         async def read_pieces(self) -> AsyncIterator[bytes]:
             yield b"data: x\n\n"
@@ -90,11 +90,11 @@
     assert asyncio.run(scenario()) >= PAUSE_S - 0.001
 
 
-def test_an_endpoint_is_reached_by_a_host_that_stood_still() -> None:
+def test_a_host_that_stalled_connects_to_an_endpoint() -> None:
     async def scenario(address: str) -> None:
-        links = EndpointConnectionPool()
+        pool = EndpointConnectionPool()
         asyncio.get_running_loop().call_soon(time.sleep, CONNECT_TIMEOUT_S + 0.1)
-        connection = await links.acquire("i-1", address)
+        connection = await pool.acquire("i-1", address)
         connection.abort("over")
 
     with disks_elsewhere(1) as (addresses, _):
--- a/tests/unit/test_state_machines.py
+++ b/tests/unit/test_state_machines.py
@@ -39,7 +39,7 @@
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """A loop in virtual time, a store, and faults that come and go."""
+    """A loop in virtual time, and a store whose faults change."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -48,7 +48,7 @@
         self.objects = self.run(self._make_objects())
         self.faults = StoreFaults(delay_s=0.01)
         self.store = MemoryObjectStore(self.objects, self.faults)
-        self.clear = MemoryObjectStore(self.objects)
+        self.faultless_store = MemoryObjectStore(self.objects)
 
     async def _make_objects(self) -> MemoryObjects:
         return MemoryObjects()
@@ -63,7 +63,7 @@
         self.faults.lose_answers = count if fault == "lose answers" else 0
         self.faults.lose_writes = count if fault == "lose writes" else 0
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         self.faults.down = False
         self.faults.delay_s = 0.01
         self.faults.lose_answers = self.faults.lose_writes = 0
@@ -77,7 +77,7 @@
 
 
 class JournalMachine(StoreMachine):
-    """One writer, paused and woken, against successors that seal."""
+    """One writer, paused and resumed, against successors that seal its journal."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -123,8 +123,8 @@
         self.seals.append(seal.successors)
 
     @invariant()
-    def what_was_acknowledged_is_there_in_order_and_once(self) -> None:
-        contents = self.run(JournalReader(self.clear, "j").read_all("a~1"))
+    def what_was_acknowledged_is_stored_in_order_and_once(self) -> None:
+        contents = self.run(JournalReader(self.faultless_store, "j").read_all("a~1"))
         stored = [record.data for record in contents.records]
         assert stored == self.appended[: len(stored)]
         acknowledged = [
@@ -140,7 +140,7 @@
 
 
 class EscrowMachine(StoreMachine):
-    """Three hosts that spend one budget, die with grants, and see it cut."""
+    """Three hosts that spend one budget, and crash while they hold grants."""
 
     BUDGET = 1000
 
@@ -148,14 +148,16 @@
         super().__init__()
         self.budget = self.BUDGET
         self.spent = 0
-        self.starts = 0
+        self.incarnations = 0
         self.hosts = {name: self.start(name) for name in ("a", "b", "c")}
         self.open: dict[str, list[Reservation]] = {name: [] for name in self.hosts}
 
     def start(self, name: str) -> Escrow:
-        self.starts += 1
-        source = random.Random(f"{name}{self.starts}")
-        return Escrow(self.store, "l", f"{name}~{self.starts}", source.random, grant_units=200)
+        self.incarnations += 1
+        source = random.Random(f"{name}{self.incarnations}")
+        return Escrow(
+            self.store, "l", f"{name}~{self.incarnations}", source.random, grant_units=200
+        )
 
     @rule(name=st.sampled_from("abc"), units=st.integers(1, 300))
     def reserve(self, name: str, units: int) -> None:
@@ -181,8 +183,8 @@
             return
 
     @rule(name=st.sampled_from("abc"))
-    def die(self, name: str) -> None:
-        """The host's running calls may all have been spent by then."""
+    def crash(self, name: str) -> None:
+        """Counts the open reservations as spent: the running calls may have used all of them."""
         self.spent += sum(reservation.units for reservation in self.open[name])
         self.open[name].clear()
         dead = self.hosts[name]
@@ -193,13 +195,13 @@
             return
 
     @invariant()
-    def the_budget_holds(self) -> None:
+    def the_budget_is_never_exceeded(self) -> None:
         reserved = sum(item.units for items in self.open.values() for item in items)
         assert self.spent + reserved <= self.BUDGET
 
     @invariant()
     def the_ledger_adds_up(self) -> None:
-        view = self.run(Escrow(self.clear, "l", "view~1", random.random).view("desk"))
+        view = self.run(Escrow(self.faultless_store, "l", "view~1", random.random).view("desk"))
         if view is not None:
             assert view.spent + view.outstanding <= self.BUDGET
 
@@ -209,15 +211,15 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.starts = 0
+        self.incarnations = 0
         self.feeds = [self.make_feed() for _ in range(3)]
         self.accepted: dict[int, str] = {}
         self.highest = [0, 0, 0]
 
     def make_feed(self) -> ConfigFeed:
-        # No two starts of a process may share their source of nonces.
-        self.starts += 1
-        source = random.Random(self.starts)
+        # No two incarnations of a process may share their source of nonces.
+        self.incarnations += 1
+        source = random.Random(self.incarnations)
         return ConfigFeed(self.store, "c", LoopClock(), source.random, FeedTimes())
 
     @rule(editor=st.integers(0, 1), stale=st.booleans(), delete=st.booleans())
@@ -241,13 +243,13 @@
             return
 
     @rule(host=st.integers(0, 2), peer=st.integers(0, 2))
-    def exchange_news(self, host: int, peer: int) -> None:
+    def exchange_updates(self, host: int, peer: int) -> None:
         mine, other = self.feeds[host], self.feeds[peer]
         mine.hear(other.revision)
         changes = other.changes_after(mine.revision)
-        self.run(self._take(mine, changes))
+        self.run(self._apply_changes(mine, changes))
 
-    async def _take(self, feed: ConfigFeed, changes: list[bytes]) -> None:
+    async def _apply_changes(self, feed: ConfigFeed, changes: list[bytes]) -> None:
         feed.apply_from_peer(feed.revision + 1, changes)
 
     @rule(host=st.integers(0, 2))
@@ -256,14 +258,14 @@
         self.highest[host] = 0
 
     @invariant()
-    def no_host_reverts(self) -> None:
+    def no_host_returns_to_an_older_revision(self) -> None:
         for host, feed in enumerate(self.feeds):
             assert feed.revision >= self.highest[host]
             self.highest[host] = feed.revision
 
     @invariant()
-    def an_accepted_text_stands_at_its_revision_for_ever(self) -> None:
-        self.heal()
+    def an_accepted_text_stays_at_its_revision(self) -> None:
+        self.clear_faults()
         reader = self.make_feed()
         self.run(reader.step())
         texts = {item.revision: item.text or "" for item in reader.history("template", "t")}
--- a/tests/unit/test_store_pages.py
+++ b/tests/unit/test_store_pages.py
@@ -1,4 +1,4 @@
-"""Lists that come in pages, also from a store whose pages do not end."""
+"""Paged listings, also from a store whose pages never end."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,15 +11,15 @@
 
 
 class PagedStore(ReadOnlyStore):
-    """Answers with the pages that it was given, the last one for good."""
+    """Answers with the given pages, and repeats the last one."""
 
     def __init__(self, *pages: Listing) -> None:
         self.pages = list(pages)
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
-        self.asked.append(after)
-        assert len(self.asked) < 100, "it is asked without end"
+        self.requested.append(after)
+        assert len(self.requested) < 100, "the listing never ends"
         return self.pages.pop(0) if len(self.pages) > 1 else self.pages[0]
 
     def watch(self, prefix: str, after_revision: int) -> AsyncIterator[Change]:
@@ -30,12 +30,12 @@
     return Listing(tuple(StoredObject(f"hosts/{one}", b"", 1) for one in names), revision, more)
 
 
-def test_pages_are_put_together() -> None:
+def test_pages_are_joined() -> None:
     store = PagedStore(page("a", "b", more=True), page("c", revision=9))
     listing = asyncio.run(list_all(store, "hosts/"))
     assert [stored.key for stored in listing.objects] == ["hosts/a", "hosts/b", "hosts/c"]
     assert listing.revision == 7
-    assert store.asked == ["", "hosts/b"]
+    assert store.requested == ["", "hosts/b"]
 
 
 @pytest.mark.parametrize(
@@ -47,6 +47,8 @@
         (page("c", more=True), page("b", more=True)),
     ],
 )
-def test_pages_that_do_not_go_on_are_an_error_and_not_a_loop(endless: tuple[Listing, ...]) -> None:
+def test_pages_without_progress_are_an_error_and_not_an_endless_loop(
+    endless: tuple[Listing, ...],
+) -> None:
     with pytest.raises(StoreUnavailableError, match="makes no progress"):
         asyncio.run(list_all(PagedStore(*endless), "hosts/"))
--- a/tests/unit/test_stream_check.py
+++ b/tests/unit/test_stream_check.py
@@ -1,4 +1,4 @@
-"""The soak sees whatever in a stream is not byte for byte what a run of it made."""
+"""The soak detects every byte of a stream that differs from what its runs sent."""
 
 import pytest
 
@@ -42,12 +42,12 @@
         (WHOLE + b"id: 5", False, "the beginning of an event that no run of it made"),
     ],
 )
-def test_what_no_run_made_is_seen(answer: bytes, is_whole: bool, what: str) -> None:
+def test_what_no_run_made_is_reported(answer: bytes, is_whole: bool, what: str) -> None:
     problems = stream_problems(answer, is_whole, RUNS, 0)
     assert any(what in problem for problem in problems), problems
 
 
-def test_events_are_read() -> None:
+def test_events_are_split_and_parsed() -> None:
     assert split_events(b"id: 1\n\nid") == ([b"id: 1\n\n"], b"id")
     assert said_in(FIRST.made) == b"a1\na2\n"
     assert [event_id(event) for event in FIRST.made] == [1, 2]
--- a/tests/unit/test_stream_delivery.py
+++ b/tests/unit/test_stream_delivery.py
@@ -1,4 +1,4 @@
-"""What a caller gets of a stream whose runs break off, wherever they do."""
+"""What a caller gets of a stream whose runs break off at any byte."""
 
 import asyncio
 from typing import cast
@@ -27,9 +27,9 @@
 
 @pytest.mark.parametrize("breaks_off", [True, False])
 def test_an_event_that_went_out_in_part_counts(breaks_off: bool) -> None:
-    """Streams that may not be resumed go out as they come, also the part of an event.
+    """A stream that may not be resumed is forwarded as it arrives, also a partial event.
 
-    One that ends within an event as if it were whole is broken all the same.
+    One that ends regularly but within an event is incomplete all the same.
     """
 
     async def scenario() -> None:
@@ -43,21 +43,23 @@
     asyncio.run(scenario())
 
 
-async def deliver(has: int | None, cuts: list[tuple[int, int]]) -> tuple[Caller, StreamDelivery]:
-    """Plays runs that break off after so many bytes, in pieces of a size, and one that does not."""
+async def deliver(
+    received_to: int | None, cuts: list[tuple[int, int]]
+) -> tuple[Caller, StreamDelivery]:
+    """Delivers runs cut after a length, in pieces of a size, and then one that is whole."""
     caller = Caller()
-    request = RoutedRequest("POST", "/x", "host", (), "a", resume_after=has)
+    request = RoutedRequest("POST", "/x", "host", (), "a", resume_after=received_to)
     delivery = delivery_to(caller, request)
     for run, (length, size) in enumerate([*cuts, (10_000, 7)], start=1):
         first = (delivery.resume_after or 0) + 1
         text = b"".join(event(number, run) for number in range(first, EVENTS + 1))
-        kept = text[:length]
-        pieces = [kept[start : start + size] for start in range(0, len(kept), size)]
+        sent = text[:length]
+        pieces = [sent[start : start + size] for start in range(0, len(sent), size)]
         answer = CutAnswer(pieces, breaks_off=length < len(text))
         try:
             await delivery.deliver(cast(Answer, answer), SIGNED, True, BOUNDS)
         except IncompleteAnswerError as error:
-            whole = kept.rpartition(b"\n\n")
+            whole = sent.rpartition(b"\n\n")
             assert error.cut_bytes == len(whole[2])
             assert delivery.may_continue
         else:
@@ -69,12 +71,12 @@
     st.none() | st.integers(0, EVENTS - 1),
     st.lists(st.tuples(st.integers(0, 60), st.integers(1, 70)), max_size=4),
 )
-def test_a_caller_gets_each_event_as_one_run_made_it(
-    has: int | None, cuts: list[tuple[int, int]]
+def test_a_caller_gets_each_event_once_and_whole(
+    received_to: int | None, cuts: list[tuple[int, int]]
 ) -> None:
-    caller, delivery = asyncio.run(deliver(has, cuts))
+    caller, delivery = asyncio.run(deliver(received_to, cuts))
     assert caller.is_whole
-    numbers = range((has or 0) + 1, EVENTS + 1)
+    numbers = range((received_to or 0) + 1, EVENTS + 1)
     *found, rest = caller.body.split(b"\n\n")
     assert (len(found), rest) == (len(numbers), b"")
     for number, block in zip(numbers, found, strict=True):
--- a/tests/unit/test_time_of_day.py
+++ b/tests/unit/test_time_of_day.py
@@ -1,7 +1,6 @@
-"""No decision reads the time of day: it may jump, on one host and not on another.
+"""No decision reads the wall clock: it may jump, on one host and not on another.
 
-Durations, limits and ages are counted on the event loop's clock. This looks at the code itself, so
-it also finds a reading whose effect no play shows.
+Checks the source itself, so it also finds a reading whose effect no simulation shows.
 """
 
 import ast
@@ -14,7 +13,7 @@
 
 SOURCES = Path(bayhinge.__file__).parent
 
-READINGS = frozenset(
+WALL_CLOCK_CALLS = frozenset(
     {
         "time.time",
         "time.time_ns",
@@ -33,20 +32,20 @@
 
 ALLOWED_BY_FILE = {
     "coordination/clock.py": {"time.time_ns", "wall_ms"},
-    # Stamps of accepted changes and of adopted programs, for people to read.
+    # Timestamps of accepted changes and of adopted programs, shown to operators.
     "coordination/config_feed.py": {"wall_ms"},
     "_internal/services/program_registry.py": {"wall_ms"},
-    # When a watch of the store ends: a wrong clock moves that host's own ends, and nothing else.
+    # When a watch of the store ends: a wrong clock shifts only that host's own watches.
     "_internal/services/gateway/gateway.py": {"wall_ms"},
 }
-"""Each file that reads the time of day, and by what."""
+"""The files that read the wall clock, and the calls by which they do."""
 
 BENCHES = ("_internal/bench/", "_internal/demo/")
-"""They measure, and decide nothing for callers."""
+"""These make no decisions for callers."""
 
 
-def readings(text: str) -> Iterator[str]:
-    """Yields each way in which a module reads the time of day, also under another name."""
+def wall_clock_readings(text: str) -> Iterator[str]:
+    """Yields each call by which a module reads the wall clock, also under another name."""
     tree = ast.parse(text)
     names: dict[str, str] = {}
     for node in ast.walk(tree):
@@ -61,7 +60,7 @@
             known = _dotted(node, names)
             parts = known.split(".")
             # "datetime.datetime.now" and "datetime.now" are the same.
-            if ".".join(parts[-2:]) in READINGS:
+            if ".".join(parts[-2:]) in WALL_CLOCK_CALLS:
                 yield ".".join(parts[-2:])
 
 
@@ -76,11 +75,11 @@
     return "?"
 
 
-def test_the_time_of_day_is_read_in_few_places_that_decide_nothing() -> None:
+def test_the_wall_clock_is_read_only_where_no_decision_depends_on_it() -> None:
     found: dict[str, set[str]] = {}
     for path in sorted(SOURCES.rglob("*.py")):
         name = path.relative_to(SOURCES).as_posix()
-        if not name.startswith(BENCHES) and (read := set(readings(path.read_text()))):
+        if not name.startswith(BENCHES) and (read := set(wall_clock_readings(path.read_text()))):
             found[name] = read
     assert found == ALLOWED_BY_FILE
 
@@ -100,8 +99,8 @@
         "import time\nclock = time.time",
     ],
 )
-def test_a_reading_is_found_whatever_it_is_called(text: str) -> None:
-    assert list(readings(text))
+def test_a_reading_of_the_wall_clock_is_found_under_any_name(text: str) -> None:
+    assert list(wall_clock_readings(text))
 
 
 @pytest.mark.parametrize(
@@ -114,5 +113,5 @@
         "import time\ntime.process_time()",
     ],
 )
-def test_other_clocks_are_none(text: str) -> None:
-    assert not list(readings(text))
+def test_other_clocks_are_not_reported(text: str) -> None:
+    assert not list(wall_clock_readings(text))
--- a/tests/unit/test_turn_log.py
+++ b/tests/unit/test_turn_log.py
@@ -1,4 +1,4 @@
-"""The disk's log: what is synced lasts, what is torn is cut, nothing else changes."""
+"""The disk's log: synced entries are durable, and only a torn tail is truncated."""
 
 import os
 from pathlib import Path
@@ -24,7 +24,7 @@
     return TurnEntry(EntryKind.RESERVED, attempt, "program", tokens)
 
 
-def test_a_chain_is_joined_from_the_oldest_turn_on(tmp_path: Path) -> None:
+def test_a_chain_is_joined_from_its_oldest_turn_on(tmp_path: Path) -> None:
     log = TurnLog(tmp_path)
     log.append([turn("c", "b", b"three"), turn("a", None, b"one "), turn("b", "a", b"two ")])
     assert log.chain("c") == Chain(b"one two three", EndpointIncarnation("e-1"))
@@ -33,33 +33,33 @@
     assert log.chain("z") == Chain(missing="y")
 
 
-def test_a_chain_names_the_start_that_ran_its_last_turn(tmp_path: Path) -> None:
+def test_a_chain_names_the_incarnation_that_ran_its_last_turn(tmp_path: Path) -> None:
     log = TurnLog(tmp_path)
     last = turn("b", "a", b"two")
     last.endpoint_born_ms = 1_700_000_000_000
     log.append([turn("a", None, b"one "), last])
-    start = EndpointIncarnation("e-1", 1_700_000_000_000)
-    assert log.chain("b").run_at == start
+    incarnation = EndpointIncarnation("e-1", 1_700_000_000_000)
+    assert log.chain("b").run_at == incarnation
     assert log.chain("a").run_at == EndpointIncarnation("e-1")
     log.close()
-    assert TurnLog(tmp_path).chain("b").run_at == start
+    assert TurnLog(tmp_path).chain("b").run_at == incarnation
 
 
-def test_everything_synced_is_there_after_a_restart(tmp_path: Path) -> None:
+def test_synced_entries_are_there_after_a_restart(tmp_path: Path) -> None:
     log = TurnLog(tmp_path)
     log.append([reserved("a", 40), reserved("b", 50), turn("a", None, b"one", tokens=7)])
     log.close()
-    again = TurnLog(tmp_path)
-    assert again.generation == log.generation
-    assert not again.is_fresh
-    assert again.chain("a").text == b"one"
-    ledger = again.ledger("program")
+    reopened = TurnLog(tmp_path)
+    assert reopened.generation == log.generation
+    assert not reopened.is_fresh
+    assert reopened.chain("a").text == b"one"
+    ledger = reopened.ledger("program")
     assert ledger.open_by_attempt == {"a": 40, "b": 50}
     assert ledger.settled_by_attempt == {"a": 7}
-    assert again.keys_after(0, 10) == log.keys_after(0, 10)
+    assert reopened.keys_after(0, 10) == log.keys_after(0, 10)
 
 
-def test_the_same_entry_again_changes_nothing(tmp_path: Path) -> None:
+def test_a_duplicate_entry_changes_nothing(tmp_path: Path) -> None:
     log = TurnLog(tmp_path)
     log.append([turn("a", None, b"one"), turn("a", None, b"one")])
     log.append([turn("a", None, b"one")])
@@ -69,7 +69,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(cut=st.integers(0, 400), noise=st.binary(max_size=12))
-def test_a_torn_tail_is_cut_and_what_stands_before_it_stays(
+def test_a_torn_tail_is_truncated_and_earlier_entries_stay(
     tmp_path_factory: pytest.TempPathFactory, cut: int, noise: bytes
 ) -> None:
     folder = tmp_path_factory.mktemp("torn")
@@ -81,12 +81,12 @@
     segment = next(folder.glob(f"*{turn_log.SEGMENT_SUFFIX}"))
     data = segment.read_bytes()
     segment.write_bytes(data[: max(kept, len(data) - cut)] + noise)
-    again = TurnLog(folder)
-    assert again.chain("a").text == b"x" * 50
-    present = [name for name in "abc" if again.has(entry_key(turn(name)))]
+    reopened = TurnLog(folder)
+    assert reopened.chain("a").text == b"x" * 50
+    present = [name for name in "abc" if reopened.has(entry_key(turn(name)))]
     assert present in (["a"], ["a", "b"], ["a", "b", "c"])
-    again.append([turn("d", "a", b"new")])
-    again.close()
+    reopened.append([turn("d", "a", b"new")])
+    reopened.close()
     assert TurnLog(folder).chain("d").text == b"x" * 50 + b"new"
 
 
@@ -100,9 +100,7 @@
     assert TurnLog(tmp_path / "a").is_joined
 
 
-def test_segments_follow_each_other_and_are_all_read(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_all_segments_are_read(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(turn_log, "SEGMENT_BYTES", 300)
     log = TurnLog(tmp_path)
     previous = None
@@ -131,7 +129,7 @@
     assert TurnLog(tmp_path).chain("c").text == b"onethree"
 
 
-def test_segments_in_which_no_program_lives_go_oldest_first(
+def test_segments_without_live_programs_are_removed_oldest_first(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(turn_log, "SEGMENT_BYTES", 200)
@@ -140,12 +138,12 @@
     for number in range(6):
         log.append([TurnEntry(EntryKind.TURN, f"old{number}", "old", 3, None, b"x" * 80)])
     log.expire(1050.0)
-    # Another program goes on from the last turn of the old one, and keeps all of it alive.
+    # Another program continues from the last turn of the old one, and so retains all of it.
     log.append([TurnEntry(EntryKind.TURN, "new0", "new", 3, "old5", b"y" * 80, "", 60.0)])
     log.append([TurnEntry(EntryKind.TURN, "new1", "new", 3, "new0", b"y" * 80, "", 60.0)])
     assert log.expire(1000.0 + turn_index.MIN_RETENTION_S + 1) == 0
     assert log.chain("new1").missing is None
-    # Once nobody needs them any more, the old segments go; the newest stays open.
+    # Once they are unreferenced, the old segments are removed; the newest stays open.
     assert log.expire(1051.0 + turn_index.MIN_RETENTION_S) > 0
     assert not log.has(entry_key(turn("old0")))
     assert log.first_position > 0
@@ -156,7 +154,7 @@
     assert TurnLog(tmp_path).chain("later").text == b"z"
 
 
-def test_after_a_restart_nothing_goes_too_soon(
+def test_after_a_restart_no_segment_is_removed_too_soon(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(turn_log, "SEGMENT_BYTES", 100)
@@ -165,10 +163,10 @@
     for number in range(4):
         log.append([turn(f"t{number}", None, b"x" * 80)])
     log.close()
-    again = TurnLog(tmp_path, now_s=90_000.0)
-    assert again.expire(90_000.0 + turn_index.MIN_RETENTION_S / 2) == 0
-    assert again.has(entry_key(turn("t0")))
-    assert again.expire(90_001.0 + turn_index.MIN_RETENTION_S) > 0
+    reopened = TurnLog(tmp_path, now_s=90_000.0)
+    assert reopened.expire(90_000.0 + turn_index.MIN_RETENTION_S / 2) == 0
+    assert reopened.has(entry_key(turn("t0")))
+    assert reopened.expire(90_001.0 + turn_index.MIN_RETENTION_S) > 0
 
 
 def test_what_a_failed_sync_should_have_kept_is_forgotten_and_can_be_written_again(
@@ -179,7 +177,7 @@
     log.sync()
     open_turn = reserved("a2", 30)
     log.append([open_turn, turn("a3")])
-    told = log.position
+    synced_to = log.position
 
     def refuse(file: int) -> None:
         raise OSError(5, "the disk failed")
@@ -188,15 +186,15 @@
         patch.setattr(os, "fdatasync", refuse)
         with pytest.raises(OSError, match="the disk failed"):
             log.sync()
-    # A later sync works, but vouches for nothing that the failed one lost.
+    # A later sync succeeds, but confirms nothing that the failed one lost.
     log.sync()
     assert not log.has(entry_key(open_turn))
     assert log.ledger("program").open_by_attempt == {}
     assert log.chain("a3").missing == "a3"
     log.append([turn("a3")])
     log.sync()
-    assert [key for key, _ in log.keys_after(told, 10)] == [entry_key(turn("a3"))]
-    again = TurnLog(tmp_path)
-    assert again.chain("a3").missing is None
-    assert again.cut_bytes == 0
-    assert not again.has(entry_key(open_turn))
+    assert [key for key, _ in log.keys_after(synced_to, 10)] == [entry_key(turn("a3"))]
+    reopened = TurnLog(tmp_path)
+    assert reopened.chain("a3").missing is None
+    assert reopened.cut_bytes == 0
+    assert not reopened.has(entry_key(open_turn))
--- a/tests/unit/test_unheard_sets.py
+++ b/tests/unit/test_unknown_disk_sets.py
@@ -1,9 +1,7 @@
-"""A disk changes only a set that it has heard of, and that has settled.
+"""A disk changes only a set of disks that it knows, and that has settled.
 
-Four disks, the set has settled. A reservation stands on two of them. One of these leaves; the other
-one leaves before it has heard so, and changes the set that stands in the store. The two that stay
-have read the reservation nowhere, so the budget is granted twice. Found by drawn orders of events
-on a model of the rules, which looked at every quorum that would answer.
+Guards against granting a budget twice: if two disks that hold a reservation leave one after the
+other, and the second doesn't know of the first's change, no remaining disk has the reservation.
 """
 
 import asyncio
@@ -48,9 +46,9 @@
     folder: Path,
     change: Callable[[DiskHost, ObjectStore], Awaitable[None]],
     is_member: bool,
-    is_heard: bool,
+    is_known: bool,
 ) -> tuple[wire.DiskSet, DiskHost]:
-    """Changes a set that has settled, behind another one's change that was heard of or not."""
+    """Changes a settled set after another disk's change that this disk has seen or not."""
     store = MemoryObjectStore(MemoryObjects())
     host = DiskHost(attrs.evolve(SETTINGS, data_folder=str(folder)), store)
     host.gossip.say_now = lambda: None  # type: ignore[method-assign]
@@ -59,7 +57,7 @@
         2, [*members, wire.DiskMember("disk-9", 99, "10.0.0.9:1", "east")], members
     )
     await store.create(DISK_SET_KEY, encode_message(changed))
-    known = changed if is_heard else wire.DiskSet(1, members, [])
+    known = changed if is_known else wire.DiskSet(1, members, [])
     host.apply_disk_set(known)
     for member in known.members:
         if member.host != host.me.host:
@@ -75,13 +73,13 @@
 
 
 @pytest.mark.parametrize(("change", "is_member"), CHANGES)
-def test_a_disk_does_not_change_a_set_of_which_it_has_not_heard(
+def test_a_disk_does_not_change_a_set_that_it_does_not_know(
     tmp_path: Path,
     change: Callable[[DiskHost, ObjectStore], Awaitable[None]],
     is_member: bool,
 ) -> None:
-    """It takes the newer one in, and waits until that has settled as well."""
-    stored, host = asyncio.run(set_after(tmp_path, change, is_member, is_heard=False))
+    """It applies the newer set, and waits until that has settled as well."""
+    stored, host = asyncio.run(set_after(tmp_path, change, is_member, is_known=False))
     assert stored.version == 2, "nobody has caught up with version 2"
     assert host.disk_set.version == 2
     assert host._is_member() == is_member
@@ -93,6 +91,6 @@
     change: Callable[[DiskHost, ObjectStore], Awaitable[None]],
     is_member: bool,
 ) -> None:
-    stored, host = asyncio.run(set_after(tmp_path, change, is_member, is_heard=True))
+    stored, host = asyncio.run(set_after(tmp_path, change, is_member, is_known=True))
     assert stored.version == 3
     assert host.disk_set.version == 3
--- a/tests/unit/test_unused_libraries.py
+++ b/tests/unit/test_unused_libraries.py
@@ -1,4 +1,4 @@
-"""What no host uses is not loaded, and says so if it is used after all."""
+"""Libraries that no host uses are replaced by stubs, which raise an error when used."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 
 from bayhinge._internal.platform.unused_libraries import UNUSED, _StubModule
 
-LOADS = """
+SCRIPT = """
 import sys
 from bayhinge._internal.platform.unused_libraries import stub_unused_libraries
 stub_unused_libraries()
@@ -18,9 +18,9 @@
 
 
 @pytest.mark.parametrize("program", ["entry_program", "disk_program"])
-def test_a_host_loads_no_tables_of_dates(program: str) -> None:
+def test_a_host_loads_no_date_libraries(program: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-c", LOADS.format(program=program)],
+        [sys.executable, "-c", SCRIPT.format(program=program)],
         capture_output=True,
         text=True,
         check=True,
@@ -28,6 +28,6 @@
     assert done.stdout.strip() == str(sorted(UNUSED))
 
 
-def test_what_is_left_out_says_so_when_it_is_used() -> None:
+def test_a_stub_raises_an_error_when_it_is_used() -> None:
     with pytest.raises(AttributeError, match="is a stub in hosts"):
         _StubModule("croniter").croniter("* * * * *")
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -36,13 +36,13 @@
 
 
 @given(hall_hosts)
-def test_while_nobody_reaches_the_store_few_ask(hosts: list[HallHost]) -> None:
+def test_few_hosts_watch_a_store_that_none_reaches(hosts: list[HallHost]) -> None:
     failing = [attrs.evolve(one, store_fails=True) for one in hosts]
     assert len(watchers_of("north", failing)) == min(WATCHERS_PER_HALL, len(hosts))
 
 
 @given(hall_hosts)
-def test_a_first_host_that_lost_the_store_goes_on_asking(hosts: list[HallHost]) -> None:
+def test_the_first_watcher_keeps_watching_a_store_that_it_lost(hosts: list[HallHost]) -> None:
     well = [attrs.evolve(one, store_fails=False) for one in hosts]
     first = watchers_of("north", well)[0]
     lost = [attrs.evolve(one, store_fails=one.host == first) for one in hosts]
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("halls", [1, 2, 3, 8])
 @pytest.mark.parametrize("watchers", [1, 2])
-def test_ends_are_spread_evenly_over_a_site(halls: int, watchers: int) -> None:
+def test_ends_of_watches_are_spread_evenly_over_a_site(halls: int, watchers: int) -> None:
     phases_by_prefix = {
         prefix: [
             WatchSlot(hall, halls, watcher, prefix, 2, watchers).phase
@@ -62,13 +62,13 @@
         ]
         for prefix in range(2)
     }
-    # Each prefix by itself too: the other one's watches may be younger than a silence.
+    # Each prefix by itself too: the other one's watches may have begun after an outage.
     for phases in (list(itertools.chain(*phases_by_prefix.values())), *phases_by_prefix.values()):
         assert longest_gap(phases) == pytest.approx(1 / len(phases))
 
 
 @pytest.mark.parametrize("halls", [2, 3, 8])
-def test_ends_of_one_host_stand_apart(halls: int) -> None:
+def test_ends_of_watches_of_one_host_are_apart(halls: int) -> None:
     for hall, watcher in itertools.product(range(halls), range(2)):
         phases = [WatchSlot(hall, halls, watcher, prefix, 2).phase for prefix in range(2)]
         assert longest_gap(phases) <= 0.75
@@ -80,21 +80,21 @@
 
 
 @given(st.floats(0, 2e9), st.integers(0, 2), st.integers(0, 1), st.integers(0, 1))
-def test_a_watch_ends_at_its_turn(now_s: float, hall: int, watcher: int, prefix: int) -> None:
-    turn = WatchSlot(hall, 3, watcher, prefix, 2)
-    wait_s = wait_until_slot(turn, now_s)
+def test_a_watch_ends_at_its_slot(now_s: float, hall: int, watcher: int, prefix: int) -> None:
+    slot = WatchSlot(hall, 3, watcher, prefix, 2)
+    wait_s = wait_until_slot(slot, now_s)
     assert MIN_WATCH_S <= wait_s <= WATCH_PERIOD_S + MIN_WATCH_S
-    distance = ((now_s + wait_s) / WATCH_PERIOD_S - turn.phase) % 1
+    distance = ((now_s + wait_s) / WATCH_PERIOD_S - slot.phase) % 1
     assert min(distance, 1 - distance) < 1e-4
 
 
-def test_bounds_of_calls_end_when_they_say() -> None:
+def test_timeouts_of_calls_are_not_rounded_up() -> None:
     assert call_timeout(5.7).ceil_threshold > 5.7
     assert call_timeout(300.0, sock_read_s=300.0).ceil_threshold > 300.0
 
 
 @pytest.mark.parametrize("halls", [1, 3, 5, 8])
-def test_ends_of_watches_come_as_often_on_every_size_of_site_and_cost_no_more(halls: int) -> None:
+def test_ends_of_watches_are_as_frequent_on_sites_of_every_size(halls: int) -> None:
     moments: list[float] = []
     for hall, watcher, prefix in itertools.product(range(halls), range(2), range(2)):
         now_s = 1000.0
