--- a/tests/unit/test_set_fence.py
+++ b/tests/unit/test_set_fence.py
@@ -65,7 +65,7 @@
 
 
 def test_a_disk_that_lost_its_folder_does_not_count_under_its_old_name(tmp_path: Path) -> None:
-    """Guards against counting a disk towards the quorum whose ledger is empty."""
+    """Guards against counting a disk with an empty ledger towards the quorum."""
 
     async def scenario(host: DiskHost, reserve: Reserve) -> None:
         before = member_of(host.me, generation=99)
--- a/tests/unit/test_soak_mutants.py
+++ b/tests/unit/test_soak_mutants.py
@@ -1,4 +1,4 @@
-"""Each edit that removes a guard for a mutant still applies to the source."""
+"""Each mutant's edits still apply to the source, which then still compiles."""
 
 import compileall
 import shutil
--- a/tests/unit/test_store_calls.py
+++ b/tests/unit/test_store_calls.py
@@ -61,8 +61,8 @@
 """Hosts of a fleet, and those of them that call the store as soon as they start."""
 
 HEARTBEAT_PERIOD_S = 0.1
-"""Time between the heartbeats that a simulated host receives. Starting hosts send seven each 0.05 s,
-so updates spread more slowly here."""
+"""Time between the heartbeats that a simulated host receives. Updates spread more slowly than among
+starting hosts, which send seven each 0.05 s."""
 
 ALL_INFORMED_S = 0.95
 """With one heartbeat per host and round, 3, 4, 6, 9, 13, 18, 24, 31, 39 and 40 hosts are informed:
