--- a/tests/unit/test_last_seen.py
+++ b/tests/unit/test_last_seen.py
@@ -39,7 +39,7 @@
         self.next_s = [self.random.uniform(0, self.period_s) for _ in range(HALL_HOSTS)]
         self.silent: set[int] = set()
 
-    def play(self, until_s: float) -> None:
+    def advance(self, until_s: float) -> None:
         while (now_s := min(self.next_s)) < until_s:
             host = self.next_s.index(now_s)
             self.next_s[host] = now_s + self.period_s * self.random.uniform(0.8, 1.2)
@@ -55,7 +55,9 @@
     def listed(self, host: int, now_s: float) -> set[int]:
         seen = self.last_seen[host].seen_s
         return {
-            o for o in range(HALL_HOSTS) if o == host or seen(o) >= now_s - listed_s(self.period_s)
+            other
+            for other in range(HALL_HOSTS)
+            if other == host or seen(other) >= now_s - listed_s(self.period_s)
         }
 
     def advertised(self, host: int, now_s: float) -> set[str]:
@@ -74,7 +76,7 @@
     advertised: list[int] = []
     shared: list[float] = []
     for second in range(20, 60):
-        hall.play(second)
+        hall.advance(second)
         answers = [hall.advertised(host, second) for host in range(HALL_HOSTS)]
         listed += [len(hall.listed(host, second)) for host in range(HALL_HOSTS)]
         advertised_by_any = set().union(*answers)
@@ -102,9 +104,9 @@
 
 def test_silent_hosts_are_dropped_from_every_list_in_time() -> None:
     hall = Hall(shares_ages=True)
-    hall.play(30.0)
+    hall.advance(30.0)
     hall.silent = set(range(17))
-    hall.play(30.0 + MAX_ADVERTISED_S)
+    hall.advance(30.0 + MAX_ADVERTISED_S)
     for host in range(17, HALL_HOSTS):
         assert not hall.listed(host, 30.0 + MAX_ADVERTISED_S) & hall.silent
 
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -111,15 +111,15 @@
 def test_a_write_pacer_keeps_its_rate() -> None:
     pacer = WritePacer(10.0, 1)
 
-    async def spent(writes: int) -> float:
+    async def seconds_for(writes: int) -> float:
         began = asyncio.get_running_loop().time()
         for _ in range(writes):
             await pacer.wait()
         return asyncio.get_running_loop().time() - began
 
     async def scenario() -> None:
-        assert round(await spent(11), 6) == 1.0
+        assert round(await seconds_for(11), 6) == 1.0
         pacer.set_rate(1.0)
-        assert await spent(10) >= 9.0
+        assert await seconds_for(10) >= 9.0
 
     run_virtual(scenario())
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -35,7 +35,7 @@
 )
 from tests.lib.platform_data import CONFIGURATION
 
-FUZZ = settings(max_examples=300, deadline=None, derandomize=True)
+FUZZ_SETTINGS = settings(max_examples=300, deadline=None, derandomize=True)
 READER = PlatformObjectReader()
 GOOD = orjson.dumps(ENTRY)
 CONFIGURATION_KEY = "config/main"
@@ -76,7 +76,7 @@
     def lines_of(self, kind: str) -> list[Line]:
         return told(self.lines, kind)
 
-    def chosen(self) -> str | None:
+    def chosen_instance(self) -> str | None:
         found = self.endpoint_table.choose("app", PlacementPreference(), (), 0.0)
         return None if found is None else found.entry.instance
 
@@ -122,10 +122,10 @@
 def test_an_endpoint_of_a_service_that_is_not_named_gets_no_requests() -> None:
     def scenario(harness: UpdaterHarness) -> None:
         harness.apply_entry("i-1", orjson.dumps(ENTRY | {"service": "of-tomorrow"}))
-        assert harness.chosen() is None
+        assert harness.chosen_instance() is None
         assert harness.endpoint_table.find("i-1") is not None
         harness.apply_entry("i-2", GOOD)
-        assert harness.chosen() == "i-2"
+        assert harness.chosen_instance() == "i-2"
 
     run_with_harness(scenario)
 
@@ -138,7 +138,7 @@
         endpoint = harness.endpoint_table.find("i-1")
         assert endpoint is not None
         assert not endpoint.is_suspected
-        assert harness.chosen() == "i-1"
+        assert harness.chosen_instance() == "i-1"
 
     run_with_harness(scenario)
 
@@ -153,11 +153,11 @@
         assert running is not None
         running.running_here = 1
         harness.apply_entry("i-1", ODD_ENTRY_BY_FORM[form])
-        assert harness.chosen() is None, "not even as a last resort"
+        assert harness.chosen_instance() is None, "not even as a last resort"
         # Its run continues and stays counted.
         assert harness.endpoint_table.find("i-1") is running
         harness.apply_entry("i-1", GOOD)
-        assert harness.chosen() == "i-1"
+        assert harness.chosen_instance() == "i-1"
         assert harness.endpoint_table.find("i-1") is running
 
     run_with_harness(scenario)
@@ -171,10 +171,10 @@
         harness.apply_entry("i-1", GOOD)
         listed = odd | {"servers/": GOOD, "servers/i-2": GOOD, "servers/i-1": b"{}"}
         harness.updater.replace_all(listed, is_after_outage)
-        assert harness.chosen() == "i-2"
+        assert harness.chosen_instance() == "i-2"
         assert {one.entry.instance for one in harness.endpoint_table.all()} == {"i-1", "i-2"}
         harness.updater.replace_all({"servers/i-1": GOOD}, is_after_outage)
-        assert harness.chosen() == "i-1"
+        assert harness.chosen_instance() == "i-1"
         assert harness.updater.unreadable.current == 0
 
     run_with_harness(scenario)
@@ -213,7 +213,7 @@
     run_with_harness(scenario)
 
 
-@FUZZ
+@FUZZ_SETTINGS
 @given(NAMES, ANY_VALUES)
 def test_any_entry_is_read_or_reported_with_its_key(name: str, value: bytes) -> None:
     try:
@@ -231,7 +231,7 @@
     assert entry.instance.isprintable()
 
 
-@FUZZ
+@FUZZ_SETTINGS
 @given(st.lists(st.tuples(NAMES, ANY_VALUES | st.none(), st.booleans()), max_size=8))
 def test_no_odd_news_costs_an_entry_that_is_well(
     updates: list[tuple[str, bytes | None, bool]],
@@ -254,7 +254,7 @@
     run_with_harness(scenario)
 
 
-@FUZZ
+@FUZZ_SETTINGS
 @given(st.lists(JSON, max_size=5), st.booleans())
 def test_any_object_of_the_store_is_read_or_passed_over(items: list[Any], is_own: bool) -> None:
     kind = "hosts" if is_own else "servers"
@@ -267,7 +267,7 @@
     assert f"{kind}/i-well" in {change.key for change in changes}
 
 
-@FUZZ
+@FUZZ_SETTINGS
 @given(st.binary(max_size=60))
 def test_an_object_that_is_not_utf_8_hides_no_other_one(data: bytes) -> None:
     raw = bytes(byte for byte in data if byte >= 0x20 and byte not in b'"\\')
@@ -391,7 +391,7 @@
     assert all(isinstance(route, Route) for route in table.routes)
 
 
-@FUZZ
+@FUZZ_SETTINGS
 @given(
     st.binary(max_size=200)
     | JSON.map(orjson.dumps)
--- a/tests/unit/test_odd_own_objects.py
+++ b/tests/unit/test_odd_own_objects.py
@@ -38,7 +38,7 @@
     asyncio.run(main())
 
 
-def change(kind: str, name: str, text: str | None) -> bytes:
+def encoded_change(kind: str, name: str, text: str | None) -> bytes:
     return encode(ConfigChange(FORMAT, kind, name, text, "op", 0, "n", 1))
 
 
@@ -59,7 +59,7 @@
     async def scenario(objects: MemoryObjects, feed: ConfigFeed) -> None:
         for number in range(1200):
             await objects.put(f"config/!{number:04d}", b"", None)
-        await objects.put("config/000000000001", change("template", "desk", TEMPLATE), None)
+        await objects.put("config/000000000001", encoded_change("template", "desk", TEMPLATE), None)
         await feed.step()
         assert (feed.revision, feed.is_current()) == (1, True)
 
@@ -68,13 +68,15 @@
 
 def test_a_change_that_can_not_be_read_is_not_vouched_for_until_it_is_mended() -> None:
     async def scenario(objects: MemoryObjects, feed: ConfigFeed) -> None:
-        await objects.put("config/000000000001", change("template", "desk", TEMPLATE), None)
+        await objects.put("config/000000000001", encoded_change("template", "desk", TEMPLATE), None)
         odd = await objects.put("config/000000000002", b"\x00odd", None)
-        await objects.put("config/000000000003", change("account", "a", ACCOUNT), None)
+        await objects.put("config/000000000003", encoded_change("account", "a", ACCOUNT), None)
         await feed.step()
         assert (feed.revision, feed.is_current()) == (1, False)
         assert list(feed.corrupt_by_key) == ["config/000000000002"]
-        await objects.put("config/000000000002", change("template", "x", TEMPLATE), odd.version)
+        await objects.put(
+            "config/000000000002", encoded_change("template", "x", TEMPLATE), odd.version
+        )
         await feed.step()
         assert (feed.revision, feed.is_current(), feed.corrupt_by_key) == (3, True, {})
 
@@ -103,7 +105,7 @@
             ("account", "well", ACCOUNT.replace("desk", "well")),
         ]
         for number, (kind, name, text) in enumerate(changes, 1):
-            await objects.put(f"config/{number:012d}", change(kind, name, text), None)
+            await objects.put(f"config/{number:012d}", encoded_change(kind, name, text), None)
         await feed.step()
         assert feed.revision == len(changes)
         for name in ("desk", "a", "é", "", "nobody"):
@@ -115,11 +117,11 @@
     run_with_feed(scenario)
 
 
-def status(state: str) -> bytes:
+def encoded_status(state: str) -> bytes:
     return encode(HostStatus(FORMAT, "b~1", "b", "hall", "p:1", "c:1", state, 1, 0, 0.0))
 
 
-@pytest.mark.parametrize("odd", [b"", b"\x00\xff", status("resting")])
+@pytest.mark.parametrize("odd", [b"", b"\x00\xff", encoded_status("resting")])
 def test_an_odd_heartbeat_is_silence_and_its_host_is_not_gone(odd: bytes) -> None:
     async def scenario() -> None:
         objects = MemoryObjects()
@@ -131,14 +133,14 @@
         member.on_death = lambda one: died.append(one.host)
         task = asyncio.create_task(member.run())
         await objects.put("hosts/odd", odd, None)
-        stored = await objects.put("hosts/b~1", status("serving"), None)
+        stored = await objects.put("hosts/b~1", encoded_status("serving"), None)
         await asyncio.sleep(1.5)
         assert {one.host for one in member.alive()} == {"a", "b"}
         stored = await objects.put("hosts/b~1", odd, stored.version)
         await asyncio.sleep(2.0)
         assert (departed, died, task.done()) == ([], [], False)
         for _ in range(6):
-            stored = await objects.put("hosts/b~1", status("serving"), stored.version)
+            stored = await objects.put("hosts/b~1", encoded_status("serving"), stored.version)
             await asyncio.sleep(1.0)
         assert (departed, died) == ([], [])
         await objects.put("hosts/b~1", odd, stored.version)
--- a/tests/unit/test_runs_of_every_kind.py
+++ b/tests/unit/test_runs_of_every_kind.py
@@ -90,12 +90,12 @@
         3,
         ROUTE,
     )
-    for run, (kind, length, size, early) in enumerate(
+    for run, (kind, length, size, repeated) in enumerate(
         [*failed_runs, ("whole", 10_000, 5, 0)], start=1
     ):
         entry = EndpointEntry(f"e-{run}", "llm", "127.0.0.1:1", "north", 4, False, run)
         delivery.run = ActiveRun(EndpointState(entry))
-        first = max(1, (delivery.resume_after or 0) + 1 - early)
+        first = max(1, (delivery.resume_after or 0) + 1 - repeated)
         text = b"".join(
             HEARTBEAT * (number % 2) + event(number, run) for number in range(first, EVENTS + 1)
         )
--- a/tests/unit/test_set_fence.py
+++ b/tests/unit/test_set_fence.py
@@ -68,7 +68,7 @@
     """Guards against counting a disk with an empty ledger towards the quorum."""
 
     async def scenario(host: DiskHost, reserve: Reserve) -> None:
-        before = member_of(host.me, generation=99)
+        before = with_generation(host.me, generation=99)
         members = [before, *OTHERS[:2]]
         host.apply_disk_set(wire.DiskSet(1, members, members))
         assert await reserve(1) == NOT_YET
@@ -161,5 +161,5 @@
     run_with_disk_host(tmp_path, scenario)
 
 
-def member_of(member: wire.DiskMember, generation: int) -> wire.DiskMember:
+def with_generation(member: wire.DiskMember, generation: int) -> wire.DiskMember:
     return wire.DiskMember(member.host, generation, member.address, member.hall)
--- a/tests/unit/test_stalls_heartbeats.py
+++ b/tests/unit/test_stalls_heartbeats.py
@@ -1,4 +1,4 @@
-"""A host that stalled reads the heartbeats that arrived before it judges which hosts are alive."""
+"""A host that stalled reads the heartbeats that arrived before it decides which hosts are alive."""
 
 import asyncio
 import os
@@ -52,7 +52,7 @@
         await gossip.stop()
 
 
-def test_a_stalled_host_reads_pending_heartbeats_before_it_judges_liveness() -> None:
+def test_a_host_that_stalled_reads_pending_heartbeats_before_it_decides_who_is_alive() -> None:
     """Coordinators are chosen in each round of heartbeats, and stay until the next one."""
 
     async def scenario() -> list[int]:
--- a/tests/unit/test_stream_delivery.py
+++ b/tests/unit/test_stream_delivery.py
@@ -59,8 +59,8 @@
         try:
             await delivery.deliver(cast(Answer, answer), SIGNED, True, BOUNDS)
         except IncompleteAnswerError as error:
-            whole = sent.rpartition(b"\n\n")
-            assert error.cut_bytes == len(whole[2])
+            parts = sent.rpartition(b"\n\n")
+            assert error.cut_bytes == len(parts[2])
             assert delivery.may_continue
         else:
             break
--- a/tests/unit/test_turn_log.py
+++ b/tests/unit/test_turn_log.py
@@ -76,11 +76,11 @@
     log = TurnLog(folder)
     log.append([turn("a", None, b"x" * 50)])
     log.sync()
-    kept = log._end
+    synced_end = log._end
     log.append([turn("b", "a", b"y" * 50), turn("c", "b", b"z" * 50)])
     segment = next(folder.glob(f"*{turn_log.SEGMENT_SUFFIX}"))
     data = segment.read_bytes()
-    segment.write_bytes(data[: max(kept, len(data) - cut)] + noise)
+    segment.write_bytes(data[: max(synced_end, len(data) - cut)] + noise)
     reopened = TurnLog(folder)
     assert reopened.chain("a").text == b"x" * 50
     present = [name for name in "abc" if reopened.has(entry_key(turn(name)))]
--- a/tests/unit/test_unused_libraries.py
+++ b/tests/unit/test_unused_libraries.py
@@ -19,13 +19,13 @@
 
 @pytest.mark.parametrize("program", ["entry_program", "disk_program"])
 def test_a_host_loads_no_date_libraries(program: str) -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", SCRIPT.format(program=program)],
         capture_output=True,
         text=True,
         check=True,
     )
-    assert done.stdout.strip() == str(sorted(UNUSED))
+    assert completed.stdout.strip() == str(sorted(UNUSED))
 
 
 def test_a_stub_raises_an_error_when_it_is_used() -> None:
--- a/tests/unit/test_watchers.py
+++ b/tests/unit/test_watchers.py
@@ -43,10 +43,10 @@
 
 @given(hall_hosts)
 def test_the_first_watcher_keeps_watching_a_store_that_it_lost(hosts: list[HallHost]) -> None:
-    well = [attrs.evolve(one, store_fails=False) for one in hosts]
-    first = watchers_of("north", well)[0]
-    lost = [attrs.evolve(one, store_fails=one.host == first) for one in hosts]
-    assert first in watchers_of("north", lost)
+    reaching = [attrs.evolve(one, store_fails=False) for one in hosts]
+    first = watchers_of("north", reaching)[0]
+    partitioned = [attrs.evolve(one, store_fails=one.host == first) for one in hosts]
+    assert first in watchers_of("north", partitioned)
 
 
 # ---- when watches end ----
