--- a/src/bayhinge/_internal/network/endpoint_connections.py
+++ b/src/bayhinge/_internal/network/endpoint_connections.py
@@ -14,8 +14,8 @@
 from aiohttp.http_parser import HttpResponseParser
 from aiohttp.streams import StreamReader
 
-from bayhinge._internal.decisions.endpoint_incarnations import (
-    Contact,
+from bayhinge._internal.decisions.endpoint_starts import (
+    ConnectionTimes,
     NewIncarnation,
     belongs_to,
 )
@@ -26,8 +26,8 @@
     IncompleteAnswerError,
     SilentEndpointError,
 )
+from bayhinge._internal.utils.running_time import stall_tolerant_timeout
 from bayhinge._internal.utils.silence import set_tcp_timeouts
-from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 
 READ_BUFFER_BYTES = 65_536
 """Buffer size of a body; beyond it reading from the endpoint is paused."""
@@ -189,9 +189,9 @@
         self._wake()
 
     @property
-    def contact(self) -> Contact:
+    def connection_times(self) -> ConnectionTimes:
         """When the connection was opened and last received anything from the endpoint."""
-        return Contact(self.address, self._opened_s, self._last_received_s)
+        return ConnectionTimes(self.address, self._opened_s, self._last_received_s)
 
     @property
     def has_unread_answer(self) -> bool:
@@ -239,7 +239,7 @@
 
     opened: int = 0
     reused: int = 0
-    dropped_with_surplus: int = 0
+    with_surplus: int = 0
 
 
 class EndpointConnectionPool:
@@ -289,7 +289,7 @@
         """
         has_leftover_data = connection.has_unread_answer or not connection.is_between_answers()
         if has_leftover_data or connection.is_sending or not connection.is_open:
-            self.counts.dropped_with_surplus += has_leftover_data
+            self.counts.with_surplus += has_leftover_data
             connection.abort("data left over after the answer")
             return
         keep_s = DEFAULT_KEEPALIVE_S if idle_s is None else idle_s * KEEPALIVE_FRACTION
@@ -297,7 +297,7 @@
         connection.reusable_until_s = asyncio.get_running_loop().time() + keep_s
         self._idle_by_key.setdefault(connection.key, []).append(connection)
 
-    def connected(self) -> frozenset[str]:
+    def connected_endpoints(self) -> frozenset[str]:
         """Returns the endpoints for which there is a reusable idle connection."""
         now = asyncio.get_running_loop().time()
         return frozenset(
@@ -316,18 +316,22 @@
         for connection in self._idle_by_key.pop(key, []):
             connection.abort("the endpoint was removed or timed out")
 
-    def start_again(self, key: str, start: NewIncarnation) -> int:
+    def close_previous_incarnations(self, key: str, incarnation: NewIncarnation) -> int:
         """Closes idle connections that may belong to a previous incarnation; returns how many."""
         idle = self._idle_by_key.pop(key, [])
-        kept = [connection for connection in idle if belongs_to(connection.contact, start)]
+        kept = [
+            connection
+            for connection in idle
+            if belongs_to(connection.connection_times, incarnation)
+        ]
         for connection in idle:
             if connection not in kept:
                 connection.abort("the endpoint has restarted")
         if kept:
             self._idle_by_key[key] = kept
         # Data received from a previous incarnation does not count for this one.
-        heard_s = self._last_received_s_by_key.get(key, 0.0)
-        if start.began_s is None or heard_s < start.began_s:
+        last_received_s = self._last_received_s_by_key.get(key, 0.0)
+        if incarnation.began_s is None or last_received_s < incarnation.began_s:
             self._last_received_s_by_key.pop(key, None)
         return len(idle) - len(kept)
 
--- a/src/bayhinge/_internal/services/gateway/request_sender.py
+++ b/src/bayhinge/_internal/services/gateway/sending.py
@@ -6,13 +6,13 @@
 import attrs
 import eliot
 
-from bayhinge._internal.decisions.answer_timeouts import (
+from bayhinge._internal.decisions.answer_bounds import (
     MAX_SILENCE_PERIODS,
     AnswerTimeouts,
-    bounds_of,
+    answer_timeouts_for,
     smoothed_answer_s,
 )
-from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
+from bayhinge._internal.decisions.endpoint_book import EndpointTable, PlacementPreference
 from bayhinge._internal.models.refusals import CallAttempt, Refusal, RefusalCode, RefusedError
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind
@@ -26,18 +26,18 @@
     EndpointConnection,
     EndpointConnectionPool,
 )
-from bayhinge._internal.services.gateway.active_runs import (
-    ENDED_REASON,
-    ActiveRun,
-    ActiveRuns,
-)
 from bayhinge._internal.services.gateway.admission import AdmissionRevokedError
 from bayhinge._internal.services.gateway.delivery import Delivery
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.placement import LocalPlacer, Placer
 from bayhinge._internal.services.gateway.placement_preferences import preference_of
 from bayhinge._internal.services.gateway.platform_interface import CallFormat
-from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
+from bayhinge._internal.services.gateway.runs_under_way import (
+    ENDED_REASON,
+    ActiveRun,
+    ActiveRuns,
+)
+from bayhinge._internal.utils.running_time import stall_tolerant_timeout
 
 MAX_REJECTED_SENDS = 4
 """Maximum sends of a request that endpoints reject; each costs a round trip."""
@@ -96,7 +96,7 @@
     def __init__(
         self,
         endpoint_table: EndpointTable,
-        links: EndpointConnectionPool,
+        connection_pool: EndpointConnectionPool,
         calls: CallFormat,
         placer: Placer | None = None,
         runs: ActiveRuns | None = None,
@@ -106,7 +106,7 @@
         self._check_admission = check_admission
         self._endpoint_table = endpoint_table
         self._placer = placer or LocalPlacer(endpoint_table)
-        self._links = links
+        self._connection_pool = connection_pool
         self._calls = calls
         self.counts = SendCounts()
         self._runs = runs or ActiveRuns()
@@ -161,7 +161,7 @@
                     run.state
                 ):
                     # Its idle connections may be dead too.
-                    self._links.drop_idle(run.endpoint)
+                    self._connection_pool.drop_idle(run.endpoint)
                 self._record_failure(run, send_state, error.why, error.cut_bytes)
                 self._raise_unless_repeatable(send_state, error)
 
@@ -175,7 +175,9 @@
         state = None
         if send_state.rejected < MAX_REJECTED_SENDS:
             tried = self._tried_endpoints(send_state)
-            preference = attrs.evolve(send_state.preference, connected=self._links.connected())
+            preference = attrs.evolve(
+                send_state.preference, connected=self._connection_pool.connected_endpoints()
+            )
             state = await self._placer.place(send_state.service, preference, tried)
         if state is None:
             code = RefusalCode.OUTCOME_UNKNOWN if send_state.ran else RefusalCode.NO_ENDPOINT
@@ -191,14 +193,14 @@
         return [
             run.endpoint
             for run in send_state.tried
-            if self._endpoint_table.find_incarnation(run.state.entry.start) is not None
+            if self._endpoint_table.find_incarnation(run.state.entry.incarnation) is not None
         ]
 
     async def _send_to(self, run: ActiveRun, send_state: _SendState) -> None:
         connection: EndpointConnection | None = None
         is_complete = False
         try:
-            connection = await self._links.acquire(run.endpoint, run.state.entry.address)
+            connection = await self._connection_pool.acquire(run.endpoint, run.state.entry.address)
             if run.is_ended:
                 raise EndpointUnreachableError(ENDED_REASON)
             run.connection = connection
@@ -222,7 +224,7 @@
         request, route = send_state.request, send_state.route
         loop = asyncio.get_running_loop()
         may_repeat = route.may_repeat and send_state.ran + 1 < route.max_endpoints
-        bounds = bounds_of(
+        bounds = answer_timeouts_for(
             route,
             may_repeat and send_state.delivery.may_continue,
             self._usual_answer_s_by_service.get(send_state.service, 0.0),
@@ -252,7 +254,7 @@
         if answer.closes_connection or marks.idle_s == 0:
             connection.abort("the endpoint closes it")
         else:
-            self._links.release(connection, marks.idle_s)
+            self._connection_pool.release(connection, marks.idle_s)
 
     async def _answer_in_time(
         self,
@@ -279,7 +281,7 @@
                 return answer, marks
             except TimeoutError:
                 wait_count += 1
-            has_responded = self._links.has_received_since(run.endpoint, sent_s)
+            has_responded = self._connection_pool.has_received_since(run.endpoint, sent_s)
             should_give_up = wait_count >= MAX_SILENCE_PERIODS or not has_responded
             if should_give_up and bounds.may_fail_over and self._has_untried_endpoint(send_state):
                 raise SilentEndpointError(f"no answer for {wait_count * bounds.silence_s:.3f} s")
--- a/src/bayhinge/_internal/services/queue_dispatcher.py
+++ b/src/bayhinge/_internal/services/queue_dispatcher.py
@@ -15,7 +15,7 @@
 from bayhinge._internal.decisions.endpoint_view import EndpointView
 from bayhinge._internal.decisions.offers import (
     Action,
-    Done,
+    CallCompletion,
     Grant,
     Offer,
     Outcome,
@@ -95,12 +95,12 @@
             return await future
         except asyncio.CancelledError:
             # The owner disconnected or cancelled the request: release a slot already granted.
-            self._execute(scheduler.done(Done(offer.grant, Outcome.CANCELLED), _now()))
+            self._execute(scheduler.done(CallCompletion(offer.grant, Outcome.CANCELLED), _now()))
             raise
         finally:
             self._futures_by_grant.pop(offer.grant, None)
 
-    def done(self, cell: str, done: Done) -> None:
+    def done(self, cell: str, done: CallCompletion) -> None:
         """Releases a grant."""
         scheduler = self._schedulers_by_cell.get(cell)
         if scheduler is not None:
@@ -164,7 +164,7 @@
                 pool.token_seconds,
                 pool.order,
                 pool.placement,
-                read_again_share=pool.read_again_share,
+                recomputed_share=pool.read_again_share,
                 token_target_s=pool.token_target_seconds,
             )
         service = self._settings.services_by_name.get(pool_of(cell))
--- a/tests/functional/test_silent_endpoints.py
+++ b/tests/functional/test_silent_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that take requests and say nothing: doubted early, left where that is allowed."""
+"""Endpoints that stay silent are suspected early; requests fail over where that is allowed."""
 
 import asyncio
 import time
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.answer_timeouts import SILENCE_OBJECTIVES
+from bayhinge._internal.decisions.answer_bounds import SILENCE_OBJECTIVES
 from tests.lib.asked_endpoints import asked, only_one_service
 from tests.lib.platform_engine import EngineTroubles
 from tests.lib.platform_site import PlatformSite, run_site
@@ -68,7 +68,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_host_that_stood_still_doubts_no_endpoint_for_it(tmp_path: Path) -> None:
+def test_a_stalled_host_suspects_no_endpoint(tmp_path: Path) -> None:
     """All stand still together here, so that the answers come right behind the stall."""
 
     async def scenario(site: PlatformSite) -> None:
@@ -83,6 +83,6 @@
         asyncio.get_running_loop().call_soon(time.sleep, bound_s + 0.1)
         assert [reply.status for reply in await asyncio.gather(*asking)] == [200] * 6
         assert gateway.requests.send_counts.suspected == 0
-        assert all(belief.failures == 0 for belief in gateway.endpoint_table.all())
+        assert all(state.failures == 0 for state in gateway.endpoint_table.all())
 
     run_site(tmp_path, scenario)
--- a/tests/unit/test_left_behind_elsewhere.py
+++ b/tests/unit/test_left_behind_elsewhere.py
@@ -11,7 +11,7 @@
 import pytest
 
 from bayhinge._internal.bench.world.virtual_time import LoopClock, run_virtual
-from bayhinge._internal.decisions.offers import Done, Outcome
+from bayhinge._internal.decisions.offers import CallCompletion, Outcome
 from bayhinge._internal.exceptions import PeerUnreachableError
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.frames import encode_message
@@ -26,7 +26,7 @@
 from bayhinge.coordination.config_feed import ConfigFeed, FeedTimes
 from bayhinge.coordination.membership import Membership
 from bayhinge.coordination.store import Change, ChangePage, Listing, PollingStore, StoredObject
-from bayhinge.coordination.store_availability import StoreAvailability
+from bayhinge.coordination.store_contact import StoreAvailability
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 from tests.functional.test_endpoint_link import Wire, answer, ask, read_request, run
 from tests.lib.read_only_store import ReadOnlyStore
@@ -53,10 +53,10 @@
     """
     part = b"HTTP/1.1 200 OK\r\nBayhinge-Odd: 1\r\nX-Cut: "[:size]
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connection_pool, address)
         assert await first.read_body() == b"body"
-        links.release(connection, None)
+        connection_pool.release(connection, None)
         assert not connection.is_open
 
     run(wire_with_surplus(part), scenario)
@@ -65,12 +65,12 @@
 def test_a_surplus_beginning_changes_no_head_of_the_next_answer() -> None:
     part = b"HTTP/1.1 503 Full\r\nBayhinge-Not-Executed: 1\r\nX-Cut: "
 
-    async def scenario(links: EndpointConnectionPool, address: str) -> None:
-        connection, first = await ask(links, address)
+    async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
+        connection, first = await ask(connection_pool, address)
         await first.read_body()
-        links.release(connection, None)
+        connection_pool.release(connection, None)
         try:
-            _, second = await ask(links, address)
+            _, second = await ask(connection_pool, address)
         except Exception:
             return
         names = {name for name, _ in second.headers}
@@ -83,12 +83,12 @@
     """Answers a list late, with what it held when it was asked."""
 
     def __init__(self) -> None:
-        self._contact = StoreAvailability()
+        self._availability = StoreAvailability()
         self.may_answer = asyncio.Event()
 
     @property
-    def contact(self) -> StoreAvailability:
-        return self._contact
+    def availability(self) -> StoreAvailability:
+        return self._availability
 
     async def list(self, prefix: str, after: str = "", limit: int = 500) -> Listing:
         await self.may_answer.wait()
@@ -138,14 +138,14 @@
         follower.should_watch = lambda: False
         running = asyncio.create_task(follower.run())
         await asyncio.sleep(0.02)
-        follower.hear(5, "peer")
+        follower.observe_revision(5, "peer")
         await asyncio.sleep(0.1)
         assert memory.states == [{"servers/new"}]
         store.may_answer.set()
         await asyncio.sleep(0.1)
         follower.stop()
         running.cancel()
-        known = follower.known()
+        known = follower.snapshot()
         assert known.complete_to == 5
         assert set(known.value_by_key) == {"servers/new"}, memory.states
 
@@ -262,14 +262,14 @@
 
 
 def test_the_end_of_a_grant_is_told_although_the_first_try_fails() -> None:
-    """Else the home counts the call as running until the owner's whole process is dead."""
+    """Else the dispatcher counts the call as running until the owner's process is dead."""
 
     async def scenario() -> None:
         peers = ForgetfulPeers()
         membership = SimpleNamespace(me=SimpleNamespace(peer_address="here"))
         grants = RemoteGrants(cast(Membership, membership), cast(QueueDispatcher, None), peers)
         granted = GrantedEndpoint("g", "cell", "e-1", "e-1:1", 0.0, "there")
-        grants.done(granted, Done("g", Outcome.FINISHED))
+        grants.done(granted, CallCompletion("g", Outcome.FINISHED))
         await asyncio.sleep(60)
         assert peers.told == ["done"]
 
--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -13,7 +13,7 @@
     MIN_PAUSE_S,
     PEER_FETCH_DELAY_S,
 )
-from bayhinge.coordination.store_availability import StoreAvailability
+from bayhinge.coordination.store_contact import StoreAvailability
 from tests.lib.silent_store import ANSWER_S, CALL_S, WAIT_MARGIN_S
 from tests.lib.watching_site import PREFIXES, WatchingSite
 
@@ -30,8 +30,8 @@
         availability = StoreAvailability(on_recovery=[lambda: recoveries.append(1)])
         availability.record_answer()
         assert recoveries == []
-        availability.record_failure(is_silent=False)
-        availability.record_failure(is_silent=False)
+        availability.record_failure(timed_out=False)
+        availability.record_failure(timed_out=False)
         availability.record_answer()
         availability.record_answer()
         assert recoveries == [1]
@@ -40,15 +40,15 @@
 
 
 @pytest.mark.parametrize(
-    ("is_silent", "lasts_s", "was_outage"),
+    ("timed_out", "lasts_s", "was_outage"),
     [(False, 0.01, False), (False, 1.0, True), (True, 0.01, True)],
 )
 def test_only_a_lasting_failure_or_silence_is_an_outage(
-    is_silent: bool, lasts_s: float, was_outage: bool
+    timed_out: bool, lasts_s: float, was_outage: bool
 ) -> None:
     async def scenario() -> bool:
         availability = StoreAvailability()
-        availability.record_failure(is_silent)
+        availability.record_failure(timed_out)
         await asyncio.sleep(lasts_s)
         availability.record_answer()
         return availability.recovered_s == asyncio.get_running_loop().time()
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
+from bayhinge._internal.decisions.endpoint_book import EndpointTable, PlacementPreference
 from bayhinge._internal.exceptions import UnreadableObjectError
 from bayhinge._internal.models.routing import InvalidRoute, RequestLimits, Route, RouteKind
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform import objects_api
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
 from bayhinge._internal.services.gateway import unreadable_objects
-from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
+from bayhinge._internal.services.gateway.runs_under_way import ActiveRuns
 from bayhinge._internal.services.gateway.store_listeners import (
     ConfigurationState,
     EndpointTableUpdater,
@@ -338,7 +338,7 @@
     route = table.find("desk.example", "/chat/1")
     assert isinstance(route, Route), table.findings
     assert (route.urgency, route.retains_turns, route.is_resumable) == (5, False, False)
-    assert (route.latency_objective_s, route.max_endpoints, route.pause_s) == (5.0, 1, None)
+    assert (route.latency_objective_s, route.max_endpoints, route.max_event_gap_s) == (5.0, 1, None)
     services = [{"name": "llm", "max_conns": None, "engine_kind": None}, {"name": "app"}]
     table = READER.read_configuration(odd_configuration(services=services, limits=None))
     assert (table.findings, set(table.services_by_name)) == ((), {"llm", "app"})
--- a/tests/unit/test_quota_bucket.py
+++ b/tests/unit/test_quota_bucket.py
@@ -26,7 +26,7 @@
     bucket: QuotaBucket, now_s: float, begins: bool = False, share: float = 1.0, **more: bool
 ) -> float | None:
     bucket.fill(now_s, share, **more)
-    return bucket.take(begins)
+    return bucket.acquire(begins)
 
 
 def _grants(bucket: QuotaBucket, now_s: float) -> bool:
@@ -124,9 +124,9 @@
 def test_returned_requests_can_be_granted_again() -> None:
     bucket = QuotaBucket(Quota(1.0, 2.0), QuotaMargin(), 0.0, SETTLED_S)
     assert [_grants(bucket, 0.0) for _ in range(3)] == [True, True, False]
-    bucket.give_back(1)
+    bucket.refund(1)
     assert _grants(bucket, 0.0)
-    bucket.give_back(100)
+    bucket.refund(100)
     assert [_grants(bucket, 0.0) for _ in range(3)] == [True, True, False]
 
 
--- a/tests/unit/test_stall_tolerant_timeouts.py
+++ b/tests/unit/test_running_time.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from bayhinge._internal.utils.stall_tolerant_timeouts import (
+from bayhinge._internal.utils.running_time import (
     SLICES,
     StallTolerantDeadline,
     stall_tolerant_timeout,
@@ -102,8 +102,8 @@
         waiting = {asyncio.ensure_future(asyncio.sleep(LIMIT_S * part)) for part in (0.25, 0.5, 9)}
         began_s = loop.time()
         ended = 0
-        while deadline.left_s > 0:
-            finished, waiting = await deadline.first_of(waiting)
+        while deadline.remaining_s > 0:
+            finished, waiting = await deadline.wait_for_first(waiting)
             ended += len(finished)
         for task in waiting:
             task.cancel()
@@ -117,7 +117,7 @@
 def test_a_stall_uses_up_one_slice_of_a_deadline_of_several_waits() -> None:
     async def wait() -> None:
         never = asyncio.ensure_future(asyncio.Event().wait())
-        finished, waiting = await StallTolerantDeadline(LIMIT_S).first_of({never})
+        finished, waiting = await StallTolerantDeadline(LIMIT_S).wait_for_first({never})
         assert (finished, waiting) == (set(), {never})
         never.cancel()
 
--- a/tests/unit/test_set_fence.py
+++ b/tests/unit/test_set_fence.py
@@ -33,7 +33,7 @@
 
     async def main() -> None:
         host = DiskHost(attrs.evolve(SETTINGS, data_folder=str(tmp_path)), cast(ObjectStore, None))
-        host.gossip.say_now = lambda: None  # type: ignore[method-assign]
+        host.gossip.send_now = lambda: None  # type: ignore[method-assign]
         handler = DiskRequestHandler(host)
         attempts = iter(range(100))
 
--- a/tests/unit/test_last_seen.py
+++ b/tests/unit/test_sightings.py
@@ -7,13 +7,13 @@
     ReadyHost,
     addresses_for,
 )
-from bayhinge._internal.decisions.last_seen import (
+from bayhinge._internal.decisions.sightings import (
     AGE_UNITS_PER_S,
     MAX_ADVERTISED_S,
     MAX_AGE_S,
     LastSeen,
-    listed_s,
-    start_of,
+    advertised_s,
+    short_incarnation,
 )
 from bayhinge._internal.services.gossip import NEAR_TARGETS, PERIOD_HOSTS, PERIOD_S
 
@@ -48,16 +48,16 @@
             targets = self.targets[host]
             for other in targets[:NEAR_TARGETS]:
                 if self.shares_ages:
-                    self.last_seen[other].hear(self.last_seen[host].ages(now_s), now_s)
-                self.last_seen[other].see(host, now_s)
+                    self.last_seen[other].merge_ages(self.last_seen[host].ages(now_s), now_s)
+                self.last_seen[other].mark_seen(host, now_s)
             self.targets[host] = targets[NEAR_TARGETS:] + targets[:NEAR_TARGETS]
 
     def listed(self, host: int, now_s: float) -> set[int]:
-        seen = self.last_seen[host].seen_s
+        seen = self.last_seen[host].last_seen_s
         return {
             other
             for other in range(HALL_HOSTS)
-            if other == host or seen(other) >= now_s - listed_s(self.period_s)
+            if other == host or seen(other) >= now_s - advertised_s(self.period_s)
         }
 
     def advertised(self, host: int, now_s: float) -> set[str]:
@@ -113,37 +113,37 @@
 
 def test_ages_only_grow_when_forwarded() -> None:
     first, second = LastSeen(), LastSeen()
-    first.see(7, 10.0)
-    second.hear(first.ages(11.0), 11.5)
-    assert second.seen_s(7) == 10.5, "half a second in transit"
-    first.hear(second.ages(12.0), 12.0)
-    assert first.seen_s(7) == 10.5
-    first.hear({7: 5 * AGE_UNITS_PER_S}, 12.0)
-    assert first.seen_s(7) == 10.5, "an older sighting changes nothing"
+    first.mark_seen(7, 10.0)
+    second.merge_ages(first.ages(11.0), 11.5)
+    assert second.last_seen_s(7) == 10.5, "half a second in transit"
+    first.merge_ages(second.ages(12.0), 12.0)
+    assert first.last_seen_s(7) == 10.5
+    first.merge_ages({7: 5 * AGE_UNITS_PER_S}, 12.0)
+    assert first.last_seen_s(7) == 10.5, "an older sighting changes nothing"
     assert first.ages(10.5 + MAX_AGE_S + 0.1) == {}
 
 
 def test_negative_ages_are_never_in_the_future() -> None:
     last_seen = LastSeen()
-    last_seen.hear({1: -32768}, 5.0)
-    assert last_seen.seen_s(1) == 5.0
+    last_seen.merge_ages({1: -32768}, 5.0)
+    assert last_seen.last_seen_s(1) == 5.0
 
 
 def test_a_host_that_accepts_no_callers_is_removed() -> None:
     last_seen = LastSeen()
-    last_seen.see(1, 5.0)
-    last_seen.leave(1)
+    last_seen.mark_seen(1, 5.0)
+    last_seen.forget(1)
     assert last_seen.ages(5.0) == {}
-    last_seen.leave(1)
+    last_seen.forget(1)
 
 
 def test_incarnations_are_identified_by_their_low_bits() -> None:
-    assert start_of(5) == 5
-    assert start_of((1 << 61) + 5) == 5
-    assert start_of((1 << 32) - 1) == -1
+    assert short_incarnation(5) == 5
+    assert short_incarnation((1 << 61) + 5) == 5
+    assert short_incarnation((1 << 32) - 1) == -1
 
 
 def test_a_small_site_drops_a_silent_host_sooner() -> None:
-    assert listed_s(PERIOD_S) == 1.5
-    assert listed_s(PERIOD_S * 81 / PERIOD_HOSTS) == 1.5
-    assert listed_s(PERIOD_S * SITE_HOSTS / PERIOD_HOSTS) == 3.5
+    assert advertised_s(PERIOD_S) == 1.5
+    assert advertised_s(PERIOD_S * 81 / PERIOD_HOSTS) == 1.5
+    assert advertised_s(PERIOD_S * SITE_HOSTS / PERIOD_HOSTS) == 3.5
--- a/tests/unit/test_stalls_heartbeats.py
+++ b/tests/unit/test_stalls_heartbeats.py
@@ -38,7 +38,7 @@
 def make_gossip(number: int) -> Gossip:
     settings = cast(SiteSettings, HeartbeatSettings(f"h{number}", f"{LOOPBACK_NET}.{number + 1}"))
     gossip = Gossip(settings, wire.HostRole.ENTRY)
-    gossip.me.phase = wire.HostPhase.READY
+    gossip.own_heartbeat.phase = wire.HostPhase.READY
     return gossip
 
 
@@ -59,11 +59,13 @@
         gossip = make_gossip(0)
         await gossip.start()
         async with asyncio.timeout(10):
-            while len(gossip.fresh(wire.HostRole.ENTRY)) < OTHERS:  # noqa: ASYNC110
+            while len(gossip.recent_heartbeats(wire.HostRole.ENTRY)) < OTHERS:  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
         await asyncio.sleep(STARTUP_S)
         fresh_counts: list[int] = []
-        gossip.on_round = lambda: fresh_counts.append(len(gossip.fresh(wire.HostRole.ENTRY)))
+        gossip.on_round = lambda: fresh_counts.append(
+            len(gossip.recent_heartbeats(wire.HostRole.ENTRY))
+        )
         time.sleep(MIN_SILENCE_S + 0.5)  # noqa: ASYNC251 - simulates a stalled process
         await asyncio.sleep(0.5)
         await gossip.stop()
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -33,7 +33,7 @@
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.clock import HybridClock, SystemClock
 from bayhinge.coordination.store import Change, ObjectStore, PollingStore
-from bayhinge.coordination.store_availability import StoreAvailability
+from bayhinge.coordination.store_contact import StoreAvailability
 from tests.lib.disks_elsewhere import TEXT, Disk, disks_elsewhere
 
 STALLS_AFTER_S = (0.0, 0.005)
@@ -49,7 +49,7 @@
     address: str
     me: wire.Hello = attrs.field(factory=lambda: wire.Hello(hall="north"))
 
-    def fresh(self, role: int) -> list[wire.Hello]:
+    def recent_heartbeats(self, role: int) -> list[wire.Hello]:
         return [
             wire.Hello(
                 host="entry-9",
@@ -78,7 +78,7 @@
 class StoreStub:
     """Stands for a store that is never called."""
 
-    contact: StoreAvailability = attrs.field(factory=StoreAvailability)
+    availability: StoreAvailability = attrs.field(factory=StoreAvailability)
 
 
 class IgnoringListener(ObjectListener):
@@ -194,7 +194,7 @@
         # The call is hedged over the relay, and then the host stalls.
         loop.call_later(disk_link.HEDGE_S + 0.02, time.sleep, disk_link.ANSWER_S + 0.1)
         await host.link.call(member, "slow", b"x")
-        return host.directory.is_suspected(member), host.directory.reach.is_cut_off
+        return host.directory.is_suspected(member), host.directory.reachability.is_partitioned
 
     original = Disk.answer
 
@@ -236,10 +236,10 @@
         members = host.directory.disk_set.members
         for member in members:
             host.directory.record_failure(member, "cut off")
-        assert host.directory.reach.is_cut_off
+        assert host.directory.reachability.is_partitioned
         stall_s = disk_directory.FETCH_S + 0.1
         await stalled(host.directory._probe(members[0]), after_s, stall_s)
-        return host.directory.reach.is_cut_off
+        return host.directory.reachability.is_partitioned
 
     is_cut_off, _, _ = run_at_host(scenario)
     assert not is_cut_off
--- a/tests/unit/test_state_machines.py
+++ b/tests/unit/test_state_machines.py
@@ -245,7 +245,7 @@
     @rule(host=st.integers(0, 2), peer=st.integers(0, 2))
     def exchange_updates(self, host: int, peer: int) -> None:
         mine, other = self.feeds[host], self.feeds[peer]
-        mine.hear(other.revision)
+        mine.observe_revision(other.revision)
         changes = other.changes_after(mine.revision)
         self.run(self._apply_changes(mine, changes))
 
--- a/tests/unit/test_store_calls.py
+++ b/tests/unit/test_store_calls.py
@@ -100,11 +100,11 @@
         for follower in followers.values():
             follower.should_watch = lambda: False
             if place >= IMMEDIATE_CALLERS:
-                follower.first_list_s = generator.uniform(*FIRST_LIST_DELAY_S)
+                follower.first_list_delay_s = generator.uniform(*FIRST_LIST_DELAY_S)
         if place >= IMMEDIATE_CALLERS:
             # The prefix holds no objects, so no peer will report any.
-            followers["servers/"].first_list_s = 60.0
-            moment_s = followers["config/"].first_list_s - 1e-4
+            followers["servers/"].first_list_delay_s = 60.0
+            moment_s = followers["config/"].first_list_delay_s - 1e-4
             loop.call_later(moment_s, record_informed, address, followers["config/"])
     site.truth.put()
     heartbeats = asyncio.create_task(site.greet_always(HEARTBEAT_PERIOD_S))
@@ -147,7 +147,7 @@
     async def scenario() -> float:
         site = WatchingSite(1, 2)
         for follower in site.followers():
-            follower.first_list_s = FIRST_LIST_DELAY_S[1]
+            follower.first_list_delay_s = FIRST_LIST_DELAY_S[1]
         site.truth.put()
         took_s = await site.seconds_until_known()
         site.stop()
