--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -63,12 +63,12 @@
     halls=st.integers(1, 3),
     hosts_per_hall=st.integers(1, 3),
     start_delay_s=st.floats(0.0, 7.0),
-    away_s=st.floats(0.05, 14.0),
+    outage_s=st.floats(0.05, 14.0),
     change_delay_s=st.floats(0.0, 0.5),
 )
 @settings(max_examples=60, deadline=None)
 def test_a_change_behind_any_outage_is_known_everywhere_in_time(
-    halls: int, hosts_per_hall: int, start_delay_s: float, away_s: float, change_delay_s: float
+    halls: int, hosts_per_hall: int, start_delay_s: float, outage_s: float, change_delay_s: float
 ) -> None:
     async def scenario() -> float:
         site = WatchingSite(halls, hosts_per_hall)
@@ -78,7 +78,7 @@
         await site.seconds_until_known()
         await asyncio.sleep(start_delay_s)
         site.truth.go_away()
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(outage_s)
         site.truth.come_back()
         await asyncio.sleep(change_delay_s)
         site.truth.put()
@@ -113,7 +113,7 @@
 
 
 def longest_until_known(
-    halls: int, hosts_per_hall: int, away_s: float, entry_before_s: float, down: int = 0
+    halls: int, hosts_per_hall: int, outage_s: float, entry_before_s: float, down: int = 0
 ) -> float:
     """Returns the longest delay of a change after an outage soon after a change of an entry.
 
@@ -128,7 +128,7 @@
         site.truth.put("servers/one")
         await asyncio.sleep(entry_before_s)
         site.truth.go_away()
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(outage_s)
         site.truth.come_back()
         site.truth.put()
         took_s = await site.seconds_until_known()
@@ -140,11 +140,11 @@
 
 
 @pytest.mark.parametrize("halls", [1, 2, 3])
-@pytest.mark.parametrize("away_s", [0.05, 0.15])
+@pytest.mark.parametrize("outage_s", [0.05, 0.15])
 def test_a_silence_between_two_watches_of_entries_hides_no_configuration(
-    halls: int, away_s: float
+    halls: int, outage_s: float
 ) -> None:
-    took_s = longest_until_known(halls, WATCHERS_PER_HALL, away_s, entry_before_s=0.02)
+    took_s = longest_until_known(halls, WATCHERS_PER_HALL, outage_s, entry_before_s=0.02)
     ends = halls * WATCHERS_PER_HALL
     assert took_s <= WATCH_PERIOD_S / ends + MIN_WATCH_S + WAIT_MARGIN_S + PEER_FETCH_DELAY_S + 0.1
 
--- a/tests/unit/test_soak_ledger.py
+++ b/tests/unit/test_soak_ledger.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "what"),
+    ("sent", "problem_text"),
     [
         (turn(answer=b"id: " + b"".join(events_of("a"))), "an event that no run of it made"),
         (turn(answer=b"".join(events_of("a")[:2])), "ended as whole after 2 events"),
@@ -54,9 +54,9 @@
         (turn(status=503, answer=b"", is_whole=False), "told that it did not run, and it ran"),
     ],
 )
-def test_a_broken_guarantee_is_reported(sent: Sent, what: str) -> None:
+def test_a_broken_guarantee_is_reported(sent: Sent, problem_text: str) -> None:
     problems = problems_of(sent)
-    assert any(what in problem for problem in problems), problems
+    assert any(problem_text in problem for problem in problems), problems
 
 
 def test_a_stopping_host_may_close_a_request_that_it_has_not_read() -> None:
--- a/tests/unit/test_store_calls.py
+++ b/tests/unit/test_store_calls.py
@@ -76,14 +76,14 @@
     Attributes:
         calls: to the store, of all hosts.
         took_s: until every host knew the object.
-        needless: hosts that called the store although a peer had informed them in time.
-        silent: hosts that no peer had informed, and that did not call the store.
+        needless_callers: hosts that called the store although a peer had informed them in time.
+        missing_callers: hosts that no peer had informed, and that did not call the store.
     """
 
     calls: int = 0
     took_s: float = 0.0
-    needless: list[str] = attrs.field(factory=list)
-    silent: list[str] = attrs.field(factory=list)
+    needless_callers: list[str] = attrs.field(factory=list)
+    missing_callers: list[str] = attrs.field(factory=list)
 
 
 async def simulate_first_start(generator: random.Random) -> FirstStart:
@@ -116,7 +116,7 @@
         if address in was_informed_by_address and store.calls != (
             not was_informed_by_address[address]
         ):
-            (outcome.needless if store.calls else outcome.silent).append(address)
+            (outcome.needless_callers if store.calls else outcome.missing_callers).append(address)
     assert len(was_informed_by_address) == FLEET_HOSTS - IMMEDIATE_CALLERS
     return outcome
 
@@ -134,7 +134,9 @@
         for seed in (*FIRST_STARTS, *MANY_CALLS)
     }
     # A host calls the store at its time only if no peer has informed it by then.
-    assert not {seed: one for seed, one in starts.items() if one.needless or one.silent}
+    assert not {
+        seed: one for seed, one in starts.items() if one.needless_callers or one.missing_callers
+    }
     assert max(one.took_s for one in starts.values()) <= ALL_INFORMED_S
     # Without peers it would be 40 calls. Expected are six calls of the hosts that call at once, and
     # 2.8 of the 37 others, whose time is before a peer has informed them.
--- a/tests/unit/test_stream_check.py
+++ b/tests/unit/test_stream_check.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "is_whole", "what"),
+    ("answer", "is_whole", "problem_text"),
     [
         (b"id: " + WHOLE, True, "no run of it made"),
         (b"id: 1\ndata: " + WHOLE, True, "no run of it made"),
@@ -42,9 +42,9 @@
         (WHOLE + b"id: 5", False, "the beginning of an event that no run of it made"),
     ],
 )
-def test_what_no_run_made_is_reported(answer: bytes, is_whole: bool, what: str) -> None:
+def test_what_no_run_made_is_reported(answer: bytes, is_whole: bool, problem_text: str) -> None:
     problems = stream_problems(answer, is_whole, RUNS, 0)
-    assert any(what in problem for problem in problems), problems
+    assert any(problem_text in problem for problem in problems), problems
 
 
 def test_events_are_split_and_parsed() -> None:
