--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 
 def _known_red() -> dict[str, str]:
@@ -19,8 +19,8 @@
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt has {len(lines)} lines, {MOST_KNOWN_RED} at most")
+    if len(lines) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"KNOWN-RED.txt has {len(lines)} lines, {MAX_KNOWN_RED} at most")
     pairs = [line.partition(": ") for line in lines]
     return {test: reason for test, _, reason in pairs}
 
--- a/tests/dense/ablation.py
+++ b/tests/dense/ablation.py
@@ -113,7 +113,7 @@
 
 
 @attrs.frozen
-class Play:
+class AblationRun:
     """Result of one run of the day."""
 
     mechanism: str
@@ -135,7 +135,7 @@
         edit.apply(folder)
 
 
-def plays(options: argparse.Namespace) -> Iterator[Play]:
+def ablation_runs(options: argparse.Namespace) -> Iterator[AblationRun]:
     """Runs the day ``--spread`` times with all mechanisms, then once without each."""
     names = options.only or list(EDITS_BY_MECHANISM)
     for mechanism in [""] * options.spread + names:
@@ -146,16 +146,16 @@
         command = [options.bench, "run", options.site, options.day, "--jobs", str(options.jobs)]
         command += ["--seed", options.seed] if options.seed else []
         command += ["--no-cpu"] if options.uncharged else []
-        ended = subprocess.run(
+        completed = subprocess.run(
             [*command, "--why", why],
             cwd=options.copy,
             capture_output=True,
             text=True,
             check=False,
         )
-        row = _ROW.search(ended.stdout)
+        row = _ROW.search(completed.stdout)
         worth, served = (float(row["worth"]), float(row["served"])) if row else (None, None)
-        yield Play(mechanism or "(all)", worth, served)
+        yield AblationRun(mechanism or "(all)", worth, served)
 
 
 def main() -> int:
@@ -177,8 +177,8 @@
     parser.add_argument(
         "--only", nargs="*", default=[], help="mechanisms to disable; all if none is given"
     )
-    for play in plays(parser.parse_args()):
-        print(play, flush=True)
+    for result in ablation_runs(parser.parse_args()):
+        print(result, flush=True)
     return 0
 
 
--- a/tests/dense/bench.py
+++ b/tests/dense/bench.py
@@ -52,13 +52,13 @@
     return Played(dict(day["rules"]), day["figure"], day["served"])
 
 
-def read_refusal(said: str) -> Played | None:
+def read_refusal(output: str) -> Played | None:
     """Returns the rejection of a day that the bench's output reports; None if there is none."""
-    refused = _REFUSAL.search(said)
-    if refused is None:
+    rejected = _REFUSAL.search(output)
+    if rejected is None:
         return None
-    lacks = _LACKS_KIND.search(said)
-    return Played({}, refusal=refused["why"], lacking=lacks["kind"] if lacks else "")
+    lacks = _LACKS_KIND.search(output)
+    return Played({}, refusal=rejected["why"], lacking=lacks["kind"] if lacks else "")
 
 
 @attrs.frozen
@@ -82,16 +82,16 @@
         before = self._entries()
         command = [self.program, "run", self.site, str(day), "--jobs", str(self.jobs)]
         command += ["--seed", str(luck)] if luck else []
-        ended = subprocess.run(
+        completed = subprocess.run(
             [*command, "--why", why], cwd=self.root, capture_output=True, text=True, check=False
         )
         new = sorted(self._entries() - before)
         if new:
             return read_entry(new[-1].read_bytes())
-        refused = read_refusal(ended.stdout + ended.stderr)
-        if refused is None:
-            raise BenchError(f"{day.name}: {(ended.stdout + ended.stderr)[-300:]}")
-        return refused
+        rejected = read_refusal(completed.stdout + completed.stderr)
+        if rejected is None:
+            raise BenchError(f"{day.name}: {(completed.stdout + completed.stderr)[-300:]}")
+        return rejected
 
     def _entries(self) -> set[Path]:
         return set((self.root / "journal").glob("*.json"))
--- a/tests/dense/cut_down.py
+++ b/tests/dense/cut_down.py
@@ -20,19 +20,19 @@
     plays = 0
     length = max(1, day.size // 2)
     while True:
-        shorter = None
-        for piece in _pieces(day.size, length):
+        smaller = None
+        for block in _blocks(day.size, length):
             if plays >= most_plays:
                 return day
-            candidate = day.without(piece)
+            candidate = day.without(block)
             if not candidate.size:
                 continue
             plays += 1
             if still_fails(candidate):
-                shorter = candidate
+                smaller = candidate
                 break
-        if shorter is not None:
-            day = shorter
+        if smaller is not None:
+            day = smaller
             length = min(length, max(1, day.size // 2))
         elif length == 1:
             return day
@@ -40,6 +40,6 @@
             length = max(1, length // 2)
 
 
-def _pieces(size: int, length: int) -> Iterator[frozenset[int]]:
+def _blocks(size: int, length: int) -> Iterator[frozenset[int]]:
     for first in range(0, size, length):
         yield frozenset(range(first, min(size, first + length)))
--- a/tests/dense/days.py
+++ b/tests/dense/days.py
@@ -12,10 +12,10 @@
 
 import attrs
 
-LENGTH_S = 30.0
+LAST_OPERATION_S = 30.0
 """Latest start of an operation; the users' days last a little longer."""
 
-FIRST_S = 2.0
+FIRST_OPERATION_S = 2.0
 
 NEARNESS_S = (-0.6, -0.1, 0.0, 0.05, 0.4, 1.5)
 """Start of a fault relative to its operation: from shortly before it to its middle."""
@@ -71,38 +71,38 @@
 Draw = Callable[[random.Random], dict[str, str | float | int]]
 
 OPERATIONS: dict[str, Draw] = {
-    "config_change": lambda draw: {"how": draw.choice(("timeout", "idle", "weights"))},
-    "roll_term": lambda draw: {"share": _share(draw), "gap_s": 1.0, "how": "busy"},
-    "release": lambda draw: {"share": _share(draw), "gap_s": 1.0},
-    "scale_in": lambda draw: {"share": 0.15},
-    "retire": lambda draw: {"for_s": draw.choice((8.0, 10.0))},
-    "replace_core": lambda draw: {"on": "store", "count": 1, "x": draw.choice((0.5, 1.0, 2.0))},
+    "config_change": lambda rng: {"how": rng.choice(("timeout", "idle", "weights"))},
+    "roll_term": lambda rng: {"share": _share(rng), "gap_s": 1.0, "how": "busy"},
+    "release": lambda rng: {"share": _share(rng), "gap_s": 1.0},
+    "scale_in": lambda rng: {"share": 0.15},
+    "retire": lambda rng: {"for_s": rng.choice((8.0, 10.0))},
+    "replace_core": lambda rng: {"on": "store", "count": 1, "x": rng.choice((0.5, 1.0, 2.0))},
 }
 
 FAULTS: dict[str, Draw] = {
-    "platform_down": lambda draw: {
-        "for_s": _span(draw),
-        "how": draw.choice(("silent", "reset", "busy", "silent lapse", "nodes silent")),
+    "platform_down": lambda rng: {
+        "for_s": _duration_s(rng),
+        "how": rng.choice(("silent", "reset", "busy", "silent lapse", "nodes silent")),
     },
-    "platform_slow": lambda draw: {"for_s": _span(draw), "x": draw.choice((20.0, 60.0))},
-    "platform_lost": lambda draw: {"for_s": _span(draw), "x": 0.35, "how": "late"},
-    "platform_compact": lambda draw: {"for_s": _span(draw), "x": 4.0},
-    "node_kill": lambda draw: {"share": _share(draw), "for_s": draw.choice((0.3, 2.0))},
-    "herd_kill": lambda draw: {"share": 0.5, "for_s": 1.0, "how": draw.choice(("", "power"))},
-    "node_cut": lambda draw: {"share": _share(draw), "for_s": _span(draw)},
-    "core_cut": lambda draw: {"count": 1, "for_s": _span(draw), "how": "leader"},
-    "answer_lost": lambda draw: {"share": 0.5, "x": 0.05, "for_s": _span(draw)},
-    "srv_crash": lambda draw: {
+    "platform_slow": lambda rng: {"for_s": _duration_s(rng), "x": rng.choice((20.0, 60.0))},
+    "platform_lost": lambda rng: {"for_s": _duration_s(rng), "x": 0.35, "how": "late"},
+    "platform_compact": lambda rng: {"for_s": _duration_s(rng), "x": 4.0},
+    "node_kill": lambda rng: {"share": _share(rng), "for_s": rng.choice((0.3, 2.0))},
+    "herd_kill": lambda rng: {"share": 0.5, "for_s": 1.0, "how": rng.choice(("", "power"))},
+    "node_cut": lambda rng: {"share": _share(rng), "for_s": _duration_s(rng)},
+    "core_cut": lambda rng: {"count": 1, "for_s": _duration_s(rng), "how": "leader"},
+    "answer_lost": lambda rng: {"share": 0.5, "x": 0.05, "for_s": _duration_s(rng)},
+    "srv_crash": lambda rng: {
         "share": 0.17,
-        "for_s": _span(draw),
-        "how": draw.choice(("", "dark")),
+        "for_s": _duration_s(rng),
+        "how": rng.choice(("", "dark")),
     },
-    "srv_cut": lambda draw: {"share": 0.2, "for_s": _span(draw), "how": "reborn"},
-    "garble": lambda draw: {"service": "@s0", "share": 1.0, "x": 0.3, "for_s": _span(draw)},
-    "srv_flap": lambda draw: {"share": 0.15, "gap_s": 1.4, "for_s": _span(draw)},
-    "srv_slow": lambda draw: {"share": 0.16, "x": 5.0, "for_s": _span(draw)},
-    "burst": lambda draw: {"x": draw.choice((1.4, 2.0)), "for_s": _span(draw)},
-    "node_freeze": lambda draw: {"on": "store", "count": 1, "for_s": draw.choice((0.8, 3.2))},
+    "srv_cut": lambda rng: {"share": 0.2, "for_s": _duration_s(rng), "how": "reborn"},
+    "garble": lambda rng: {"service": "@s0", "share": 1.0, "x": 0.3, "for_s": _duration_s(rng)},
+    "srv_flap": lambda rng: {"share": 0.15, "gap_s": 1.4, "for_s": _duration_s(rng)},
+    "srv_slow": lambda rng: {"share": 0.16, "x": 5.0, "for_s": _duration_s(rng)},
+    "burst": lambda rng: {"x": rng.choice((1.4, 2.0)), "for_s": _duration_s(rng)},
+    "node_freeze": lambda rng: {"on": "store", "count": 1, "for_s": rng.choice((0.8, 3.2))},
 }
 
 
@@ -111,35 +111,35 @@
 
     ``without`` names kinds of faults that the site does not support.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     plan: list[Entry] = []
     faults: list[Entry] = []
-    for _ in range(draw.randint(2, 4)):
-        kind = draw.choice(list(OPERATIONS))
-        at = draw.uniform(FIRST_S, LENGTH_S)
-        plan.append(Entry(at, {"kind": kind, **OPERATIONS[kind](draw)}))
-        faults += _faults_about(at, draw, without)
+    for _ in range(rng.randint(2, 4)):
+        kind = rng.choice(list(OPERATIONS))
+        at = rng.uniform(FIRST_OPERATION_S, LAST_OPERATION_S)
+        plan.append(Entry(at, {"kind": kind, **OPERATIONS[kind](rng)}))
+        faults += _faults_around(at, rng, without)
     return DenseDay(seed, tuple(plan), tuple(faults))
 
 
-def _faults_about(at: float, draw: random.Random, without: frozenset[str]) -> Iterator[Entry]:
+def _faults_around(at: float, rng: random.Random, without: frozenset[str]) -> Iterator[Entry]:
     """Draws faults around an operation; some of them occur twice."""
     known = [kind for kind in FAULTS if kind not in without]
-    for kind in draw.sample(known, draw.randint(1, 3)):
-        fields = {"kind": kind, **FAULTS[kind](draw)}
-        begins = at + draw.choice(NEARNESS_S)
-        yield Entry(begins, fields)
-        if draw.random() < 0.2:
-            yield Entry(begins + draw.choice((0.7, 3.0)), fields)
+    for kind in rng.sample(known, rng.randint(1, 3)):
+        fields = {"kind": kind, **FAULTS[kind](rng)}
+        start_s = at + rng.choice(NEARNESS_S)
+        yield Entry(start_s, fields)
+        if rng.random() < 0.2:
+            yield Entry(start_s + rng.choice((0.7, 3.0)), fields)
 
 
-def _share(draw: random.Random) -> float:
-    return draw.choice((0.15, 0.34, 0.5))
+def _share(rng: random.Random) -> float:
+    return rng.choice((0.15, 0.34, 0.5))
 
 
-def _span(draw: random.Random) -> float:
+def _duration_s(rng: random.Random) -> float:
     """Draws the duration of a fault, shorter or longer than the timeouts of decisions."""
-    return draw.choice((0.4, 1.5, 4.0, 8.0))
+    return rng.choice((0.4, 1.5, 4.0, 8.0))
 
 
 def _value(value: str | float) -> str:
--- a/tests/dense/hunt.py
+++ b/tests/dense/hunt.py
@@ -36,33 +36,33 @@
 
     Kinds of faults that the site does not support are added to ``without``.
     """
-    day, found = _drawn_and_played(bench, seed, without)
+    day, found = _draw_and_run(bench, seed, without)
     if not found.broken_by_rule:
         return f"{day.name}  {found}"
     rules = found.broken_by_rule.keys()
 
-    def still_fails(shorter: DenseDay) -> bool:
+    def still_fails(smaller: DenseDay) -> bool:
         return any(
-            rules & _played(bench, shorter, "cut down", luck).broken_by_rule.keys()
+            rules & _run_day(bench, smaller, "cut down", luck).broken_by_rule.keys()
             for luck in LUCKS
         )
 
-    shortest = cut_down(day, still_fails, most_plays)
+    smallest = cut_down(day, still_fails, most_plays)
     path = CASES / f"{day.name}.toml"
-    path.write_text(case_text(shortest, found, bench.site, day.size))
-    return f"{day.name}  {found}; {day.size} entries cut down to {shortest.size}: {path}"
+    path.write_text(case_text(smallest, found, bench.site, day.size))
+    return f"{day.name}  {found}; {day.size} entries cut down to {smallest.size}: {path}"
 
 
-def _drawn_and_played(bench: Bench, seed: int, without: set[str]) -> tuple[DenseDay, Played]:
+def _draw_and_run(bench: Bench, seed: int, without: set[str]) -> tuple[DenseDay, Played]:
     while True:
         day = dense_day(seed, frozenset(without))
-        found = _played(bench, day, "as drawn")
+        found = _run_day(bench, day, "as drawn")
         if not found.lacking or found.lacking in without:
             return day, found
         without.add(found.lacking)
 
 
-def _played(bench: Bench, day: DenseDay, how: str, luck: int = 0) -> Played:
+def _run_day(bench: Bench, day: DenseDay, how: str, luck: int = 0) -> Played:
     folder = bench.root / DRAWN
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{day.name}.toml"
--- a/tests/lib/charged_time.py
+++ b/tests/lib/charged_time.py
@@ -11,10 +11,10 @@
 
 import attrs
 
-TICK_S = 0.005
+SAMPLE_PERIOD_S = 0.005
 """Sampling period."""
 
-USUAL_LATE_S = 0.005
+MIN_DELAY_S = 0.005
 """Smaller delays of a sample are not deducted: they may be work of the event loop."""
 
 _SCHEDSTAT = Path("/proc/thread-self/schedstat")
@@ -24,23 +24,23 @@
 class ChargedTime:
     """Elapsed seconds, less those spent waiting for a processor."""
 
-    _began_s: float
-    _forgiven_s: float = 0.0
+    _started_s: float
+    _deducted_s: float = 0.0
 
     @property
     def seconds(self) -> float:
         """The time charged so far."""
-        return asyncio.get_running_loop().time() - self._began_s - self._forgiven_s
+        return asyncio.get_running_loop().time() - self._started_s - self._deducted_s
 
-    async def look_always(self) -> None:
+    async def sample(self) -> None:
         """Deducts each sample's delay, at most the time spent waiting for a processor."""
         loop = asyncio.get_running_loop()
         while True:
-            due_s, waited_s = loop.time() + TICK_S, _waited_for_processor_s()
-            await asyncio.sleep(TICK_S)
-            late_s = loop.time() - due_s
-            if late_s > USUAL_LATE_S:
-                self._forgiven_s += min(late_s, _waited_for_processor_s() - waited_s)
+            due_s, waited_before_s = loop.time() + SAMPLE_PERIOD_S, _waited_for_processor_s()
+            await asyncio.sleep(SAMPLE_PERIOD_S)
+            delay_s = loop.time() - due_s
+            if delay_s > MIN_DELAY_S:
+                self._deducted_s += min(delay_s, _waited_for_processor_s() - waited_before_s)
 
 
 def _waited_for_processor_s() -> float:
@@ -55,8 +55,8 @@
 async def charged_time() -> AsyncIterator[ChargedTime]:
     """Measures from entry; read ``seconds`` within the block."""
     charged = ChargedTime(asyncio.get_running_loop().time())
-    looking = asyncio.create_task(charged.look_always())
+    sampler = asyncio.create_task(charged.sample())
     try:
         yield charged
     finally:
-        looking.cancel()
+        sampler.cancel()
--- a/tests/lib/disks_elsewhere.py
+++ b/tests/lib/disks_elsewhere.py
@@ -12,7 +12,7 @@
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.clock import HybridClock, SystemClock
 
-ANSWERS_AFTER_S = 0.02
+RESPONSE_DELAY_S = 0.02
 """Response time of a peer."""
 
 TEXT = b"what was said before"
@@ -26,7 +26,7 @@
 
     async def answer(self, method: str, payload: bytes) -> bytes:
         self.calls.append(method)
-        await asyncio.sleep(ANSWERS_AFTER_S)
+        await asyncio.sleep(RESPONSE_DELAY_S)
         if method == methods.RESERVE:
             query = decode_message(wire.ReserveTurn(), payload)
             chain = TEXT if query.previous and query.wants_chain else None
--- a/tests/lib/fence_model.py
+++ b/tests/lib/fence_model.py
@@ -44,27 +44,27 @@
 class Fence(SetFence):
     """A fence whose file is in memory and whose timeout is triggered by ``wait``."""
 
-    def __init__(self, tolerated: int, kept_version: int = 0) -> None:
+    def __init__(self, tolerated: int, stored_version: int = 0) -> None:
         super().__init__(tolerated, Path())
-        self.kept_version = kept_version
-        self.has_waited = False
+        self.stored_version = stored_version
+        self.has_timed_out = False
 
     def apply(self, disk_set: DiskSet, own: DiskMember) -> None:
-        self.has_waited = False
+        self.has_timed_out = False
         super().apply(disk_set, own)
 
     def wait(self) -> None:
-        self.has_waited = True
+        self.has_timed_out = True
         self._update_caught_up()
 
     def _stored_version(self) -> int:
-        return self.kept_version
+        return self.stored_version
 
     def _store_version(self) -> None:
-        self.kept_version = self._known.version
+        self.stored_version = self._known.version
 
     def _is_overdue(self) -> bool:
-        return self.has_waited
+        return self.has_timed_out
 
 
 @attrs.define(eq=False)
@@ -103,7 +103,7 @@
     entry: str
     version: int
     written: set[int] = attrs.field(factory=set)
-    held: list[tuple[str, Ledger]] = attrs.field(factory=list)
+    answers_in_transit: list[tuple[str, Ledger]] = attrs.field(factory=list)
     replies: dict[str, Ledger] = attrs.field(factory=dict)
     copies: set[int] = attrs.field(factory=set)
     is_granted: bool = False
@@ -116,12 +116,12 @@
     """The model's state and events; the caller decides which failures may coincide.
 
     Attributes:
-        changes_unheard_sets: a mutation: lets a disk change the newest set without knowing it, if
+        may_change_unknown_sets: a mutation: a disk may change the newest set without knowing it if
             the set that it knows has settled. Two consecutive changes then violate budgets.
         away: hosts on one side of the partition.
     """
 
-    changes_unheard_sets = False
+    may_change_unknown_sets = False
 
     def __init__(self, tolerated: int, members: int, others: int) -> None:
         self.loop = asyncio.new_event_loop()
@@ -157,7 +157,7 @@
         disk = self.disk_by_host[host] = Disk(me, Fence(self.tolerated))
         return disk
 
-    def meet(self, one: str, other: str) -> bool:
+    def can_communicate(self, one: str, other: str) -> bool:
         return (one in self.away) == (other in self.away)
 
     # ---- updates of the disk set ----
@@ -165,33 +165,35 @@
     def take(self, disk: Disk, disk_set: DiskSet) -> None:
         if disk_set.version > disk.disk_set.version:
             disk.disk_set = disk_set
-            self._tell_fence(disk)
+            self._update_fence(disk)
 
-    def _tell_fence(self, disk: Disk) -> None:
+    def _update_fence(self, disk: Disk) -> None:
         async def main() -> None:
             disk.fence.apply(disk.disk_set, disk.me)
 
         self.loop.run_until_complete(main())
 
     def restart(self, disk: Disk) -> None:
-        disk.fence = Fence(self.tolerated, disk.fence.kept_version)
+        disk.fence = Fence(self.tolerated, disk.fence.stored_version)
         disk.read_hosts = set()
         if disk.disk_set.version:
-            self._tell_fence(disk)
+            self._update_fence(disk)
 
     def tell(self, name: str) -> None:
         """Gives a host the newest disk set known on its side of the partition."""
         if name not in self.set_by_entry and name not in self.disk_by_host:
             return
-        sets = [disk.disk_set for disk in self.disks if self.meet(name, disk.me.host)]
-        sets += [known for entry, known in self.set_by_entry.items() if self.meet(name, entry)]
+        sets = [disk.disk_set for disk in self.disks if self.can_communicate(name, disk.me.host)]
+        sets += [
+            known for entry, known in self.set_by_entry.items() if self.can_communicate(name, entry)
+        ]
         newest = max(sets, key=lambda one: one.version)
         if name in self.set_by_entry:
-            self.learn(name, newest)
+            self.apply_set_to_entry(name, newest)
         else:
             self.take(self.disk_by_host[name], newest)
 
-    def learn(self, entry: str, disk_set: DiskSet) -> None:
+    def apply_set_to_entry(self, entry: str, disk_set: DiskSet) -> None:
         if disk_set.version > self.set_by_entry[entry].version:
             self.set_by_entry[entry] = disk_set
 
@@ -201,27 +203,29 @@
         others = [one for one in disk.disk_set.members if one.host != disk.me.host]
         disk.read_hosts = {one.host for one in others if self._copy_from(disk, one)}
 
-    def _reached(self, disk: Disk, member: DiskMember) -> Disk | None:
+    def _reachable_disk(self, disk: Disk, member: DiskMember) -> Disk | None:
         source = self.disk_by_host.get(member.host)
-        if source is None or not self.meet(disk.me.host, member.host):
+        if source is None or not self.can_communicate(disk.me.host, member.host):
             return None
         return source if source.me.generation == member.generation else None
 
     def _copy_from(self, disk: Disk, member: DiskMember) -> bool:
-        source = self._reached(disk, member)
+        source = self._reachable_disk(disk, member)
         if source is None or source.disk_set.version < disk.disk_set.version:
             return False
-        if self._keeps(source, disk.me):
+        if self._is_replica(source, disk.me):
             disk.copy(source)
         if source.disk_set.version == disk.disk_set.version:
             disk.fence.record_read(member, disk.disk_set.version, source.fence.has_caught_up)
         return True
 
-    def _keeps(self, source: Disk, asker: DiskMember) -> bool:
+    def _is_replica(self, source: Disk, candidate: DiskMember) -> bool:
         members = list(source.disk_set.members)
-        if all(one.host != asker.host for one in members):
-            members.append(asker)
-        return any(one.host == asker.host for one in replicas_of(PROGRAM, members, self.tolerated))
+        if all(one.host != candidate.host for one in members):
+            members.append(candidate)
+        return any(
+            one.host == candidate.host for one in replicas_of(PROGRAM, members, self.tolerated)
+        )
 
     # ---- changes ----
 
@@ -237,7 +241,7 @@
         if not disk.is_member:
             return
         members = [one for one in disk.disk_set.members if one.host != disk.me.host]
-        silent = [one.host for one in members if self._reached(disk, one) is None]
+        silent = [one.host for one in members if self._reachable_disk(disk, one) is None]
         silent_s = dict.fromkeys(silent, DROP_AFTER_S)
         self._change(disk, lambda found: without_silent(found, silent_s, self.tolerated))
 
@@ -250,20 +254,22 @@
     def hand_over(self, disk: Disk) -> None:
         """Copies a leaving disk's entries to the others; removes it once enough have them."""
         others = [one for one in disk.disk_set.members if one.host != disk.me.host]
-        whole = 0
+        complete = 0
         for member in others:
             other = self.disk_by_host.get(member.host)
-            if other and not other.is_retired and self.meet(disk.me.host, member.host):
-                whole += 1
-                if self._keeps(disk, member):
+            if other and not other.is_retired and self.can_communicate(disk.me.host, member.host):
+                complete += 1
+                if self._is_replica(disk, member):
                     other.copy(disk)
-        if whole and len(others) - whole <= missing_members_allowed(len(others), self.tolerated):
+        if complete and len(others) - complete <= missing_members_allowed(
+            len(others), self.tolerated
+        ):
             del self.disk_by_host[disk.me.host]
 
     def _change(self, disk: Disk, change: Change) -> None:
         if not disk.fence.has_settled:
             return
-        if not self.changes_unheard_sets and disk.disk_set != self.newest:
+        if not self.may_change_unknown_sets and disk.disk_set != self.newest:
             self.take(disk, self.newest)
             return
         found = self.newest
@@ -290,12 +296,12 @@
 
     def ask(self, turn: Turn, hosts: Collection[str]) -> None:
         """Delivers the reservation to disks; the side with the older disk set gets the newer."""
-        self._ask_anew(turn)
-        for member in self._places(turn):
+        self._restart_if_set_changed(turn)
+        for member in self._replicas(turn):
             if member.host not in hosts or member.host in turn.replies:
                 continue
             disk = self.disk_by_host.get(member.host)
-            if disk is None or not self.meet(turn.entry, member.host) or disk.is_retired:
+            if disk is None or not self.can_communicate(turn.entry, member.host) or disk.is_retired:
                 continue
             verdict = disk.fence.verdict(PROGRAM, turn.version)
             if verdict is Verdict.TAKEN:
@@ -304,7 +310,7 @@
             elif verdict is Verdict.DISK_IS_BEHIND:
                 self.take(disk, self.set_by_entry[turn.entry])
             elif verdict is Verdict.HOST_IS_BEHIND:
-                self.learn(turn.entry, disk.disk_set)
+                self.apply_set_to_entry(turn.entry, disk.disk_set)
 
     def answer(self, turn: Turn) -> None:
         """Disks that have written the reservation check the fence again and answer."""
@@ -313,14 +319,14 @@
                 continue
             if disk.fence.verdict(PROGRAM, turn.version) is Verdict.TAKEN:
                 ledger = dict(disk.open_by_attempt), dict(disk.settled_by_attempt)
-                turn.held.append((disk.me.host, ledger))
+                turn.answers_in_transit.append((disk.me.host, ledger))
         turn.written.clear()
 
     def hear(self, turn: Turn) -> None:
         """Delivers the answers to the host, which decides once it has a quorum."""
-        turn.replies.update(turn.held)
-        turn.held.clear()
-        needed = reservations_needed(len(self._places(turn)), self.tolerated)
+        turn.replies.update(turn.answers_in_transit)
+        turn.answers_in_transit.clear()
+        needed = reservations_needed(len(self._replicas(turn)), self.tolerated)
         if turn.is_granted or turn.is_over or len(turn.replies) < needed:
             return
         if committed_tokens(turn.attempt, turn.replies.values()) + TOKENS <= BUDGET:
@@ -328,22 +334,22 @@
         else:
             self.settle(turn, HOSTS)
 
-    def _ask_anew(self, turn: Turn) -> None:
+    def _restart_if_set_changed(self, turn: Turn) -> None:
         """Restarts the reservation if the set has changed: a quorum is valid for one version."""
         known = self.set_by_entry[turn.entry].version
         if known != turn.version:
             turn.version = known
             turn.written.clear()
-            turn.held.clear()
+            turn.answers_in_transit.clear()
             turn.replies.clear()
 
-    def _places(self, turn: Turn) -> list[DiskMember]:
+    def _replicas(self, turn: Turn) -> list[DiskMember]:
         return replicas_of(PROGRAM, self.sets[turn.version - 1].members, self.tolerated)
 
     def end(self, turn: Turn, hosts: Collection[str]) -> None:
         """Writes the turn's text to disks; it is acknowledged once there are enough copies."""
         for disk in self.at(hosts):
-            if self.meet(turn.entry, disk.me.host) and not disk.is_retired:
+            if self.can_communicate(turn.entry, disk.me.host) and not disk.is_retired:
                 disk.settled_by_attempt[turn.attempt] = turn.tokens
                 disk.turns.add(turn.attempt)
                 turn.copies.add(disk.me.generation)
@@ -354,7 +360,7 @@
         """Releases the tokens; disks that don't receive this count the full reservation."""
         turn.is_over, turn.tokens = True, 0
         for disk in self.at(hosts):
-            if self.meet(turn.entry, disk.me.host) and not disk.is_retired:
+            if self.can_communicate(turn.entry, disk.me.host) and not disk.is_retired:
                 disk.settled_by_attempt[turn.attempt] = 0
 
     # ---- invariants ----
@@ -371,24 +377,24 @@
         if self.committed() + TOKENS <= BUDGET:
             return
         for known in self.sets:
-            places = replicas_of(PROGRAM, known.members, self.tolerated)
-            needed = reservations_needed(len(places), self.tolerated)
-            takers = [
+            replicas = replicas_of(PROGRAM, known.members, self.tolerated)
+            needed = reservations_needed(len(replicas), self.tolerated)
+            accepting = [
                 disk
-                for disk in self.at(member.host for member in places)
-                if not disk.is_retired and self._would_take(disk, known)
+                for disk in self.at(member.host for member in replicas)
+                if not disk.is_retired and self._would_accept(disk, known)
             ]
-            for quorum in itertools.combinations(takers, needed):
+            for quorum in itertools.combinations(accepting, needed):
                 ledgers = ((disk.open_by_attempt, disk.settled_by_attempt) for disk in quorum)
                 if committed_tokens("", ledgers) + TOKENS <= BUDGET:
                     yield known.version, [disk.me.host for disk in quorum]
 
-    def _would_take(self, disk: Disk, known: DiskSet) -> bool:
+    def _would_accept(self, disk: Disk, known: DiskSet) -> bool:
         if disk.disk_set.version >= known.version:
             return disk.fence.verdict(PROGRAM, known.version) is Verdict.TAKEN
-        told = KnownSet(known.version, known.members, known.previous, self.tolerated)
-        has_caught_up = told.is_caught_up_by(disk.me, ())
-        verdict = told.verdict(disk.me, PROGRAM, known.version, has_caught_up)
+        updated_set = KnownSet(known.version, known.members, known.previous, self.tolerated)
+        has_caught_up = updated_set.is_caught_up_by(disk.me, ())
+        verdict = updated_set.verdict(disk.me, PROGRAM, known.version, has_caught_up)
         return verdict is Verdict.TAKEN
 
     def knowing_last(self) -> list[Disk]:
@@ -403,7 +409,7 @@
         """Returns whether a host would report the turn as unknown: no disk that it asks has it."""
         known = self.set_by_entry[entry]
         members = {one.host for one in known.members}
-        near = {host for host in self.disk_by_host if self.meet(entry, host)}
+        near = {host for host in self.disk_by_host if self.can_communicate(entry, host)}
         if not members <= near:
             return False
         asked = self.at(near)
--- a/tests/lib/fence_mutants.py
+++ b/tests/lib/fence_mutants.py
@@ -15,7 +15,7 @@
 from tests.dense.ablation import ROOT, Edit
 
 FENCE = "decisions/disk_fence.py"
-SEED_LIMIT_S = 600.0
+RUN_TIMEOUT_S = 600.0
 
 EDITS_BY_RULE: dict[str, tuple[Edit, ...]] = {
     "the catching up of newcomers": (
@@ -36,7 +36,7 @@
     ),
 }
 
-PLAY = """
+SCRIPT = """
 import sys
 import hypothesis
 from hypothesis import Phase, settings
@@ -71,18 +71,18 @@
 
 def draws_needed(folder: Path, seed: int, most: int) -> str:
     """Returns how many event orders were drawn until one violated an invariant."""
-    ended = subprocess.run(
-        [sys.executable, "-c", PLAY, str(most), str(seed)],
+    completed = subprocess.run(
+        [sys.executable, "-c", SCRIPT, str(most), str(seed)],
         cwd=ROOT,
         env=os.environ | {"PYTHONPATH": f"{folder / 'src'}:{ROOT}"},
         capture_output=True,
         text=True,
         check=False,
-        timeout=SEED_LIMIT_S,
+        timeout=RUN_TIMEOUT_S,
     )
-    found = re.search(r"^DRAWS (\d+) ?(.*)$", ended.stdout, re.MULTILINE)
+    found = re.search(r"^DRAWS (\d+) ?(.*)$", completed.stdout, re.MULTILINE)
     if found is None:
-        return ended.stderr.strip()[-200:]
+        return completed.stderr.strip()[-200:]
     return f"{found[1]} ({found[2][:60]})" if found[2] else f"not found in {found[1]}"
 
 
--- a/tests/lib/jumping_clock.py
+++ b/tests/lib/jumping_clock.py
@@ -7,12 +7,12 @@
 import pytest
 
 JUMPS_S = (0.0, 3600.0, -86_400.0, 7.0, -0.5)
-LEAP_S = 10_000.0
+STEP_S = 10_000.0
 
 JUMPS_BY_KIND: dict[str, Callable[[], Iterator[float]]] = {
     "to and fro": lambda: itertools.cycle(JUMPS_S),
-    "ever forward": lambda: itertools.count(0.0, LEAP_S),
-    "ever back": lambda: itertools.count(0.0, -LEAP_S),
+    "ever forward": lambda: itertools.count(0.0, STEP_S),
+    "ever back": lambda: itertools.count(0.0, -STEP_S),
 }
 
 
--- a/tests/lib/platform_engine.py
+++ b/tests/lib/platform_engine.py
@@ -72,11 +72,11 @@
         self.runs: list[Run] = []
         self.troubles = EngineTroubles()
         self.born_ms: int | None = None
-        self._start = 0
-        self._start_by_connection: weakref.WeakKeyDictionary[object, int] = (
+        self._incarnation = 0
+        self._incarnation_by_connection: weakref.WeakKeyDictionary[object, int] = (
             weakref.WeakKeyDictionary()
         )
-        self._numbers = itertools.count(1)
+        self._stream_numbers = itertools.count(1)
 
     def entry(self, state: str = "ready") -> dict[str, object]:
         """Returns the engine's entry in the platform's store."""
@@ -102,7 +102,7 @@
         If it ``moves``, it listens on a new port instead of the former one.
         """
         self.born_ms = born_ms
-        self._start += 1
+        self._incarnation += 1
         if moves:
             assert self._runner is not None
             for site in list(self._runner.sites):
@@ -111,23 +111,25 @@
             await site.start()
             self.port = self._runner.addresses[-1][1]
 
-    async def _start_of(self, request: web.Request) -> int:
+    async def _incarnation_of(self, request: web.Request) -> int:
         """Returns the incarnation that a connection belongs to; stalls if that has ended."""
-        start = self._start_by_connection.setdefault(request.transport, self._start)
-        await self._live(start)
-        return start
+        incarnation = self._incarnation_by_connection.setdefault(
+            request.transport, self._incarnation
+        )
+        await self._pause(incarnation)
+        return incarnation
 
-    async def _live(self, start: int, pause_s: float = 0.0) -> None:
+    async def _pause(self, incarnation: int, pause_s: float = 0.0) -> None:
         """Pauses, then stalls unless the request's incarnation is the current one."""
         await asyncio.sleep(pause_s)
-        if start != self._start:
+        if incarnation != self._incarnation:
             await asyncio.sleep(3600)
 
     def add_routes(self, app: web.Application) -> None:
         app.router.add_route("*", "/{path:.*}", self._serve)
 
     async def _serve(self, request: web.Request) -> web.StreamResponse:
-        start = await self._start_of(request)
+        incarnation = await self._incarnation_of(request)
         attempt = request.headers["Bayhinge-Attempt-Id"]
         headers = {"Bayhinge-Attempt-Id": attempt}
         if request.headers.get("Bayhinge-Expect-Instance") != self.instance:
@@ -141,7 +143,7 @@
         self.runs.append(run)
         headers["Bayhinge-Server-Seal"] = f"seal-{self.instance}"
         try:
-            await self._live(start, self.troubles.pause_s)
+            await self._pause(incarnation, self.troubles.pause_s)
             if self.troubles.loses_answers > 0:
                 self.troubles.loses_answers -= 1
                 assert request.transport is not None
@@ -149,22 +151,24 @@
                 raise ConnectionResetError
             if not request.path.startswith(("/chat/", "/draft/")):
                 return web.Response(body=b"answer to " + body, headers=headers)
-            return await self._stream(request, headers, run, start)
+            return await self._stream(request, headers, run, incarnation)
         except asyncio.CancelledError:
             run.was_cancelled = True
             raise
 
     async def _stream(
-        self, request: web.Request, headers: dict[str, str], run: Run, start: int
+        self, request: web.Request, headers: dict[str, str], run: Run, incarnation: int
     ) -> web.StreamResponse:
         response = web.StreamResponse(headers=headers | {"Content-Type": "text/event-stream"})
         await response.prepare(request)
-        stream = next(self._numbers)
-        resumed = request.headers.get("Last-Event-Id")
-        first = 1 if resumed is None else int(resumed) + 1 + self.troubles.resumes_off_by
-        for given, number in enumerate(range(max(1, first), self.events + 1)):
+        stream = next(self._stream_numbers)
+        last_event_id = request.headers.get("Last-Event-Id")
+        first = (
+            1 if last_event_id is None else int(last_event_id) + 1 + self.troubles.resumes_off_by
+        )
+        for sent_count, number in enumerate(range(max(1, first), self.events + 1)):
             event = self.event(stream, number)
-            if self.troubles.breaks_after is not None and given >= self.troubles.breaks_after:
+            if self.troubles.breaks_after is not None and sent_count >= self.troubles.breaks_after:
                 if self.troubles.cuts_events:
                     run.cut = event[: self.troubles.cut_at]
                     await response.write(run.cut)
@@ -173,10 +177,10 @@
                 assert request.transport is not None
                 request.transport.close()
                 raise ConnectionResetError
-            if given == self.troubles.silent_after:
+            if sent_count == self.troubles.silent_after:
                 await asyncio.sleep(3600)
             run.made.append(event)
             await response.write(event)
-            await self._live(start, self.troubles.pause_s)
+            await self._pause(incarnation, self.troubles.pause_s)
         await response.write_eof()
         return response
--- a/tests/lib/platform_store.py
+++ b/tests/lib/platform_store.py
@@ -61,13 +61,13 @@
             "status": None if old is None else old["status"],
         }
         self._objects[kind, name] = item
-        self._note(kind, False, item)
+        self._record(kind, False, item)
 
     def remove(self, kind: str, name: str) -> None:
         """Removes an object."""
         item = self._objects.pop((kind, name))
         self.revision += 1
-        self._note(kind, True, item)
+        self._record(kind, True, item)
 
     def status(self, kind: str, name: str) -> Any:
         """Returns an object's status."""
@@ -97,17 +97,17 @@
         app.router.add_put("/-/objects/{kind}/{name}", self._replace)
         app.router.add_delete("/-/objects/{kind}/{name}", self._delete)
         app.router.add_put("/-/objects/{kind}/{name}/status", self._put_status)
-        app.middlewares.append(self._trouble)
+        app.middlewares.append(self._inject_faults)
 
     @web.middleware
-    async def _trouble(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _inject_faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
         self.calls.append(f"{request.method} {request.path_qs}")
         troubles = self.troubles
         outages = self._outages
         if troubles.silent:
             await asyncio.sleep(60)
         if troubles.down:
-            return self._cut(request)
+            return self._abort(request)
         if troubles.says:
             return web.Response(body=troubles.says, content_type="application/json")
         if troubles.refuses_with:
@@ -116,11 +116,11 @@
         if self._outages != outages:
             await asyncio.sleep(60)
         if troubles.loses_answers and request.method != "GET":
-            return self._cut(request)
+            return self._abort(request)
         return response
 
     @staticmethod
-    def _cut(request: web.Request) -> web.Response:
+    def _abort(request: web.Request) -> web.Response:
         assert request.transport is not None
         request.transport.abort()
         return web.Response(status=499)
@@ -140,7 +140,7 @@
 
     async def _watch(self, kind: str, request: web.Request) -> web.Response:
         since = int(request.query["watch"])
-        limit = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
+        deadline_s = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
         while True:
             if since < self.oldest_revision:
                 return web.Response(status=410)
@@ -149,14 +149,14 @@
                 for revision, own, deleted, item in self._history
                 if own == kind and revision > since
             ]
-            rest = limit - asyncio.get_running_loop().time()
-            if (events and not self.troubles.hangs_watches) or rest <= 0:
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if (events and not self.troubles.hangs_watches) or remaining_s <= 0:
                 shown = [] if self.troubles.hangs_watches else events
                 stamp = since if self.troubles.hangs_watches else self.revision
                 return _json({"events": shown, "timestamp": stamp})
             changed = self._changed
             try:
-                await asyncio.wait_for(changed.wait(), rest)
+                await asyncio.wait_for(changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
@@ -200,7 +200,7 @@
         self.remove(kind, name)
         return _json({})
 
-    def _note(self, kind: str, deleted: bool, item: dict[str, Any]) -> None:
+    def _record(self, kind: str, deleted: bool, item: dict[str, Any]) -> None:
         self._history.append((self.revision, kind, deleted, item))
         self._wake()
 
--- a/tests/lib/proof_mutants.py
+++ b/tests/lib/proof_mutants.py
@@ -4,14 +4,14 @@
 from tests.lib.proof_model import BOUND_S, Host, ProofModel
 
 
-class CountsFromTheAnswer(ProofModel):
+class DatesProofsByTheAnswer(ProofModel):
     """Dates the store's proof by the arrival of the answer."""
 
     def store_proof(self, revision: int, asked_s: float, got_s: float) -> FreshnessProof:
         return FreshnessProof(revision, got_s)
 
 
-class GrowsYoungerOnTheWay(ProofModel):
+class DatesPeerProofsByTheAnswer(ProofModel):
     """Dates a peer's proof by the arrival of its answer."""
 
     def peer_proof(
@@ -20,7 +20,7 @@
         return FreshnessProof(revision, got_s - age_s)
 
 
-class ForgetsThePeersAge(ProofModel):
+class IgnoresThePeersAge(ProofModel):
     """Ignores the age that a peer reports."""
 
     def peer_proof(
@@ -29,40 +29,40 @@
         return FreshnessProof(revision, asked_s)
 
 
-class CountsWhatItDoesNotKnow(ProofModel):
+class AcceptsUnknownRevisions(ProofModel):
     """Accepts proofs of revisions that the host does not have."""
 
-    def knows_enough(self, host: Host) -> int:
-        return len(self.taken_s)
+    def max_valid_revision(self, host: Host) -> int:
+        return len(self.revoked_s)
 
 
-class TakesSilenceForAProof(ProofModel):
+class TakesSilentWatchForAProof(ProofModel):
     """Takes a watch that ended without updates for a proof."""
 
-    def hear_nothing(self, host: Host) -> None:
+    def handle_silent_watch(self, host: Host) -> None:
         host.proofs.record(FreshnessProof(host.known_revision, self.clock_s(host)))
 
 
-class StandsStillWhileFrozen(ProofModel):
+class StopsTheClockWhileFrozen(ProofModel):
     """Uses a clock that stops while the process is frozen."""
 
     def clock_s(self, host: Host) -> float:
         return host.offset_s + (self.now_s - host.frozen_s) * host.rate
 
 
-class LeavesNoRoomForClocks(ProofModel):
+class IgnoresClockRates(ProofModel):
     """Uses the whole bound, with no allowance for clock rates."""
 
-    def bound_s(self) -> float:
+    def max_proof_age_s(self) -> float:
         return BOUND_S
 
 
 MUTANTS = (
-    CountsFromTheAnswer,
-    GrowsYoungerOnTheWay,
-    ForgetsThePeersAge,
-    CountsWhatItDoesNotKnow,
-    TakesSilenceForAProof,
-    StandsStillWhileFrozen,
-    LeavesNoRoomForClocks,
+    DatesProofsByTheAnswer,
+    DatesPeerProofsByTheAnswer,
+    IgnoresThePeersAge,
+    AcceptsUnknownRevisions,
+    TakesSilentWatchForAProof,
+    StopsTheClockWhileFrozen,
+    IgnoresClockRates,
 )
--- a/tests/lib/silent_store.py
+++ b/tests/lib/silent_store.py
@@ -54,7 +54,7 @@
     def come_back(self) -> None:
         self.is_away = False
 
-    def under(self, prefix: str, after_revision: int = 0) -> tuple[StoredObject, ...]:
+    def objects_under(self, prefix: str, after_revision: int = 0) -> tuple[StoredObject, ...]:
         """Returns the objects under a prefix that were written after a revision."""
         return tuple(
             StoredObject(key, str(revision).encode(), revision)
@@ -84,17 +84,17 @@
         )
 
     async def _read(self, prefix: str) -> Listing:
-        return Listing(self._truth.under(prefix), self._truth.revision, more=False)
+        return Listing(self._truth.objects_under(prefix), self._truth.revision, more=False)
 
     async def _wait(self, prefix: str, after_revision: int, wait_s: float) -> ChangePage:
         truth = self._truth
-        until_s = asyncio.get_running_loop().time() + wait_s
-        while not (found := truth.under(prefix, after_revision)):
-            rest_s = until_s - asyncio.get_running_loop().time()
-            if rest_s <= 0:
+        deadline_s = asyncio.get_running_loop().time() + wait_s
+        while not (found := truth.objects_under(prefix, after_revision)):
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if remaining_s <= 0:
                 return ChangePage((), truth.revision)
             try:
-                async with asyncio.timeout(rest_s):
+                async with asyncio.timeout(remaining_s):
                     await truth.changed.wait()
             except TimeoutError:
                 continue
--- a/tests/lib/watching_site.py
+++ b/tests/lib/watching_site.py
@@ -24,7 +24,7 @@
         return
 
 
-class SiteWays(Peers):
+class SitePeers(Peers):
     """Connections between all hosts."""
 
     def __init__(self) -> None:
@@ -46,26 +46,28 @@
 
     def __init__(self, halls: int, hosts_per_hall: int) -> None:
         self.truth = StoreTruth("config/main")
-        self.ways = SiteWays()
+        self.ways = SitePeers()
         self.stores: list[SilentStore] = []
-        for hall, place in itertools.product(range(halls), range(hosts_per_hall)):
-            self._add_host(hall, halls, place, min(hosts_per_hall, WATCHERS_PER_HALL))
+        for hall, index in itertools.product(range(halls), range(hosts_per_hall)):
+            self._add_host(hall, halls, index, min(hosts_per_hall, WATCHERS_PER_HALL))
         self.tasks = [asyncio.create_task(follower.run()) for follower in self.followers()]
 
-    def _add_host(self, hall: int, halls: int, place: int, watchers: int) -> None:
+    def _add_host(self, hall: int, halls: int, index: int, watchers: int) -> None:
         store = SilentStore(self.truth)
         self.stores.append(store)
-        address = f"{hall}/{place}"
+        address = f"{hall}/{index}"
 
-        def wait_of(prefix: int) -> float:
-            turn = WatchSlot(hall, halls, place, prefix, len(PREFIXES), watchers)
-            return wait_until_slot(turn, asyncio.get_running_loop().time())
+        def slot_wait_s(prefix: int) -> float:
+            slot = WatchSlot(hall, halls, index, prefix, len(PREFIXES), watchers)
+            return wait_until_slot(slot, asyncio.get_running_loop().time())
 
         followers = {}
         for number, prefix in enumerate(PREFIXES):
-            follower = PrefixFollower(store, prefix, partial(wait_of, number), Nobody(), self.ways)
-            follower.should_watch = lambda: place < WATCHERS_PER_HALL
-            follower.on_change = lambda: self._tell(address)
+            follower = PrefixFollower(
+                store, prefix, partial(slot_wait_s, number), Nobody(), self.ways
+            )
+            follower.should_watch = lambda: index < WATCHERS_PER_HALL
+            follower.on_change = lambda: self._notify(address)
             followers[prefix] = follower
         self.ways.followers_by_address[address] = followers
 
@@ -73,22 +75,22 @@
         hosts = self.ways.followers_by_address.values()
         return [follower for followers in hosts for follower in followers.values()]
 
-    def _tell(self, address: str) -> None:
-        teller = self.ways.followers_by_address[address]["config/"]
+    def _notify(self, address: str) -> None:
+        sender = self.ways.followers_by_address[address]["config/"]
         for other, followers in self.ways.followers_by_address.items():
             if other != address:
-                followers["config/"].observe_revision(teller.revision, address)
+                followers["config/"].observe_revision(sender.revision, address)
 
     async def greet_always(self, period_s: float) -> None:
         """Delivers heartbeats: in each period, every host receives that of one other host."""
         addresses = list(self.ways.followers_by_address)
         for number in itertools.count(1):
             await asyncio.sleep(period_s)
-            for place, address in enumerate(addresses):
-                other = addresses[(place + number) % len(addresses)]
+            for index, address in enumerate(addresses):
+                other = addresses[(index + number) % len(addresses)]
                 for prefix, follower in self.ways.followers_by_address[other].items():
-                    told = self.ways.followers_by_address[address][prefix]
-                    told.observe_revision(follower.revision, other)
+                    receiver = self.ways.followers_by_address[address][prefix]
+                    receiver.observe_revision(follower.revision, other)
 
     def take_down(self, hosts: int) -> None:
         """Stops the first hosts."""
@@ -97,18 +99,18 @@
         for address in list(self.ways.followers_by_address)[:hosts]:
             del self.ways.followers_by_address[address]
 
-    def knows_all(self) -> bool:
+    def is_up_to_date(self) -> bool:
         hosts = self.ways.followers_by_address.values()
         newest = self.truth.revision_by_key[self.truth.key]
         return all(host["config/"].revision >= newest for host in hosts)
 
     async def seconds_until_known(self) -> float:
         loop = asyncio.get_running_loop()
-        began_s = loop.time()
+        started_s = loop.time()
         async with asyncio.timeout(30):
-            while not self.knows_all():  # noqa: ASYNC110
+            while not self.is_up_to_date():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
-        return loop.time() - began_s
+        return loop.time() - started_s
 
     async def calls_within(self, seconds: float) -> int:
         """Runs for a time, stops all followers and returns the number of store calls meanwhile."""
--- a/tests/soak/accounts.py
+++ b/tests/soak/accounts.py
@@ -17,13 +17,13 @@
 from tests.lib.platform_engine import Run
 from tests.soak.ledger import Sent
 
-TAKEN_AWAY_S = 2.0
+REVOCATION_BOUND_S = 2.0
 """A key may be served so long after its revocation was written to the store."""
 
 WINDOW_S, OVERAGE, SLACK = 5.0, 0.1, 4.0
 BOUNDS = {
     "revoke_strict": True,
-    "revoke_ms": int(TAKEN_AWAY_S * 1000),
+    "revoke_ms": int(REVOCATION_BOUND_S * 1000),
     "quota_window_s": WINDOW_S,
     "quota_overage": OVERAGE,
     "quota_slack": SLACK,
@@ -35,18 +35,20 @@
 SETTLE_S = WINDOW_S + 3.0
 """A lower limit holds from one window after its configuration version is in force."""
 
-NEVER_KNOWN = "neverknownkey00000000"
+UNKNOWN_KEY = "neverknownkey00000000"
 
 
 @attrs.define
 class Accounts:
     """The accounts of the current configuration, and the history of keys and limits."""
 
-    source: random.Random
+    rng: random.Random
     steady: str = "steadykey0aaaaaaaaaaa"
-    losing: list[str] = attrs.field(factory=lambda: [f"losingkey{n}bbbbbbbbbbb" for n in range(8)])
+    revocable: list[str] = attrs.field(
+        factory=lambda: [f"losingkey{n}bbbbbbbbbbb" for n in range(8)]
+    )
     limited: str = "limitedkey0ccccccccccc"
-    taken_s_by_key: dict[str, float] = attrs.field(factory=dict)
+    revoked_s_by_key: dict[str, float] = attrs.field(factory=dict)
     limits: list[tuple[float, tuple[float, float]]] = attrs.field(
         factory=lambda: [(0.0, LIMITS[0])]
     )
@@ -56,41 +58,41 @@
         rate, burst = self.limits[-1][1]
         return [
             {"name": "steady", "api_keys": [self.steady]},
-            {"name": "losing", "api_keys": self._left(), "priority": 1},
+            {"name": "losing", "api_keys": self._valid_keys(), "priority": 1},
             {"name": "limited", "api_keys": [self.limited], "rate_per_s": rate, "burst": burst},
         ]
 
-    def _left(self) -> list[str]:
-        return [key for key in self.losing if key not in self.taken_s_by_key]
+    def _valid_keys(self) -> list[str]:
+        return [key for key in self.revocable if key not in self.revoked_s_by_key]
 
-    def take_one_away(self) -> str | None:
+    def revoke_one(self) -> str | None:
         """Revokes a key; the caller must write the configuration before its next await."""
-        left = self._left()
-        if not left:
+        valid_keys = self._valid_keys()
+        if not valid_keys:
             return None
-        self.taken_s_by_key[left[0]] = time.monotonic()
-        return left[0]
+        self.revoked_s_by_key[valid_keys[0]] = time.monotonic()
+        return valid_keys[0]
 
     def change_limit(self) -> None:
         """Sets another limit; the caller must write the configuration before its next await."""
-        self.limits.append((time.monotonic(), self.source.choice(LIMITS)))
+        self.limits.append((time.monotonic(), self.rng.choice(LIMITS)))
 
     def key_of(self, program: str) -> str:
         """Returns the key that a program's caller sends."""
-        drawn = random.Random(program).random()
-        if drawn < 0.4:
+        share = random.Random(program).random()
+        if share < 0.4:
             return self.steady
-        if drawn < 0.55:
+        if share < 0.55:
             return self.limited
-        if drawn < 0.6:
-            return NEVER_KNOWN
+        if share < 0.6:
+            return UNKNOWN_KEY
         # The key that is revoked next, so that keys are revoked while programs use them.
-        left = self._left() or self.losing
-        return left[0]
+        valid_keys = self._valid_keys() or self.revocable
+        return valid_keys[0]
 
-    def name_of(self, key: str) -> str | None:
+    def account_of(self, key: str) -> str | None:
         """Returns the account that a key belongs to or belonged to."""
-        if key in self.losing:
+        if key in self.revocable:
             return "losing"
         return {self.steady: "steady", self.limited: "limited"}.get(key)
 
@@ -110,14 +112,14 @@
     def _check_run(self, sent: Sent | None, run: Run) -> Iterator[str]:
         if sent is None:
             return
-        named = [value for name, value in run.headers if name.lower() == "bayhinge-tenant"]
-        if named != [self.name_of(sent.key)]:
-            yield f"{run.attempt}: ran for {named}, its key belongs to {self.name_of(sent.key)}"
+        accounts = [value for name, value in run.headers if name.lower() == "bayhinge-tenant"]
+        if accounts != [self.account_of(sent.key)]:
+            yield f"{run.attempt}: ran for {accounts}, its key is of {self.account_of(sent.key)}"
         if any(name.lower() == "authorization" for name, _ in run.headers):
             yield f"{run.attempt}: its key was sent to an endpoint"
-        taken_s = self.taken_s_by_key.get(sent.key)
-        if taken_s is not None and sent.sent_s - taken_s > TAKEN_AWAY_S:
-            late_s = sent.sent_s - taken_s
+        revoked_s = self.revoked_s_by_key.get(sent.key)
+        if revoked_s is not None and sent.sent_s - revoked_s > REVOCATION_BOUND_S:
+            late_s = sent.sent_s - revoked_s
             yield f"{run.attempt}: sent {late_s:.2f} s after its key was revoked, and it ran"
 
     def _check_refusals(self, sent: Iterable[Sent]) -> Iterator[str]:
@@ -134,12 +136,12 @@
         times = sorted(began_s_by_attempt.values())
         for number, from_s in enumerate(times):
             count = sum(from_s <= one < from_s + WINDOW_S for one in times[number:])
-            if count > self._allowed(from_s):
-                most = self._allowed(from_s)
-                yield f"{count} limited requests ran in {WINDOW_S} s, {most:.0f} may"
+            if count > self._max_requests(from_s):
+                allowed = self._max_requests(from_s)
+                yield f"{count} limited requests ran in {WINDOW_S} s, {allowed:.0f} may"
                 return
 
-    def _allowed(self, from_s: float) -> float:
+    def _max_requests(self, from_s: float) -> float:
         """Returns the most requests that may be admitted in a window that begins at ``from_s``."""
         until_s = from_s + WINDOW_S
         last = max((at for at, _ in self.limits if at <= from_s - SETTLE_S), default=0.0)
@@ -147,7 +149,7 @@
         return max((rate * WINDOW_S + burst) * (1 + OVERAGE) + SLACK for rate, burst in open_limits)
 
     def _check_logs(self, logs: Iterable[Path]) -> Iterator[str]:
-        keys = [self.steady, self.limited, NEVER_KNOWN, *self.losing]
+        keys = [self.steady, self.limited, UNKNOWN_KEY, *self.revocable]
         secrets = [text.encode() for key in keys for text in (key, hash_key(key))]
         for path in logs:
             written = path.read_bytes()
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -13,12 +13,12 @@
 from tests.soak.ledger import Draft, Ledger, Sent
 from tests.soak.stream_check import said_in, split_events
 
-CALL_S = 3.0
+CALL_TIMEOUT_S = 3.0
 
-MOST_TOKENS = 9
+MAX_TOKENS = 9
 """Tokens of one stream of the stand-in engine, so that an uncounted turn exceeds the budget."""
 
-TRIES = 6
+ATTEMPTS = 6
 
 
 @attrs.define
@@ -31,13 +31,13 @@
 
     entries: list[Daemon]
     ledger: Ledger
-    source: random.Random
+    rng: random.Random
     accounts: Accounts | None = None
     is_stopping: bool = False
     served_turns: int = 0
     _staying: set[str] = attrs.field(factory=set)
     _key_by_program: dict[str, str] = attrs.field(factory=dict)
-    _numbers: "itertools.count[int]" = attrs.field(factory=itertools.count)
+    _sequence: "itertools.count[int]" = attrs.field(factory=itertools.count)
 
     async def play(self, name: str, stays: bool) -> None:
         """Runs one program after the other over connections of its own."""
@@ -50,12 +50,12 @@
                 await self._program(session, f"{name}-{number}")
 
     async def _program(self, session: aiohttp.ClientSession, program: str) -> None:
-        budget = self.source.choice([30, 60, 200, 100_000])
+        budget = self.rng.choice([30, 60, 200, 100_000])
         if self.accounts is not None:
             self._key_by_program[program] = self.accounts.key_of(program)
-        self.ledger.budget_by_program[program] = (budget, MOST_TOKENS)
+        self.ledger.budget_by_program[program] = (budget, MAX_TOKENS)
         history, previous = b"", ""
-        for turn in range(self.source.randint(2, 7)):
+        for turn in range(self.rng.randint(2, 7)):
             text = f"{program} turn {turn}\n".encode()
             sent = await self._turn(session, program, text, history, previous, budget)
             if sent is None or self.is_stopping:
@@ -63,15 +63,12 @@
             said = said_in(split_events(sent.answer)[0])
             history, previous = history + text + said, sent.attempt
             self.served_turns += 1
-            if self.source.random() < 0.5:
+            if self.rng.random() < 0.5:
                 await asyncio.gather(
-                    *(
-                        self._draft(session, program, budget)
-                        for _ in range(self.source.randint(1, 4))
-                    )
+                    *(self._draft(session, program, budget) for _ in range(self.rng.randint(1, 4)))
                 )
             await asyncio.gather(
-                *(self._tool(session, program) for _ in range(self.source.randint(0, 2)))
+                *(self._tool(session, program) for _ in range(self.rng.randint(0, 2)))
             )
 
     async def _turn(
@@ -87,11 +84,11 @@
             "Bayhinge-Program-Id": program,
             "Bayhinge-Session-Id": program,
             "Bayhinge-Token-Budget": str(budget),
-            "Bayhinge-Token-Usage": f"100,{MOST_TOKENS}",
+            "Bayhinge-Token-Usage": f"100,{MAX_TOKENS}",
         }
         if previous:
             headers["Bayhinge-Previous-Turn"] = previous
-        for _ in range(TRIES):
+        for _ in range(ATTEMPTS):
             sent = self._new("turn", text, program)
             sent.expected_body = history + text
             sent.previous = previous
@@ -100,7 +97,7 @@
                 return sent
             if sent.status in {401, 402} or self.is_stopping:
                 return None
-            await asyncio.sleep(self.source.uniform(0.1, 0.4))
+            await asyncio.sleep(self.rng.uniform(0.1, 0.4))
         return None
 
     async def _draft(self, session: aiohttp.ClientSession, program: str, budget: int) -> None:
@@ -109,34 +106,36 @@
             "Bayhinge-Program-Id": program,
             "Bayhinge-Session-Id": program,
             "Bayhinge-Token-Budget": str(budget),
-            "Bayhinge-Token-Usage": f"100,{MOST_TOKENS}",
+            "Bayhinge-Token-Usage": f"100,{MAX_TOKENS}",
         }
         draft = Draft(program)
         self.ledger.drafts.append(draft)
-        for _ in range(TRIES):
+        for _ in range(ATTEMPTS):
             sent = self._new("draft", f"draft of {program}".encode(), program)
             sent.after = draft.last_event_id
             await self._send(session, sent, "/draft/x", headers)
-            draft.take(sent)
+            draft.add(sent)
             if draft.is_whole or sent.status in {401, 402} or self.is_stopping:
                 return
             if draft.event_ids:
                 headers["Last-Event-Id"] = str(draft.last_event_id)
-            await asyncio.sleep(self.source.uniform(0.1, 0.4))
+            await asyncio.sleep(self.rng.uniform(0.1, 0.4))
 
     async def _tool(self, session: aiohttp.ClientSession, program: str) -> None:
-        kind = self.source.choice(["act", "look"])
+        kind = self.rng.choice(["act", "look"])
         sent = self._new(kind, f"{kind} of {program}".encode(), program)
         await self._send(session, sent, f"/{kind}/x", {"Bayhinge-Program-Id": program})
 
     def _new(self, kind: str, body: bytes, program: str) -> Sent:
         # Like the platform's callers, avoids hosts that are known to be down.
         stays = program.rpartition("-")[0] in self._staying
-        well = [
-            entry for entry in self.entries if not entry.is_hurt and (stays or not entry.is_leaving)
+        healthy = [
+            entry
+            for entry in self.entries
+            if not entry.is_disrupted and (stays or not entry.is_leaving)
         ] or self.entries
-        entry = self.source.choice(well)
-        sent = Sent(f"s{next(self._numbers):07d}", kind, entry.name, body, program=program)
+        entry = self.rng.choice(healthy)
+        sent = Sent(f"s{next(self._sequence):07d}", kind, entry.name, body, program=program)
         self.ledger.sent_by_attempt[sent.attempt] = sent
         return sent
 
@@ -144,33 +143,33 @@
         self, session: aiohttp.ClientSession, sent: Sent, path: str, headers: dict[str, str]
     ) -> None:
         entry = next(entry for entry in self.entries if entry.name == sent.at)
-        starts = entry.starts
-        sent.was_excused = entry.is_hurt
+        start_count = entry.start_count
+        sent.may_lack_answer = entry.is_disrupted
         sent.was_leaving = entry.is_leaving
         sent.key = self._key_by_program.get(sent.program, "")
         sent.sent_s = time.monotonic()
-        every = {
+        common_headers = {
             "Host": "desk.example",
             "Bayhinge-Attempt-Id": sent.attempt,
-            "Bayhinge-Deadline-Ms": str(int(CALL_S * 1000)),
+            "Bayhinge-Deadline-Ms": str(int(CALL_TIMEOUT_S * 1000)),
         }
         if sent.key:
-            every["Authorization"] = f"Bearer {sent.key}"
+            common_headers["Authorization"] = f"Bearer {sent.key}"
         url = f"http://{entry.ip}:8149{path}"
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         try:
             async with (
-                asyncio.timeout(CALL_S + 1.0),
-                session.post(url, data=sent.body, headers=every | headers) as response,
+                asyncio.timeout(CALL_TIMEOUT_S + 1.0),
+                session.post(url, data=sent.body, headers=common_headers | headers) as response,
             ):
                 sent.status = response.status
-                async for piece in response.content.iter_any():
-                    pieces.append(piece)
+                async for chunk in response.content.iter_any():
+                    chunks.append(chunk)
                 sent.is_whole = True
         except (aiohttp.ClientError, TimeoutError, ConnectionError):
             pass
-        sent.answer = b"".join(pieces)
+        sent.answer = b"".join(chunks)
         sent.is_ended = True
         sent.was_leaving = sent.was_leaving or entry.is_leaving
-        is_gone = entry.is_hurt or entry.starts != starts
-        sent.was_excused = sent.was_excused or (is_gone and not sent.was_leaving)
+        has_failed = entry.is_disrupted or entry.start_count != start_count
+        sent.may_lack_answer = sent.may_lack_answer or (has_failed and not sent.was_leaving)
--- a/tests/soak/daemons.py
+++ b/tests/soak/daemons.py
@@ -13,7 +13,7 @@
 
 from tests.lib.platform_data import settings_text
 
-START_S = 10.0
+START_TIMEOUT_S = 10.0
 CALLERS_PORT = 8149
 
 
@@ -22,7 +22,7 @@
     """One host: its settings, its process and whether a fault affects it.
 
     Attributes:
-        is_hurt: a fault affects this host; after a kill, until the host has recovered.
+        is_disrupted: a fault affects this host; after a kill, until the host has recovered.
         is_leaving: a planned stop is visible to all callers and the process has not exited yet.
     """
 
@@ -32,9 +32,9 @@
     ip: str
     settings: str
     process: asyncio.subprocess.Process | None = None
-    is_hurt: bool = False
+    is_disrupted: bool = False
     is_leaving: bool = False
-    starts: int = 0
+    start_count: int = 0
 
     @property
     def pid(self) -> int:
@@ -62,15 +62,15 @@
             env=os.environ | {"BAYHINGE_NODE_FILE": str(path)},
         )
         log.close()
-        self.starts += 1
+        self.start_count += 1
 
-    async def until_listening(self) -> None:
+    async def wait_until_listening(self) -> None:
         """Waits until an entry host accepts connections of callers.
 
         Raises:
-            TimeoutError: it does not within ``START_S``.
+            TimeoutError: it does not within ``START_TIMEOUT_S``.
         """
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 try:
                     _, writer = await asyncio.open_connection(self.ip, CALLERS_PORT)
--- a/tests/soak/endpoint_faults.py
+++ b/tests/soak/endpoint_faults.py
@@ -10,7 +10,7 @@
 from tests.lib.platform_store import PlatformStoreServer
 from tests.soak.endpoints import Endpoint, NeverToUse
 from tests.soak.odd_entries import odd_entry
-from tests.soak.proxy import Proxy, Trouble
+from tests.soak.proxy import Proxy, ProxyFault
 
 EVENT_CUTS = (1, 4, 5, 6, 12, -9, -4, -2, -1)
 """Offsets at which an event is cut: in its first line, between lines, before its terminator."""
@@ -23,12 +23,12 @@
 class EndpointFaults:
     """Injects faults of endpoints; each method is one kind."""
 
-    source: random.Random
+    rng: random.Random
     store: PlatformStoreServer
     endpoints: list[Endpoint]
-    never: NeverToUse
-    said: Callable[[str], None]
-    _numbers: "itertools.count[int]" = attrs.field(factory=lambda: itertools.count(1))
+    decoy: NeverToUse
+    report: Callable[[str], None]
+    _sequence: "itertools.count[int]" = attrs.field(factory=lambda: itertools.count(1))
     _lock_by_endpoint: dict[Endpoint, asyncio.Lock] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
@@ -47,22 +47,22 @@
 
     async def trouble_engine(self) -> None:
         """Disturbs the connections to one endpoint, or the endpoint itself."""
-        endpoint = self.source.choice(self.endpoints)
+        endpoint = self.rng.choice(self.endpoints)
         engine, proxy = endpoint.engine, endpoint.proxy
-        kind = self.source.choice(["reset", "delay", "full", "lost", "leaves"])
-        self.said(f"{engine.instance} {kind}")
+        kind = self.rng.choice(["reset", "delay", "full", "lost", "leaves"])
+        self.report(f"{engine.instance} {kind}")
         if kind in {"reset", "delay"}:
-            proxy.set_trouble(Trouble(kind))
-            await asyncio.sleep(self.source.uniform(0.3, 2.0))
-            proxy.set_trouble(Trouble.NONE)
+            proxy.set_fault(ProxyFault(kind))
+            await asyncio.sleep(self.rng.uniform(0.3, 2.0))
+            proxy.set_fault(ProxyFault.NONE)
         elif kind == "full":
-            engine.troubles.full = self.source.randint(1, 10)
+            engine.troubles.full = self.rng.randint(1, 10)
         elif kind == "lost":
-            engine.troubles.loses_answers = self.source.randint(1, 4)
+            engine.troubles.loses_answers = self.rng.randint(1, 4)
         else:
             async with self._lock_by_endpoint[endpoint]:
                 self.store.remove("servers", engine.instance)
-                await asyncio.sleep(self.source.uniform(0.5, 3.0))
+                await asyncio.sleep(self.rng.uniform(0.5, 3.0))
                 self.store.put("servers", engine.instance, endpoint.entry())
 
     async def break_streams(self) -> None:
@@ -71,18 +71,18 @@
         Some endpoints repeat an event when they resume a stream.
         """
         streaming = [one for one in self.endpoints if one.engine.service == STREAMING]
-        one = self.source.choice(streaming)
-        chosen = self.source.choice([streaming, [one], [one]])
-        self.said(f"streams break off at {len(chosen)} endpoint(s)")
+        one = self.rng.choice(streaming)
+        chosen = self.rng.choice([streaming, [one], [one]])
+        self.report(f"streams break off at {len(chosen)} endpoint(s)")
         for endpoint in chosen:
             troubles = endpoint.engine.troubles
-            troubles.breaks_after = self.source.randint(0, 2)
-            troubles.cuts_events = self.source.random() < 0.8
-            troubles.cut_at = self.source.choice(EVENT_CUTS)
-            troubles.ends_well = self.source.random() < 0.3
+            troubles.breaks_after = self.rng.randint(0, 2)
+            troubles.cuts_events = self.rng.random() < 0.8
+            troubles.cut_at = self.rng.choice(EVENT_CUTS)
+            troubles.ends_well = self.rng.random() < 0.3
         for endpoint in streaming:
-            endpoint.engine.troubles.resumes_off_by = self.source.choice((0, 0, -1))
-        await asyncio.sleep(self.source.uniform(0.2, 1.0))
+            endpoint.engine.troubles.resumes_off_by = self.rng.choice((0, 0, -1))
+        await asyncio.sleep(self.rng.uniform(0.2, 1.0))
         for endpoint in chosen:
             endpoint.engine.troubles.breaks_after = None
         for endpoint in streaming:
@@ -90,69 +90,69 @@
 
     async def start_again(self) -> None:
         """Crashes an endpoint in the middle of its streams and restarts it, once or twice."""
-        endpoint = self.source.choice(self.endpoints)
+        endpoint = self.rng.choice(self.endpoints)
         async with self._lock_by_endpoint[endpoint]:
-            for _ in range(self.source.choice((1, 1, 2))):
-                kind = self.source.choice(["here", "elsewhere", "behind a cut"])
-                self.said(f"{endpoint.engine.instance} starts again {kind}")
+            for _ in range(self.rng.choice((1, 1, 2))):
+                kind = self.rng.choice(["here", "elsewhere", "behind a cut"])
+                self.report(f"{endpoint.engine.instance} starts again {kind}")
                 if kind == "behind a cut":
-                    await self._start_again_behind_a_cut(endpoint)
+                    await self._restart_while_partitioned(endpoint)
                 else:
-                    await self._start_again(endpoint, moves=kind == "elsewhere")
+                    await self._restart(endpoint, moves=kind == "elsewhere")
 
-    async def _start_again(self, endpoint: Endpoint, moves: bool) -> None:
+    async def _restart(self, endpoint: Endpoint, moves: bool) -> None:
         await endpoint.engine.crash()
-        await asyncio.sleep(self.source.choice((0.0, 0.1, 1.0)))
+        await asyncio.sleep(self.rng.choice((0.0, 0.1, 1.0)))
         former = endpoint.proxy
         if moves:
             endpoint.proxy = Proxy("127.0.0.1", 0)
             await endpoint.proxy.start()
         await endpoint.start_again()
         # Its entry is written at once, or after hosts have detected the restart themselves.
-        await asyncio.sleep(self.source.choice((0.0, 0.0, 0.5)))
+        await asyncio.sleep(self.rng.choice((0.0, 0.0, 0.5)))
         self.store.put("servers", endpoint.engine.instance, endpoint.entry())
         if moves:
             await former.stop()
 
-    async def _start_again_behind_a_cut(self, endpoint: Endpoint) -> None:
+    async def _restart_while_partitioned(self, endpoint: Endpoint) -> None:
         """Restarts while partitioned: open connections stay open and pass no more data."""
-        endpoint.proxy.set_trouble(Trouble.SILENT)
+        endpoint.proxy.set_fault(ProxyFault.SILENT)
         endpoint.proxy.silence_open_connections()
         await endpoint.engine.crash()
         await endpoint.start_again()
-        if self.source.random() < 0.5:
+        if self.rng.random() < 0.5:
             self.store.put("servers", endpoint.engine.instance, endpoint.entry())
-        await asyncio.sleep(self.source.uniform(0.2, 2.0))
-        endpoint.proxy.set_trouble(Trouble.NONE)
+        await asyncio.sleep(self.rng.uniform(0.2, 2.0))
+        endpoint.proxy.set_fault(ProxyFault.NONE)
         self.store.put("servers", endpoint.engine.instance, endpoint.entry())
 
     async def exchange_addresses(self) -> None:
         """Restarts two endpoints, of one service or of two, each at the other's address."""
-        one, other = self.source.sample(self.endpoints, 2)
+        one, other = self.rng.sample(self.endpoints, 2)
         first, second = sorted((one, other), key=self.endpoints.index)
         async with self._lock_by_endpoint[first], self._lock_by_endpoint[second]:
-            self.said(f"{one.engine.instance} and {other.engine.instance} exchange addresses")
+            self.report(f"{one.engine.instance} and {other.engine.instance} exchange addresses")
             await asyncio.gather(one.engine.crash(), other.engine.crash())
             one.proxy, other.proxy = other.proxy, one.proxy
             await asyncio.gather(one.start_again(), other.start_again())
             for endpoint in (one, other):
-                await asyncio.sleep(self.source.choice((0.0, 0.3)))
+                await asyncio.sleep(self.rng.choice((0.0, 0.3)))
                 self.store.put("servers", endpoint.engine.instance, endpoint.entry())
 
     async def write_odd_entry(self) -> None:
         """Writes an invalid entry, under a new name or in place of a valid one for a while."""
-        endpoint = self.source.choice(self.endpoints)
-        good = endpoint.engine.entry() | {"address": f"127.0.0.1:{self.never.port}"}
-        spec = odd_entry(good, self.source)
-        if self.source.random() < 0.5:
-            name = f"i-odd-{next(self._numbers)}"
-            self.said(f"odd entry {name}: {spec!r}")
+        endpoint = self.rng.choice(self.endpoints)
+        good = endpoint.engine.entry() | {"address": f"127.0.0.1:{self.decoy.port}"}
+        spec = odd_entry(good, self.rng)
+        if self.rng.random() < 0.5:
+            name = f"i-odd-{next(self._sequence)}"
+            self.report(f"odd entry {name}: {spec!r}")
             self.store.put("servers", name, spec)
-            await asyncio.sleep(self.source.uniform(0.2, 3.0))
+            await asyncio.sleep(self.rng.uniform(0.2, 3.0))
             self.store.remove("servers", name)
             return
         async with self._lock_by_endpoint[endpoint]:
-            self.said(f"odd entry over {endpoint.engine.instance}: {spec!r}")
+            self.report(f"odd entry over {endpoint.engine.instance}: {spec!r}")
             self.store.put("servers", endpoint.engine.instance, spec)
-            await asyncio.sleep(self.source.uniform(0.2, 2.0))
+            await asyncio.sleep(self.rng.uniform(0.2, 2.0))
             self.store.put("servers", endpoint.engine.instance, endpoint.entry())
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -15,13 +15,13 @@
 
     def __init__(self, instance: str, service: str) -> None:
         super().__init__(instance, service)
-        self.starts = 0
+        self.incarnation = 0
         self._seq = 0
         self._transports: set[asyncio.BaseTransport] = set()
 
     async def on_start(self) -> None:
         """Starts listening as a new incarnation."""
-        self.starts += 1
+        self.incarnation += 1
         self._seq = 0
         # Two incarnations must differ, also if they start within one millisecond.
         self.born_ms = max((self.born_ms or 0) + 1, time.time_ns() // 1_000_000)
@@ -34,7 +34,7 @@
 
     def event(self, stream: int, number: int) -> bytes:
         """Returns an event that is unique over all runs and incarnations."""
-        mark = f"{self.instance}-{self.starts}-{stream}"
+        mark = f"{self.instance}-{self.incarnation}-{stream}"
         return f"id: {number}\ndata: {mark} piece {number}\n\n".encode()
 
     async def crash(self) -> None:
@@ -62,10 +62,10 @@
 
     def __init__(self) -> None:
         super().__init__("i-never", "none")
-        self.asked: list[str] = []
+        self.requests: list[str] = []
 
     async def _serve(self, request: web.Request) -> web.StreamResponse:
-        self.asked.append(f"{request.raw_path} for {request.headers.get('Bayhinge-Attempt-Id')}")
+        self.requests.append(f"{request.raw_path} for {request.headers.get('Bayhinge-Attempt-Id')}")
         return web.Response(status=500)
 
 
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -19,8 +19,8 @@
 
     Attributes:
         status: 0 where the connection ended without an answer.
-        told_unrun: the answer states that the request did not run.
-        was_excused: its host had a fault meanwhile, so it may end without an answer.
+        reported_unrun: the answer states that the request did not run.
+        may_lack_answer: its host had a fault meanwhile, so it may end without an answer.
         was_leaving: its host was stopping as planned; a request that it had read must be answered.
         previous: the attempt of the turn that this one continues.
         after: number of the last event that the caller has received of the stream.
@@ -38,7 +38,7 @@
     answer: bytes = b""
     is_whole: bool = False
     is_ended: bool = False
-    was_excused: bool = False
+    may_lack_answer: bool = False
     was_leaving: bool = False
     previous: str = ""
     after: int = 0
@@ -46,7 +46,7 @@
     sent_s: float = 0.0
 
     @property
-    def told_unrun(self) -> bool:
+    def reported_unrun(self) -> bool:
         return self.status in {401, 402, 408, 421, 429, 503}
 
 
@@ -68,7 +68,7 @@
 
     is_whole: bool = False
 
-    def take(self, sent: Sent) -> None:
+    def add(self, sent: Sent) -> None:
         """Adds the events of one attempt."""
         if sent.status != 200:
             return
@@ -115,7 +115,7 @@
         problems: list[str] = []
         if ran > 1 and sent.kind not in MAY_REPEAT:
             problems.append(f"{name}: ran {ran} times")
-        if sent.told_unrun and ran and sent.kind not in MAY_REPEAT:
+        if sent.reported_unrun and ran and sent.kind not in MAY_REPEAT:
             problems.append(f"{name}: told that it did not run, and it ran")
         if sent.status == 404:
             problems.append(f"{name}: answered 404 for a route that exists")
@@ -124,7 +124,7 @@
         whole = sent.kind not in STREAMS and sent.status == 200 and sent.is_whole
         if whole and sent.answer != b"answer to " + sent.body:
             problems.append(f"{name}: received a wrong answer")
-        if sent.is_ended and sent.status == 0 and not sent.was_excused:
+        if sent.is_ended and sent.status == 0 and not sent.may_lack_answer:
             # A stopping host may close connections whose request it has not read.
             if not sent.was_leaving:
                 problems.append(f"{name}: no answer from a host that was well")
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -20,13 +20,13 @@
 from tests.soak.plans import PLAN_BY_KIND
 
 _FIRST_PROBLEM = re.compile(r"PROBLEMS\n *(?P<problem>.+)$", re.MULTILINE)
-SHOWN = 240
+MAX_PROBLEM_CHARS = 240
 """Characters of a violation that a row shows."""
 
-SEED_LIMIT_S = 120.0
+SOAK_TIMEOUT_S = 120.0
 """Above the 50 to 60 s that a soak with 40 s of faults takes; a mutant may hang its hosts."""
 
-BOOK = "decisions/endpoint_book.py"
+TABLE = "decisions/endpoint_book.py"
 QUORUM = "decisions/disk_quorum.py"
 
 EDITS_BY_GUARD: dict[str, tuple[Edit, ...]] = {
@@ -88,8 +88,8 @@
         ),
     ),
     "ejection": (
-        Edit(BOOK, "FIRST_EJECTION_S = 1.0", "FIRST_EJECTION_S = 0.0"),
-        Edit(BOOK, "MAX_EJECTION_S = 8.0", "MAX_EJECTION_S = 0.0"),
+        Edit(TABLE, "FIRST_EJECTION_S = 1.0", "FIRST_EJECTION_S = 0.0"),
+        Edit(TABLE, "MAX_EJECTION_S = 8.0", "MAX_EJECTION_S = 0.0"),
     ),
     "doubt": (Edit("decisions/answer_bounds.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),),
     "lapsed entries": (
@@ -156,7 +156,7 @@
     ),
 }
 
-_LEFT = "tests/unit/test_left_behind_"
+_ABANDONED = "tests/unit/test_left_behind_"
 _FUNCTIONAL = "tests/functional/test_"
 _PLATFORM = tuple(
     f"{_FUNCTIONAL}platform_{what}.py" for what in ("requests", "turns", "objects", "stops")
@@ -172,7 +172,7 @@
     ),
     "a kept stream that ends within an event is broken": (
         "tests/unit/test_stream_delivery.py",
-        f"{_LEFT}streams.py",
+        f"{_ABANDONED}streams.py",
         f"{_FUNCTIONAL}cut_streams.py",
     ),
     "reservations meet on a disk": ("tests/unit/test_disk_rules.py", *_FENCE, *_PLATFORM),
@@ -193,13 +193,13 @@
         f"{_FUNCTIONAL}scenarios.py",
     ),
     "silence limits of streams": (
-        f"{_LEFT}streams.py",
+        f"{_ABANDONED}streams.py",
         f"{_FUNCTIONAL}silent_endpoints.py",
         f"{_FUNCTIONAL}resuming.py",
     ),
     "the reservation's second look": (
         "tests/unit/test_set_fence.py",
-        f"{_LEFT}disks.py",
+        f"{_ABANDONED}disks.py",
         *_PLATFORM,
     ),
     "ejection": (
@@ -210,7 +210,7 @@
     "doubt": ("tests/unit/test_answer_bounds.py", f"{_FUNCTIONAL}silent_endpoints.py"),
     "lapsed entries": (
         *_PLATFORM,
-        f"{_LEFT}elsewhere.py",
+        f"{_ABANDONED}elsewhere.py",
         f"{_FUNCTIONAL}store_outages.py",
         f"{_FUNCTIONAL}darkened.py",
         f"{_FUNCTIONAL}platform_store.py",
@@ -228,7 +228,7 @@
 """Tests that should fail without a guard; running them is cheaper than a soak."""
 
 
-class SoakNotPlayedError(Exception):
+class SoakNotRunError(Exception):
     """A soak ended without a result."""
 
 
@@ -243,14 +243,14 @@
     def __str__(self) -> str:
         """Returns a row of a Markdown table."""
         found = str(self.seeds) if self.problem else f"not found in {self.seeds}"
-        return f"| {self.guard} | {found} | {self.problem[:SHOWN]} |"
+        return f"| {self.guard} | {found} | {self.problem[:MAX_PROBLEM_CHARS]} |"
 
 
 def seeds_needed(guard: str, options: argparse.Namespace) -> Row:
     """Runs soaks on a copy without a guard until a seed finds a violation."""
     folder = _copy_without(guard, options)
     for seed in range(options.first, options.first + options.most):
-        problem = _play(folder, seed, options)
+        problem = _run_soak(folder, seed, options)
         if problem:
             return Row(guard, seed - options.first + 1, problem)
     return Row(guard, options.most, "")
@@ -268,7 +268,7 @@
 def failing_tests(guard: str, options: argparse.Namespace) -> Row:
     """Runs the tests that should fail without a guard; returns those that did."""
     folder = _copy_without(guard, options)
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", "--maxfail=2", *TESTS_BY_GUARD[guard]],
         cwd=ROOT,
         env=os.environ | {"PYTHONPATH": str(folder / "src")},
@@ -276,32 +276,32 @@
         text=True,
         check=False,
     )
-    failed = re.findall(r"^FAILED \S+::(\S+)", ended.stdout, re.MULTILINE)
+    failed = re.findall(r"^FAILED \S+::(\S+)", completed.stdout, re.MULTILINE)
     return Row(guard, len(TESTS_BY_GUARD[guard]), ", ".join(failed))
 
 
-def _play(folder: Path, seed: int, options: argparse.Namespace) -> str:
+def _run_soak(folder: Path, seed: int, options: argparse.Namespace) -> str:
     command = [sys.executable, "-m", "tests.soak.run", "--seeds", "1", "--first", str(seed)]
     command += ["--seconds", str(options.seconds), "--net", options.net, "--kind", options.kind]
     command += ["--also", *options.also] if options.also else []
     try:
-        ended = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=ROOT,
             env=os.environ | {"PYTHONPATH": str(folder / "src")},
             capture_output=True,
             text=True,
             check=False,
-            timeout=SEED_LIMIT_S,
+            timeout=SOAK_TIMEOUT_S,
         )
     except subprocess.TimeoutExpired:
         return f"seed {seed} timed out"
-    if ended.returncode == 0:
+    if completed.returncode == 0:
         return ""
-    found = _FIRST_PROBLEM.search(ended.stdout)
+    found = _FIRST_PROBLEM.search(completed.stdout)
     if found is None:
         # For example, an address was in use: this says nothing about the guard.
-        raise SoakNotPlayedError(f"seed {seed}: {ended.stderr.strip()[-SHOWN:]}")
+        raise SoakNotRunError(f"seed {seed}: {completed.stderr.strip()[-MAX_PROBLEM_CHARS:]}")
     return found["problem"]
 
 
--- a/tests/soak/odd_entries.py
+++ b/tests/soak/odd_entries.py
@@ -12,25 +12,25 @@
 OTHER_TYPES: tuple[Any, ...] = (None, True, 7.5, -1, [], {"a": 1}, ["ready"])
 
 
-def _missing(spec: Spec, draw: random.Random) -> Any:
-    field = draw.choice(FIELDS)
+def _missing(spec: Spec, rng: random.Random) -> Any:
+    field = rng.choice(FIELDS)
     return {name: value for name, value in spec.items() if name != field}
 
 
-def _of_another_type(spec: Spec, draw: random.Random) -> Any:
-    return spec | {draw.choice(FIELDS): draw.choice(OTHER_TYPES)}
+def _of_another_type(spec: Spec, rng: random.Random) -> Any:
+    return spec | {rng.choice(FIELDS): rng.choice(OTHER_TYPES)}
 
 
-def _of_an_unknown_state(spec: Spec, draw: random.Random) -> Any:
-    return spec | {"state": draw.choice(("resting", "READY", "", "drained"))}
+def _of_an_unknown_state(spec: Spec, rng: random.Random) -> Any:
+    return spec | {"state": rng.choice(("resting", "READY", "", "drained"))}
 
 
-def _of_an_unknown_service(spec: Spec, draw: random.Random) -> Any:
-    return spec | {"service": draw.choice(("nobody", "", "llm2"))}
+def _of_an_unknown_service(spec: Spec, rng: random.Random) -> Any:
+    return spec | {"service": rng.choice(("nobody", "", "llm2"))}
 
 
-def _no_entry(spec: Spec, draw: random.Random) -> Any:
-    return draw.choice(({}, [], None, 5, True, "ready", "\x00\ufffd{", [spec]))
+def _no_entry(spec: Spec, rng: random.Random) -> Any:
+    return rng.choice(({}, [], None, 5, True, "ready", "\x00\ufffd{", [spec]))
 
 
 FORMS: tuple[Callable[[Spec, random.Random], Any], ...] = (
@@ -42,6 +42,6 @@
 )
 
 
-def odd_entry(good: Spec, draw: random.Random) -> Any:
+def odd_entry(good: Spec, rng: random.Random) -> Any:
     """Returns a valid entry made invalid in one way."""
-    return draw.choice(FORMS)(good, draw)
+    return rng.choice(FORMS)(good, rng)
--- a/tests/soak/plans.py
+++ b/tests/soak/plans.py
@@ -30,7 +30,7 @@
 
     @abstractmethod
     def series(
-        self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
+        self, rng: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
         """Returns the faults; each of them is repeated."""
 
@@ -42,10 +42,10 @@
         return random.Random(f"size {seed}").choice(SIZES)
 
     def series(
-        self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
+        self, rng: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
-        kinds = source.sample(faults.series(), k=source.randint(1, 3))
-        return kinds + source.sample(of_endpoints.series(), k=source.randint(2, 4))
+        kinds = rng.sample(faults.series(), k=rng.randint(1, 3))
+        return kinds + rng.sample(of_endpoints.series(), k=rng.randint(2, 4))
 
 
 @attrs.frozen
@@ -55,16 +55,16 @@
     A draw from all kinds seldom combines these.
     """
 
-    hurts_entries: bool
+    disrupts_entries: bool
 
     def size(self, seed: int) -> tuple[int, int]:
         return MANY_WATCHERS
 
     def series(
-        self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
+        self, rng: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
         kinds: list[Fault] = [faults.change_behind_short_silence]
-        if self.hurts_entries:
+        if self.disrupts_entries:
             kinds.append(faults.hurt_entry)
         return [*kinds, *[of_endpoints.write_odd_entry] * 3, of_endpoints.start_again]
 
@@ -75,17 +75,17 @@
     has_accounts = True
 
     def series(
-        self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
+        self, rng: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
-        hurting: list[Fault] = [faults.trouble_store, faults.hurt_entry, faults.stop_entry]
-        own: list[Fault] = [faults.take_key_away, faults.change_limit]
-        others = [fault for fault in faults.series() if fault not in hurting]
-        return own + source.sample(hurting, k=2) + source.sample(others, k=1)
+        host_faults: list[Fault] = [faults.trouble_store, faults.hurt_entry, faults.stop_entry]
+        account_faults: list[Fault] = [faults.take_key_away, faults.change_limit]
+        others = [fault for fault in faults.series() if fault not in host_faults]
+        return account_faults + rng.sample(host_faults, k=2) + rng.sample(others, k=1)
 
 
 PLAN_BY_KIND: dict[str, Plan] = {
     "overlapping": Overlapping(),
     "accounts": KeysAndLimits(),
-    "short-silences": ShortSilences(hurts_entries=False),
-    "short-silences-hurt": ShortSilences(hurts_entries=True),
+    "short-silences": ShortSilences(disrupts_entries=False),
+    "short-silences-hurt": ShortSilences(disrupts_entries=True),
 }
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -10,7 +10,7 @@
 import attrs
 
 
-class Trouble(StrEnum):
+class ProxyFault(StrEnum):
     """The fault that a proxy applies to every connection."""
 
     NONE = "none"
@@ -22,7 +22,7 @@
 
 
 DELAY_S = 0.25
-_PIECE_BYTES = 65_536
+_CHUNK_BYTES = 65_536
 
 
 @attrs.define
@@ -31,11 +31,11 @@
 
     target_host: str
     target_port: int
-    trouble: Trouble = Trouble.NONE
+    fault: ProxyFault = ProxyFault.NONE
     port: int = 0
     _server: asyncio.Server | None = None
     _writers: set[asyncio.StreamWriter] = attrs.field(factory=set)
-    _silences: int = 0
+    _silence_count: int = 0
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -44,39 +44,39 @@
     async def stop(self) -> None:
         if self._server is not None:
             self._server.close()
-        self._cut_all()
+        self._abort_all()
 
-    def set_trouble(self, trouble: Trouble) -> None:
+    def set_fault(self, fault: ProxyFault) -> None:
         """Sets the fault; RESET and REFUSE also abort open connections."""
-        self.trouble = trouble
-        if trouble in {Trouble.RESET, Trouble.REFUSE}:
-            self._cut_all()
+        self.fault = fault
+        if fault in {ProxyFault.RESET, ProxyFault.REFUSE}:
+            self._abort_all()
 
     def silence_open_connections(self) -> None:
         """Stops forwarding on open connections for good; later connections work."""
-        self._silences += 1
+        self._silence_count += 1
 
-    def _cut_all(self) -> None:
+    def _abort_all(self) -> None:
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.trouble is Trouble.REFUSE:
+        if self.fault is ProxyFault.REFUSE:
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self.target_host, self.target_port
             )
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, far_writer}
+        both = {writer, target_writer}
         self._writers |= both
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, is_answer=False),
-                self._pump(far_reader, writer, is_answer=True),
+                self._pump(reader, target_writer, is_answer=False),
+                self._pump(target_reader, writer, is_answer=True),
             )
         except OSError:
             pass
@@ -88,19 +88,19 @@
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_answer: bool
     ) -> None:
-        silences = self._silences
-        while piece := await reader.read(_PIECE_BYTES):
-            if silences != self._silences:
+        silence_count = self._silence_count
+        while chunk := await reader.read(_CHUNK_BYTES):
+            if silence_count != self._silence_count:
                 continue
-            if self.trouble is Trouble.DELAY:
+            if self.fault is ProxyFault.DELAY:
                 await asyncio.sleep(DELAY_S)
-            while self.trouble is Trouble.SILENT:  # noqa: ASYNC110
+            while self.fault is ProxyFault.SILENT:  # noqa: ASYNC110
                 await asyncio.sleep(0.05)
-            if self.trouble is Trouble.NO_ANSWERS and is_answer:
+            if self.fault is ProxyFault.NO_ANSWERS and is_answer:
                 continue
-            if self.trouble is Trouble.RESET:
+            if self.fault is ProxyFault.RESET:
                 raise ConnectionResetError
-            writer.write(piece)
+            writer.write(chunk)
             await writer.drain()
-        if silences == self._silences and writer.can_write_eof():
+        if silence_count == self._silence_count and writer.can_write_eof():
             writer.write_eof()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -16,13 +16,13 @@
 from tests.lib.platform_store import PlatformStoreServer
 from tests.soak.accounts import BOUNDS, Accounts
 from tests.soak.callers import Callers
-from tests.soak.daemons import START_S, Daemon, disk_daemon, entry_daemon
+from tests.soak.daemons import START_TIMEOUT_S, Daemon, disk_daemon, entry_daemon
 from tests.soak.endpoint_faults import EndpointFaults
 from tests.soak.endpoints import Endpoint, NeverToUse, start_endpoint
 from tests.soak.faults import Faults
 from tests.soak.ledger import Ledger
 from tests.soak.plans import PLAN_BY_KIND, Fault
-from tests.soak.proxy import Proxy, Trouble
+from tests.soak.proxy import Proxy, ProxyFault
 
 HALLS = ("north", "south", "north")
 ENDPOINTS = (("i-llm-1", "llm"), ("i-llm-2", "llm"), ("i-app-1", "app"), ("i-app-2", "app"))
@@ -67,48 +67,50 @@
         self._plan = PLAN_BY_KIND[kind]
         self._seconds = seconds
         self._folder = folder
-        self._source = random.Random(seed)
+        self._rng = random.Random(seed)
         self._store = PlatformStoreServer()
         self._size = self._plan.size(seed)
         self._endpoints: list[Endpoint] = []
-        self._never = NeverToUse()
+        self._decoy = NeverToUse()
         self._net = net
-        self._also = also
-        self._accounts = Accounts(self._source) if self._plan.has_accounts else None
+        self._extra_faults = also
+        self._accounts = Accounts(self._rng) if self._plan.has_accounts else None
         self._store_proxies: list[Proxy] = []
         self._entries: list[Daemon] = []
         self._disks: list[Daemon] = []
-        self._story: list[str] = []
+        self._fault_log: list[str] = []
         self._checks = 0
-        self._began_s = time.monotonic()
-        self._say(f"started at {time.time():.2f} (timestamps in the hosts' logs)")
+        self._started_s = time.monotonic()
+        self._record(f"started at {time.time():.2f} (timestamps in the hosts' logs)")
 
     async def play(self) -> Result:
         ledger = Ledger()
-        callers = Callers(self._entries, ledger, self._source, self._accounts)
+        callers = Callers(self._entries, ledger, self._rng, self._accounts)
         try:
             await self._start()
-            playing = [
+            tasks = [
                 asyncio.create_task(callers.play(f"p{number}", stays=number % 2 == 1))
                 for number in range(CALLERS)
             ]
-            ledger.problems += await self._hurt()
-            ledger.problems += await self._recovers(callers)
+            ledger.problems += await self._inject_faults()
+            ledger.problems += await self._check_recovery(callers)
             callers.is_stopping = True
-            await asyncio.gather(*playing)
+            await asyncio.gather(*tasks)
             problems = ledger.check([endpoint.engine for endpoint in self._endpoints])
             if self._accounts is not None:
                 runs = [run for endpoint in self._endpoints for run in endpoint.engine.runs]
                 logs = sorted(self._folder.glob("*.log"))
                 problems += self._accounts.check(ledger.sent_by_attempt, runs, logs)
-            problems += [f"request sent to an invalid entry: {what}" for what in self._never.asked]
-            problems += self._failed_alone()
+            problems += [
+                f"request sent to an invalid entry: {what}" for what in self._decoy.requests
+            ]
+            problems += self._unexpected_exits()
         finally:
             await self._end()
         return Result(
             self._seed,
             problems,
-            self._story,
+            self._fault_log,
             len(ledger.sent_by_attempt),
             callers.served_turns,
             self._checks,
@@ -117,7 +119,7 @@
 
     async def _start(self) -> None:
         await self._store.start()
-        await self._never.start()
+        await self._decoy.start()
         for instance, service in ENDPOINTS:
             endpoint = await start_endpoint(instance, service)
             self._endpoints.append(endpoint)
@@ -146,7 +148,7 @@
             )
         for daemon in (*self._disks, *self._entries):
             await daemon.start(first_start=True)
-        async with asyncio.timeout(START_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while not await self._all_ready():  # noqa: ASYNC110 - polls real processes
                 await asyncio.sleep(0.1)
 
@@ -167,43 +169,43 @@
                     return False
         return True
 
-    async def _hurt(self) -> list[str]:
+    async def _inject_faults(self) -> list[str]:
         faults = Faults(
-            self._source,
+            self._rng,
             self._store,
             self._store_proxies,
             self._endpoints,
             self._entries,
             self._disks,
-            self._say,
+            self._record,
             accounts=self._accounts,
         )
         of_endpoints = EndpointFaults(
-            self._source, self._store, self._endpoints, self._never, self._say
+            self._rng, self._store, self._endpoints, self._decoy, self._record
         )
-        limit_s = time.monotonic() + self._seconds
-        series = self._plan.series(self._source, faults, of_endpoints)
+        deadline_s = time.monotonic() + self._seconds
+        series = self._plan.series(self._rng, faults, of_endpoints)
 
         # A soak against a mutant must include the faults that its guard protects against.
         others = [one for one in faults.series() + of_endpoints.series() if one not in series]
-        series += [one for one in others if one.__name__ in self._also]
+        series += [one for one in others if one.__name__ in self._extra_faults]
 
         async def repeat(fault: Fault) -> None:
-            while time.monotonic() < limit_s:
-                await asyncio.sleep(self._source.uniform(0.1, 1.5))
+            while time.monotonic() < deadline_s:
+                await asyncio.sleep(self._rng.uniform(0.1, 1.5))
                 await fault()
 
         await asyncio.gather(*(repeat(fault) for fault in series))
         self._checks = faults.checks
         return faults.problems
 
-    async def _recovers(self, callers: Callers) -> list[str]:
+    async def _check_recovery(self, callers: Callers) -> list[str]:
         """Checks that every host gets ready and turns are served after the last fault."""
         for proxy in self._proxies():
-            proxy.set_trouble(Trouble.NONE)
+            proxy.set_fault(ProxyFault.NONE)
         before = callers.served_turns
-        limit_s = time.monotonic() + RECOVERY_S
-        while time.monotonic() < limit_s:
+        deadline_s = time.monotonic() + RECOVERY_S
+        while time.monotonic() < deadline_s:
             if await self._all_ready() and callers.served_turns > before + CALLERS:
                 return []
             await asyncio.sleep(0.2)
@@ -212,7 +214,7 @@
     def _proxies(self) -> list[Proxy]:
         return [*self._store_proxies, *(endpoint.proxy for endpoint in self._endpoints)]
 
-    def _failed_alone(self) -> list[str]:
+    def _unexpected_exits(self) -> list[str]:
         """Returns the processes that exited without being stopped."""
         return [
             f"{daemon.name} exited unexpectedly with {daemon.process.returncode}"
@@ -220,8 +222,8 @@
             if daemon.process is not None and daemon.process.returncode is not None
         ]
 
-    def _say(self, what: str) -> None:
-        self._story.append(f"{time.monotonic() - self._began_s:7.2f} {what}")
+    def _record(self, what: str) -> None:
+        self._fault_log.append(f"{time.monotonic() - self._started_s:7.2f} {what}")
 
     async def _end(self) -> None:
         for daemon in (*self._entries, *self._disks):
@@ -231,7 +233,7 @@
             await proxy.stop()
         for endpoint in self._endpoints:
             await endpoint.engine.stop()
-        await self._never.stop()
+        await self._decoy.stop()
         await self._store.stop()
 
 
@@ -270,8 +272,8 @@
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         result = play_seed(seed, options.seconds, folder, options.net, options.kind, options.also)
         verdict = "ok" if not result.problems else f"{len(result.problems)} PROBLEMS"
-        told = f"{result.requests} requests, {result.served_turns} turns, {result.checks} checks"
-        print(f"seed {seed}: {told} of versions, {verdict}")
+        summary = f"{result.requests} requests, {result.served_turns} turns, {result.checks} checks"
+        print(f"seed {seed}: {summary} of versions, {verdict}")
         if result.problems:
             failed += 1
             print(*result.problems[:20], *result.story, f"logs: {result.folder}", sep="\n  ")
--- a/tests/soak/stream_check.py
+++ b/tests/soak/stream_check.py
@@ -39,32 +39,32 @@
         after: number of the last event that the caller had before.
     """
     events, rest = split_events(answer)
-    place_by_event = {
-        event: (number, place)
+    position_by_event = {
+        event: (number, position)
         for number, run in enumerate(runs)
-        for place, event in enumerate(run.made)
+        for position, event in enumerate(run.made)
     }
     problems: list[str] = []
     before: tuple[int, int] | None = None
     for number, event in enumerate(events, after + 1):
-        place = place_by_event.get(event)
-        if place is None:
+        position = position_by_event.get(event)
+        if position is None:
             problems.append(f"an event that no run of it made: {event!r}")
-        elif before is not None and not _follows(before, place):
+        elif before is not None and not _follows(before, position):
             problems.append(f"an event out of its order: {event!r}")
         elif event_id(event) != number:
             problems.append(f"another event than {number}, which is due: {event!r}")
-        before = place or before
+        before = position or before
     if rest and is_whole:
         problems.append(f"ended as whole within an event: {rest!r}")
-    elif rest and not _begins_an_event(rest, runs):
+    elif rest and not _is_event_prefix(rest, runs):
         problems.append(f"the beginning of an event that no run of it made: {rest!r}")
     return problems
 
 
-def _follows(before: tuple[int, int], place: tuple[int, int]) -> bool:
-    return place[0] > before[0] or place == (before[0], before[1] + 1)
+def _follows(before: tuple[int, int], position: tuple[int, int]) -> bool:
+    return position[0] > before[0] or position == (before[0], before[1] + 1)
 
 
-def _begins_an_event(rest: bytes, runs: Sequence[Run]) -> bool:
+def _is_event_prefix(rest: bytes, runs: Sequence[Run]) -> bool:
     return any(piece.startswith(rest) for run in runs for piece in (*run.made, run.cut))
