--- a/tests/lib/fence_model.py
+++ b/tests/lib/fence_model.py
@@ -94,7 +94,7 @@
 
     Attributes:
         written: generations of disks that have written the reservation and not answered yet.
-        held: answers in transit.
+        answers_in_transit: answers that disks have sent and the host has not received.
         replies: answers that the host has received.
         copies: generations of disks that store the turn's text.
     """
@@ -237,7 +237,7 @@
             self._change(disk, lambda found: with_member_added(found, disk.me))
 
     def drop_silent(self, disk: Disk) -> None:
-        """Removes unreachable disks from the set, whether or not their entries have been read."""
+        """Removes the disks that this one can't reach; it need not have read the latest entries."""
         if not disk.is_member:
             return
         members = [one for one in disk.disk_set.members if one.host != disk.me.host]
--- a/tests/lib/platform_store.py
+++ b/tests/lib/platform_store.py
@@ -18,9 +18,9 @@
         down: aborts the connection of every call.
         silent: neither answers nor executes any call.
         loses_answers: executes writes, then aborts their connections.
-        refuses_with: HTTP status of every answer; 0 for none.
+        refuses_with: HTTP status of every answer, unless 0.
         hangs_watches: watches return no events until they time out.
-        says: body of every answer; empty for none.
+        says: body of every answer, unless empty.
     """
 
     down: bool = False
--- a/tests/lib/proof_model.py
+++ b/tests/lib/proof_model.py
@@ -46,7 +46,10 @@
 
 
 class ProofModel(RuleBasedStateMachine):
-    """The model; each guard is a method, so that a mutant can override it."""
+    """The model; each guard is a method, so that a mutant can override it.
+
+    Hypothesis sorts the rules by name, so renaming one may change the draws of a seed.
+    """
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -60,8 +60,8 @@
             sent = await self._turn(session, program, text, history, previous, budget)
             if sent is None or self.is_stopping:
                 return
-            said = said_in(split_events(sent.answer)[0])
-            history, previous = history + text + said, sent.attempt
+            answer_text = said_in(split_events(sent.answer)[0])
+            history, previous = history + text + answer_text, sent.attempt
             self.served_turns += 1
             if self.rng.random() < 0.5:
                 await asyncio.gather(
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -148,8 +148,8 @@
         if not sent.previous or sent.expected_body is None:
             return []
         previous = self.sent_by_attempt[sent.previous]
-        said = said_in([event for run in previous_runs for event in run.made])
-        if sent.expected_body != (previous.expected_body or b"") + said + sent.body:
+        answer_text = said_in([event for run in previous_runs for event in run.made])
+        if sent.expected_body != (previous.expected_body or b"") + answer_text + sent.body:
             return [f"{sent.attempt}: its caller was told another text than {sent.previous} said"]
         return []
 
