--- a/tests/lib/fence_model.py
+++ b/tests/lib/fence_model.py
@@ -1,7 +1,7 @@
-"""Hosts, disks and the store's set of disks, on the rules' own code and the services' own fence.
+"""Model of entry hosts, disks and the store's disk set, with the source's own rules and fence.
 
-One program with a budget of one turn. Whoever stands on the other side of a cut hears nothing;
-nothing knows a clock.
+There is one program, whose budget allows one turn. Hosts on different sides of a partition exchange
+no messages; there is no clock.
 """
 
 import asyncio
@@ -42,29 +42,29 @@
 
 
 class Fence(SetFence):
-    """Keeps its file in memory; whether it has waited for long is said to it."""
+    """A fence whose file is in memory and whose timeout is triggered by ``wait``."""
 
-    def __init__(self, tolerated: int, kept_version: int = 0) -> None:
+    def __init__(self, tolerated: int, stored_version: int = 0) -> None:
         super().__init__(tolerated, Path())
-        self.kept_version = kept_version
-        self.has_waited = False
+        self.stored_version = stored_version
+        self.has_timed_out = False
 
     def apply(self, disk_set: DiskSet, own: DiskMember) -> None:
-        self.has_waited = False
+        self.has_timed_out = False
         super().apply(disk_set, own)
 
     def wait(self) -> None:
-        self.has_waited = True
+        self.has_timed_out = True
         self._update_caught_up()
 
     def _stored_version(self) -> int:
-        return self.kept_version
+        return self.stored_version
 
     def _store_version(self) -> None:
-        self.kept_version = self._known.version
+        self.stored_version = self._known.version
 
     def _is_overdue(self) -> bool:
-        return self.has_waited
+        return self.has_timed_out
 
 
 @attrs.define(eq=False)
@@ -90,18 +90,20 @@
 
 @attrs.define(eq=False)
 class Turn:
-    """A turn that asks for its tokens, then runs, then ends.
+    """A turn that reserves its tokens, runs and ends.
 
     Attributes:
-        written: disks that have written the reservation and have not answered yet.
-        held: answers that are under way.
+        written: generations of disks that have written the reservation and not answered yet.
+        answers_in_transit: answers that disks have sent and the host has not received.
+        replies: answers that the host has received.
+        copies: generations of disks that store the turn's text.
     """
 
     attempt: str
     entry: str
     version: int
     written: set[int] = attrs.field(factory=set)
-    held: list[tuple[str, Ledger]] = attrs.field(factory=list)
+    answers_in_transit: list[tuple[str, Ledger]] = attrs.field(factory=list)
     replies: dict[str, Ledger] = attrs.field(factory=dict)
     copies: set[int] = attrs.field(factory=set)
     is_granted: bool = False
@@ -111,14 +113,15 @@
 
 
 class Site:
-    """All of it. What may be lost at once is up to whoever plays it.
+    """The model's state and events; the caller decides which failures may coincide.
 
     Attributes:
-        changes_unheard_sets: whether a disk changes a set that it has not heard of yet, since the
-            one that it knows has settled. Two changes on end then break budgets.
+        may_change_unknown_sets: a mutation: a disk may change the newest set without knowing it if
+            the set that it knows has settled. Two consecutive changes then violate budgets.
+        away: hosts on one side of the partition.
     """
 
-    changes_unheard_sets = False
+    may_change_unknown_sets = False
 
     def __init__(self, tolerated: int, members: int, others: int) -> None:
         self.loop = asyncio.new_event_loop()
@@ -154,41 +157,43 @@
         disk = self.disk_by_host[host] = Disk(me, Fence(self.tolerated))
         return disk
 
-    def meet(self, one: str, other: str) -> bool:
+    def can_communicate(self, one: str, other: str) -> bool:
         return (one in self.away) == (other in self.away)
 
-    # ---- news of the set ----
+    # ---- updates of the disk set ----
 
     def take(self, disk: Disk, disk_set: DiskSet) -> None:
         if disk_set.version > disk.disk_set.version:
             disk.disk_set = disk_set
-            self._tell_fence(disk)
+            self._update_fence(disk)
 
-    def _tell_fence(self, disk: Disk) -> None:
+    def _update_fence(self, disk: Disk) -> None:
         async def main() -> None:
             disk.fence.apply(disk.disk_set, disk.me)
 
         self.loop.run_until_complete(main())
 
     def restart(self, disk: Disk) -> None:
-        disk.fence = Fence(self.tolerated, disk.fence.kept_version)
+        disk.fence = Fence(self.tolerated, disk.fence.stored_version)
         disk.read_hosts = set()
         if disk.disk_set.version:
-            self._tell_fence(disk)
+            self._update_fence(disk)
 
     def tell(self, name: str) -> None:
-        """Who is asked knows what anybody on its side knows."""
+        """Gives a host the newest disk set known on its side of the partition."""
         if name not in self.set_by_entry and name not in self.disk_by_host:
             return
-        sets = [disk.disk_set for disk in self.disks if self.meet(name, disk.me.host)]
-        sets += [known for entry, known in self.set_by_entry.items() if self.meet(name, entry)]
+        sets = [disk.disk_set for disk in self.disks if self.can_communicate(name, disk.me.host)]
+        sets += [
+            known for entry, known in self.set_by_entry.items() if self.can_communicate(name, entry)
+        ]
         newest = max(sets, key=lambda one: one.version)
         if name in self.set_by_entry:
-            self.learn(name, newest)
+            self.apply_set_to_entry(name, newest)
         else:
             self.take(self.disk_by_host[name], newest)
 
-    def learn(self, entry: str, disk_set: DiskSet) -> None:
+    def apply_set_to_entry(self, entry: str, disk_set: DiskSet) -> None:
         if disk_set.version > self.set_by_entry[entry].version:
             self.set_by_entry[entry] = disk_set
 
@@ -198,27 +203,29 @@
         others = [one for one in disk.disk_set.members if one.host != disk.me.host]
         disk.read_hosts = {one.host for one in others if self._copy_from(disk, one)}
 
-    def _reached(self, disk: Disk, member: DiskMember) -> Disk | None:
+    def _reachable_disk(self, disk: Disk, member: DiskMember) -> Disk | None:
         source = self.disk_by_host.get(member.host)
-        if source is None or not self.meet(disk.me.host, member.host):
+        if source is None or not self.can_communicate(disk.me.host, member.host):
             return None
         return source if source.me.generation == member.generation else None
 
     def _copy_from(self, disk: Disk, member: DiskMember) -> bool:
-        source = self._reached(disk, member)
+        source = self._reachable_disk(disk, member)
         if source is None or source.disk_set.version < disk.disk_set.version:
             return False
-        if self._keeps(source, disk.me):
+        if self._is_replica(source, disk.me):
             disk.copy(source)
         if source.disk_set.version == disk.disk_set.version:
             disk.fence.record_read(member, disk.disk_set.version, source.fence.has_caught_up)
         return True
 
-    def _keeps(self, source: Disk, asker: DiskMember) -> bool:
+    def _is_replica(self, source: Disk, candidate: DiskMember) -> bool:
         members = list(source.disk_set.members)
-        if all(one.host != asker.host for one in members):
-            members.append(asker)
-        return any(one.host == asker.host for one in replicas_of(PROGRAM, members, self.tolerated))
+        if all(one.host != candidate.host for one in members):
+            members.append(candidate)
+        return any(
+            one.host == candidate.host for one in replicas_of(PROGRAM, members, self.tolerated)
+        )
 
     # ---- changes ----
 
@@ -230,11 +237,11 @@
             self._change(disk, lambda found: with_member_added(found, disk.me))
 
     def drop_silent(self, disk: Disk) -> None:
-        """What others have taken lately it need not have read, for cuts may be of single ways."""
+        """Removes the disks that this one can't reach; it need not have read the latest entries."""
         if not disk.is_member:
             return
         members = [one for one in disk.disk_set.members if one.host != disk.me.host]
-        silent = [one.host for one in members if self._reached(disk, one) is None]
+        silent = [one.host for one in members if self._reachable_disk(disk, one) is None]
         silent_s = dict.fromkeys(silent, DROP_AFTER_S)
         self._change(disk, lambda found: without_silent(found, silent_s, self.tolerated))
 
@@ -245,22 +252,24 @@
         disk.is_retired = all(one.host != host for one in disk.disk_set.members)
 
     def hand_over(self, disk: Disk) -> None:
-        """A disk that has handed over enough is gone."""
+        """Copies a leaving disk's entries to the others; removes it once enough have them."""
         others = [one for one in disk.disk_set.members if one.host != disk.me.host]
-        whole = 0
+        complete = 0
         for member in others:
             other = self.disk_by_host.get(member.host)
-            if other and not other.is_retired and self.meet(disk.me.host, member.host):
-                whole += 1
-                if self._keeps(disk, member):
+            if other and not other.is_retired and self.can_communicate(disk.me.host, member.host):
+                complete += 1
+                if self._is_replica(disk, member):
                     other.copy(disk)
-        if whole and len(others) - whole <= missing_members_allowed(len(others), self.tolerated):
+        if complete and len(others) - complete <= missing_members_allowed(
+            len(others), self.tolerated
+        ):
             del self.disk_by_host[disk.me.host]
 
     def _change(self, disk: Disk, change: Change) -> None:
         if not disk.fence.has_settled:
             return
-        if not self.changes_unheard_sets and disk.disk_set != self.newest:
+        if not self.may_change_unknown_sets and disk.disk_set != self.newest:
             self.take(disk, self.newest)
             return
         found = self.newest
@@ -286,13 +295,13 @@
         return turn
 
     def ask(self, turn: Turn, hosts: Collection[str]) -> None:
-        """The reservation reaches disks, which write it; each is told of the set if behind."""
-        self._ask_anew(turn)
-        for member in self._places(turn):
+        """Delivers the reservation to disks; the side with the older disk set gets the newer."""
+        self._restart_if_set_changed(turn)
+        for member in self._replicas(turn):
             if member.host not in hosts or member.host in turn.replies:
                 continue
             disk = self.disk_by_host.get(member.host)
-            if disk is None or not self.meet(turn.entry, member.host) or disk.is_retired:
+            if disk is None or not self.can_communicate(turn.entry, member.host) or disk.is_retired:
                 continue
             verdict = disk.fence.verdict(PROGRAM, turn.version)
             if verdict is Verdict.TAKEN:
@@ -301,23 +310,23 @@
             elif verdict is Verdict.DISK_IS_BEHIND:
                 self.take(disk, self.set_by_entry[turn.entry])
             elif verdict is Verdict.HOST_IS_BEHIND:
-                self.learn(turn.entry, disk.disk_set)
+                self.apply_set_to_entry(turn.entry, disk.disk_set)
 
     def answer(self, turn: Turn) -> None:
-        """Disks that have written the reservation look once more, and answer."""
+        """Disks that have written the reservation check the fence again and answer."""
         for disk in self.disks:
             if disk.me.generation not in turn.written:
                 continue
             if disk.fence.verdict(PROGRAM, turn.version) is Verdict.TAKEN:
                 ledger = dict(disk.open_by_attempt), dict(disk.settled_by_attempt)
-                turn.held.append((disk.me.host, ledger))
+                turn.answers_in_transit.append((disk.me.host, ledger))
         turn.written.clear()
 
     def hear(self, turn: Turn) -> None:
-        """The answers reach the host, which decides once there are enough."""
-        turn.replies.update(turn.held)
-        turn.held.clear()
-        needed = reservations_needed(len(self._places(turn)), self.tolerated)
+        """Delivers the answers to the host, which decides once it has a quorum."""
+        turn.replies.update(turn.answers_in_transit)
+        turn.answers_in_transit.clear()
+        needed = reservations_needed(len(self._replicas(turn)), self.tolerated)
         if turn.is_granted or turn.is_over or len(turn.replies) < needed:
             return
         if committed_tokens(turn.attempt, turn.replies.values()) + TOKENS <= BUDGET:
@@ -325,22 +334,22 @@
         else:
             self.settle(turn, HOSTS)
 
-    def _ask_anew(self, turn: Turn) -> None:
-        """A quorum counts under one version of the set."""
+    def _restart_if_set_changed(self, turn: Turn) -> None:
+        """Restarts the reservation if the set has changed: a quorum is valid for one version."""
         known = self.set_by_entry[turn.entry].version
         if known != turn.version:
             turn.version = known
             turn.written.clear()
-            turn.held.clear()
+            turn.answers_in_transit.clear()
             turn.replies.clear()
 
-    def _places(self, turn: Turn) -> list[DiskMember]:
+    def _replicas(self, turn: Turn) -> list[DiskMember]:
         return replicas_of(PROGRAM, self.sets[turn.version - 1].members, self.tolerated)
 
     def end(self, turn: Turn, hosts: Collection[str]) -> None:
-        """Its text goes to disks; it is acknowledged once it is on enough of them."""
+        """Writes the turn's text to disks; it is acknowledged once there are enough copies."""
         for disk in self.at(hosts):
-            if self.meet(turn.entry, disk.me.host) and not disk.is_retired:
+            if self.can_communicate(turn.entry, disk.me.host) and not disk.is_retired:
                 disk.settled_by_attempt[turn.attempt] = turn.tokens
                 disk.turns.add(turn.attempt)
                 turn.copies.add(disk.me.generation)
@@ -348,48 +357,48 @@
             turn.is_acknowledged = turn.is_over = True
 
     def settle(self, turn: Turn, hosts: Collection[str]) -> None:
-        """It used nothing; who does not hear so counts it at its most."""
+        """Releases the tokens; disks that don't receive this count the full reservation."""
         turn.is_over, turn.tokens = True, 0
         for disk in self.at(hosts):
-            if self.meet(turn.entry, disk.me.host) and not disk.is_retired:
+            if self.can_communicate(turn.entry, disk.me.host) and not disk.is_retired:
                 disk.settled_by_attempt[turn.attempt] = 0
 
-    # ---- what must hold ----
+    # ---- invariants ----
 
     def committed(self) -> int:
         return sum(turn.tokens for turn in self.turns if turn.is_granted)
 
     def overspending(self) -> Iterator[tuple[int, list[str]]]:
-        """Yields quorums that would grant a turn now although the budget is spent.
+        """Yields the quorums that would grant another turn although the budget is spent.
 
-        Any host may know any version still, any disk may be told of it, and whom a host reaches
-        first is not up to us.
+        Covers every version that a host may still have, and every order in which it may reach
+        disks.
         """
         if self.committed() + TOKENS <= BUDGET:
             return
         for known in self.sets:
-            places = replicas_of(PROGRAM, known.members, self.tolerated)
-            needed = reservations_needed(len(places), self.tolerated)
-            takers = [
+            replicas = replicas_of(PROGRAM, known.members, self.tolerated)
+            needed = reservations_needed(len(replicas), self.tolerated)
+            accepting = [
                 disk
-                for disk in self.at(member.host for member in places)
-                if not disk.is_retired and self._would_take(disk, known)
+                for disk in self.at(member.host for member in replicas)
+                if not disk.is_retired and self._would_accept(disk, known)
             ]
-            for quorum in itertools.combinations(takers, needed):
+            for quorum in itertools.combinations(accepting, needed):
                 ledgers = ((disk.open_by_attempt, disk.settled_by_attempt) for disk in quorum)
                 if committed_tokens("", ledgers) + TOKENS <= BUDGET:
                     yield known.version, [disk.me.host for disk in quorum]
 
-    def _would_take(self, disk: Disk, known: DiskSet) -> bool:
+    def _would_accept(self, disk: Disk, known: DiskSet) -> bool:
         if disk.disk_set.version >= known.version:
             return disk.fence.verdict(PROGRAM, known.version) is Verdict.TAKEN
-        told = KnownSet(known.version, known.members, known.previous, self.tolerated)
-        has_caught_up = told.is_caught_up_by(disk.me, ())
-        verdict = told.verdict(disk.me, PROGRAM, known.version, has_caught_up)
+        updated_set = KnownSet(known.version, known.members, known.previous, self.tolerated)
+        has_caught_up = updated_set.is_caught_up_by(disk.me, ())
+        verdict = updated_set.verdict(disk.me, PROGRAM, known.version, has_caught_up)
         return verdict is Verdict.TAKEN
 
     def knowing_last(self) -> list[Disk]:
-        """Returns the disks that know of the last turn that was granted tokens and used some."""
+        """Returns the disks with the reservation of the last granted turn that used tokens."""
         granted = [turn.attempt for turn in self.turns if turn.is_granted and turn.tokens]
         return [disk for disk in self.disks if granted and granted[-1] in disk.open_by_attempt]
 
@@ -397,10 +406,10 @@
         return [disk.me.host for disk in self.disks if turn.attempt in disk.turns]
 
     def is_called_unknown(self, turn: Turn, entry: str) -> bool:
-        """Whether a host is sure that there is no such turn: all that it asks answer so."""
+        """Returns whether a host would report the turn as unknown: no disk that it asks has it."""
         known = self.set_by_entry[entry]
         members = {one.host for one in known.members}
-        near = {host for host in self.disk_by_host if self.meet(entry, host)}
+        near = {host for host in self.disk_by_host if self.can_communicate(entry, host)}
         if not members <= near:
             return False
         asked = self.at(near)
--- a/tests/lib/jumping_clock.py
+++ b/tests/lib/jumping_clock.py
@@ -1,4 +1,4 @@
-"""A time of day that jumps at each reading, by hours and back."""
+"""A wall clock that jumps at each reading, by up to hours."""
 
 import itertools
 import time
@@ -7,17 +7,17 @@
 import pytest
 
 JUMPS_S = (0.0, 3600.0, -86_400.0, 7.0, -0.5)
-LEAP_S = 10_000.0
+STEP_S = 10_000.0
 
 JUMPS_BY_KIND: dict[str, Callable[[], Iterator[float]]] = {
     "to and fro": lambda: itertools.cycle(JUMPS_S),
-    "ever forward": lambda: itertools.count(0.0, LEAP_S),
-    "ever back": lambda: itertools.count(0.0, -LEAP_S),
+    "ever forward": lambda: itertools.count(0.0, STEP_S),
+    "ever back": lambda: itertools.count(0.0, -STEP_S),
 }
 
 
 def jump(monkeypatch: pytest.MonkeyPatch, kind: str = "to and fro") -> None:
-    """Makes the time of day jump for the rest of a test; steady clocks stay steady."""
+    """Makes the wall clock jump for the rest of a test; monotonic clocks are unaffected."""
     true_time_s, true_time_ns = time.time, time.time_ns
     jumps = JUMPS_BY_KIND[kind]()
     monkeypatch.setattr(time, "time", lambda: true_time_s() + next(jumps))
--- a/tests/lib/platform_store.py
+++ b/tests/lib/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform's store, with the troubles that it may have."""
+"""Fake server of the users' platform's object store, with injectable faults."""
 
 import asyncio
 import json
@@ -12,15 +12,15 @@
 
 @attrs.define
 class StoreTroubles:
-    """What goes wrong: each may be switched on at any time.
+    """Faults of the store; each may be switched at any time.
 
     Attributes:
-        down: every call's connection is cut.
-        silent: no call is answered, and nothing is done.
-        loses_answers: writes are done, and their connection is cut.
-        refuses_with: every call gets this status.
-        hangs_watches: a watch hears nothing until its wait is over.
-        says: every call is answered with these bytes.
+        down: aborts the connection of every call.
+        silent: neither answers nor executes any call.
+        loses_answers: executes writes, then aborts their connections.
+        refuses_with: HTTP status of every answer, unless 0.
+        hangs_watches: watches return no events until they time out.
+        says: body of every answer, unless empty.
     """
 
     down: bool = False
@@ -32,7 +32,7 @@
 
 
 class PlatformStoreServer(StandinServer):
-    """Objects by kind and name, lists, watches, conditions."""
+    """Objects by kind and name, with lists, watches and conditional writes."""
 
     def __init__(self, port: int = 0) -> None:
         super().__init__(port)
@@ -49,7 +49,7 @@
     def address(self) -> str:
         return f"127.0.0.1:{self.port}"
 
-    # ---- what operators and engines do ----
+    # ---- writes by operators and engines ----
 
     def put(self, kind: str, name: str, spec: Any) -> None:
         """Writes an object's spec."""
@@ -61,34 +61,34 @@
             "status": None if old is None else old["status"],
         }
         self._objects[kind, name] = item
-        self._note(kind, False, item)
+        self._record(kind, False, item)
 
     def remove(self, kind: str, name: str) -> None:
         """Removes an object."""
         item = self._objects.pop((kind, name))
         self.revision += 1
-        self._note(kind, True, item)
+        self._record(kind, True, item)
 
     def status(self, kind: str, name: str) -> Any:
         """Returns an object's status."""
         return self._objects[kind, name]["status"]
 
     def forget_history(self) -> None:
-        """Drops the history; watches that stand behind it get 410."""
+        """Compacts the history; watches from earlier revisions get status 410."""
         self.oldest_revision = self.revision
         self._history.clear()
         self._wake()
 
     def go_away(self) -> None:
-        """Answers nothing from now on; what is under way is never answered, also later."""
+        """Stops answering; calls in progress are never answered, even after the return."""
         self._outages += 1
         self.troubles.silent = True
 
     def come_back(self) -> None:
-        """Answers calls that come from now on."""
+        """Answers new calls again."""
         self.troubles.silent = False
 
-    # ---- the calls ----
+    # ---- HTTP handlers ----
 
     def add_routes(self, app: web.Application) -> None:
         app.router.add_get("/-/objects/{kind}", self._list)
@@ -97,17 +97,17 @@
         app.router.add_put("/-/objects/{kind}/{name}", self._replace)
         app.router.add_delete("/-/objects/{kind}/{name}", self._delete)
         app.router.add_put("/-/objects/{kind}/{name}/status", self._put_status)
-        app.middlewares.append(self._trouble)
+        app.middlewares.append(self._inject_faults)
 
     @web.middleware
-    async def _trouble(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _inject_faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
         self.calls.append(f"{request.method} {request.path_qs}")
         troubles = self.troubles
         outages = self._outages
         if troubles.silent:
             await asyncio.sleep(60)
         if troubles.down:
-            return self._cut(request)
+            return self._abort(request)
         if troubles.says:
             return web.Response(body=troubles.says, content_type="application/json")
         if troubles.refuses_with:
@@ -116,11 +116,11 @@
         if self._outages != outages:
             await asyncio.sleep(60)
         if troubles.loses_answers and request.method != "GET":
-            return self._cut(request)
+            return self._abort(request)
         return response
 
     @staticmethod
-    def _cut(request: web.Request) -> web.Response:
+    def _abort(request: web.Request) -> web.Response:
         assert request.transport is not None
         request.transport.abort()
         return web.Response(status=499)
@@ -140,7 +140,7 @@
 
     async def _watch(self, kind: str, request: web.Request) -> web.Response:
         since = int(request.query["watch"])
-        limit = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
+        deadline_s = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
         while True:
             if since < self.oldest_revision:
                 return web.Response(status=410)
@@ -149,14 +149,14 @@
                 for revision, own, deleted, item in self._history
                 if own == kind and revision > since
             ]
-            rest = limit - asyncio.get_running_loop().time()
-            if (events and not self.troubles.hangs_watches) or rest <= 0:
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if (events and not self.troubles.hangs_watches) or remaining_s <= 0:
                 shown = [] if self.troubles.hangs_watches else events
                 stamp = since if self.troubles.hangs_watches else self.revision
                 return _json({"events": shown, "timestamp": stamp})
             changed = self._changed
             try:
-                await asyncio.wait_for(changed.wait(), rest)
+                await asyncio.wait_for(changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
@@ -200,7 +200,7 @@
         self.remove(kind, name)
         return _json({})
 
-    def _note(self, kind: str, deleted: bool, item: dict[str, Any]) -> None:
+    def _record(self, kind: str, deleted: bool, item: dict[str, Any]) -> None:
         self._history.append((self.revision, kind, deleted, item))
         self._wake()
 
@@ -210,6 +210,6 @@
 
 
 def _json(body: Any, status: int = 200) -> web.Response:
-    # The standard library writes what other writers leave, however deep and whatever its text.
+    # The standard library also writes deeply nested objects and unusual text, unlike orjson.
     text = json.dumps(body).encode()
     return web.Response(body=text, status=status, content_type="application/json")
--- a/tests/soak/plans.py
+++ b/tests/soak/plans.py
@@ -1,4 +1,4 @@
-"""What a soak plays: the size of its site, and the series of faults that run beside each other."""
+"""Plans of soaks: the size of the site and the faults that are injected concurrently."""
 
 import random
 from abc import ABC, abstractmethod
@@ -12,80 +12,80 @@
 Fault = Callable[[], Awaitable[None]]
 
 SIZES = ((3, 3), (3, 3), (3, 3), (3, 3), (7, 3), (4, 5))
-"""Entry and disk hosts of a site, one is drawn; a process has some 35 MB."""
+"""Numbers of entry and disk hosts, of which one pair is drawn; a process uses about 35 MB."""
 
 MANY_WATCHERS = (7, 3)
-"""Entry and disk hosts where two halls have several watchers each."""
+"""Numbers of entry and disk hosts with which two halls have several watchers each."""
 
 
 class Plan(ABC):
     """One kind of soak."""
 
     has_accounts = False
-    """Whether callers bear keys of client accounts."""
+    """Whether callers send API keys of client accounts."""
 
     @abstractmethod
     def size(self, seed: int) -> tuple[int, int]:
-        """Returns the numbers of entry and disk hosts."""
+        """Returns the numbers of entry and disk hosts for a seed."""
 
     @abstractmethod
     def series(
-        self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
+        self, rng: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
-        """Returns the faults; each is played again and again."""
+        """Returns the faults; each of them is repeated."""
 
 
 class Overlapping(Plan):
-    """Some of all kinds of faults, drawn."""
+    """Draws some of all kinds of faults."""
 
     def size(self, seed: int) -> tuple[int, int]:
         return random.Random(f"size {seed}").choice(SIZES)
 
     def series(
-        self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
+        self, rng: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
-        kinds = source.sample(faults.series(), k=source.randint(1, 3))
-        return kinds + source.sample(of_endpoints.series(), k=source.randint(2, 4))
+        kinds = rng.sample(faults.series(), k=rng.randint(1, 3))
+        return kinds + rng.sample(of_endpoints.series(), k=rng.randint(2, 4))
 
 
 @attrs.frozen
 class ShortSilences(Plan):
-    """Short silences of the store beside entries that change, so that some watches alone hang.
+    """Short silences of the store while entries change, so that only some watches hang.
 
-    A draw of all kinds seldom brings these together.
+    A draw from all kinds seldom combines these.
     """
 
-    hurts_entries: bool
+    disrupts_entries: bool
 
     def size(self, seed: int) -> tuple[int, int]:
         return MANY_WATCHERS
 
     def series(
-        self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
+        self, rng: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
         kinds: list[Fault] = [faults.change_behind_short_silence]
-        if self.hurts_entries:
+        if self.disrupts_entries:
             kinds.append(faults.hurt_entry)
         return [*kinds, *[of_endpoints.write_odd_entry] * 3, of_endpoints.start_again]
 
 
 class KeysAndLimits(Overlapping):
-    """Keys that are taken away and limits that change, while hosts and the store are hurt."""
+    """Revokes keys and changes limits during faults of hosts and of the store."""
 
     has_accounts = True
 
     def series(
-        self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
+        self, rng: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
-        hurting: list[Fault] = [faults.trouble_store, faults.hurt_entry, faults.stop_entry]
-        own: list[Fault] = [faults.take_key_away, faults.change_limit]
-        others = [fault for fault in faults.series() if fault not in hurting]
-        return own + source.sample(hurting, k=2) + source.sample(others, k=1)
+        host_faults: list[Fault] = [faults.trouble_store, faults.hurt_entry, faults.stop_entry]
+        account_faults: list[Fault] = [faults.take_key_away, faults.change_limit]
+        others = [fault for fault in faults.series() if fault not in host_faults]
+        return account_faults + rng.sample(host_faults, k=2) + rng.sample(others, k=1)
 
 
 PLAN_BY_KIND: dict[str, Plan] = {
     "overlapping": Overlapping(),
     "accounts": KeysAndLimits(),
-    "short-silences": ShortSilences(hurts_entries=False),
-    "short-silences-hurt": ShortSilences(hurts_entries=True),
+    "short-silences": ShortSilences(disrupts_entries=False),
+    "short-silences-hurt": ShortSilences(disrupts_entries=True),
 }
