--- a/tests/unit/test_recorded_log.py
+++ b/tests/unit/test_recorded_log.py
@@ -17,7 +17,7 @@
 
 import bayhinge
 from bayhinge._internal.models.refusals import Refusal, RefusalCode, RefusedError, RunState
-from bayhinge._internal.queries.clock_differences import FIELDS_BY_SHARED_TYPE, SharedNews
+from bayhinge._internal.queries.clock_skew import FIELDS_BY_SHARED_TYPE, SharedEvents
 from bayhinge._internal.queries.log_calls import log_calls
 from bayhinge._internal.queries.log_events import log_events_page
 from bayhinge._internal.queries.log_files import LogFiles
@@ -28,9 +28,9 @@
     EXPLANATION_BY_CODE,
     EXPLANATION_BY_OUTCOME,
 )
-from bayhinge._internal.queries.tracing import FIELD_BY_LATE_NEWS, FIELD_BY_NAMING, trace
+from bayhinge._internal.queries.tracing import DELAY_FIELD_BY_TYPE, HOST_FIELD_BY_TYPE, trace
+from bayhinge._internal.services.gateway.buffered_delivery import BufferedDelivery
 from bayhinge._internal.services.gateway.request_service import RequestService
-from bayhinge._internal.services.gateway.whole_delivery import WholeDelivery
 from bayhinge._internal.utils.log_output import LogOutput
 from tests.lib.log_lines import Line, collected_lines
 
@@ -191,7 +191,7 @@
     "p": (
         Kind.FAILED,
         10.611,
-        {Phase.NOT_SPLIT: 1.149, Phase.BETWEEN_TRIES: 8.581, Phase.DISKS: 0.881},
+        {Phase.NOT_SPLIT: 1.149, Phase.BETWEEN_REQUESTS: 8.581, Phase.DISKS: 0.881},
         3,
         {
             Cause("declined", "not_recorded"): 1,
@@ -204,14 +204,14 @@
     "p2-5": (
         Kind.FAILED,
         0.534,
-        {Phase.FAILED_TRIES: 0.082, Phase.NOT_SPLIT: 0.059, Phase.BETWEEN_TRIES: 0.451},
+        {Phase.FAILED_SENDS: 0.082, Phase.NOT_SPLIT: 0.059, Phase.BETWEEN_REQUESTS: 0.451},
         1,
         {Cause("broken_off", CUT): 2, Cause("refused", "patience_exceeded"): 1},
     ),
     "request h0000001": (
         Kind.FAILED,
         0.05,
-        {Phase.FAILED_TRIES: 0.05},
+        {Phase.FAILED_SENDS: 0.05},
         1,
         {Cause("refused", "outcome_unknown"): 1},
     ),
@@ -231,9 +231,9 @@
         2.682,
         {
             Phase.NOT_SPLIT: 0.24,
-            Phase.HOST_AWAY: 2.0,
-            Phase.BETWEEN_TRIES: 0.2,
-            Phase.FIRST_NEWS: 0.3,
+            Phase.HOST_DOWN: 2.0,
+            Phase.BETWEEN_REQUESTS: 0.2,
+            Phase.INITIAL_SYNC: 0.3,
         },
         0,
         {Cause("broken_off", "the stream ended within an event"): 1, Cause("late", "llm"): 1},
@@ -241,7 +241,7 @@
     "p4-2": (
         Kind.REFUSED,
         0.781,
-        {Phase.FAILED_TRIES: 0.355, Phase.NOT_SPLIT: 0.270, Phase.BETWEEN_TRIES: 0.277},
+        {Phase.FAILED_SENDS: 0.355, Phase.NOT_SPLIT: 0.270, Phase.BETWEEN_REQUESTS: 0.277},
         1,
         {
             Cause("broken_off", CUT): 1,
@@ -299,7 +299,7 @@
 def test_every_line_is_read() -> None:
     texts = [text for file in FILES for text in file.read_bytes().splitlines()]
     assert len(LINES) == len(texts) == sum(COUNT_BY_TYPE.values())
-    assert Counter(line.what for line in LINES) == COUNT_BY_TYPE
+    assert Counter(line.message_type for line in LINES) == COUNT_BY_TYPE
     assert "?" not in {line.host for line in LINES}
 
 
@@ -309,15 +309,15 @@
     [explained] = trace(attempt, LINES).explained()
     fields = explained.end.fields
     assert (fields.get("code") or fields.get("outcome")) == outcome
-    assert [(line.host, line.what) for line in explained.lines] == lines
+    assert [(line.host, line.message_type) for line in explained.lines] == lines
     if outcome in EXPLANATION_BY_OUTCOME:
         assert explained.explanation == EXPLANATION_BY_OUTCOME[outcome]
-    elif explained.end.what == "request.refused":
+    elif explained.end.message_type == "request.refused":
         assert explained.explanation == EXPLANATION_BY_CODE[RefusalCode(outcome)]
 
 
 def test_every_end_without_an_answer_is_in_the_table() -> None:
-    ends = [line for line in LINES if line.what in {"request.refused", "request.ended"}]
+    ends = [line for line in LINES if line.message_type in {"request.refused", "request.ended"}]
     attempts = {line.fields["attempt"] for line in ends}
     # One request bore no id.
     assert attempts == {None, *EXPLAINED_BY_ATTEMPT}
@@ -325,7 +325,7 @@
 
 def test_a_request_is_traced_in_full() -> None:
     found = trace("s0000102", LINES)
-    assert [(line.host, line.what) for line in found.lines] == [
+    assert [(line.host, line.message_type) for line in found.lines] == [
         ("entry-0", "endpoint.known"),
         ("entry-0", "endpoint.known"),
         ("entry-0", "endpoint.restarted"),
@@ -338,13 +338,17 @@
         ("entry-4", "send.again"),
         ("entry-4", "request.served"),
     ]
-    assert [line.what for line in found.own] == ["send.failed", "send.again", "request.served"]
+    assert [line.message_type for line in found.own] == [
+        "send.failed",
+        "send.again",
+        "request.served",
+    ]
     assert list(found.explained()) == []
 
 
 def test_a_program_is_traced_with_all_its_requests() -> None:
     own = trace("p4-2", LINES).own
-    assert [(line.host, line.what) for line in own] == [
+    assert [(line.host, line.message_type) for line in own] == [
         ("entry-3", "send.failed"),
         ("entry-3", "request.ended"),
         ("entry-2", "send.failed"),
@@ -363,21 +367,21 @@
 def test_other_hosts_that_wrote_the_same_are_named() -> None:
     found = trace("s0000102", LINES)
     told = {
-        line.host: found.also_said_by(line)
+        line.host: found.also_reported_by(line)
         for line in found.lines
-        if line.what == "endpoint.restarted"
+        if line.message_type == "endpoint.restarted"
     }
     # Their other fields differ; the endpoint is the same.
     assert told == {"entry-0": ["entry-1"], "entry-1": ["entry-0"]}
 
 
 def test_clocks_are_compared_by_the_news_that_two_hosts_wrote() -> None:
-    news = SharedNews()
+    events = SharedEvents()
     for line in LINES:
-        news.note(line)
-    [difference] = news.differences({"entry-0", "entry-1"}, "entry-0")
+        events.record(line)
+    [skew] = events.skews({"entry-0", "entry-1"}, "entry-0")
     # The set of disks, the configuration and the start of an endpoint.
-    assert difference.ahead_s == pytest.approx((-0.295, -0.183, 0.308), abs=0.001)
+    assert skew.ahead_s == pytest.approx((-0.295, -0.183, 0.308), abs=0.001)
 
 
 def test_windows_count_what_ended_in_them(found: Losses) -> None:
@@ -403,11 +407,11 @@
 def test_sums_are_over_the_whole_log(found: Losses) -> None:
     assert found.s_by_phase == pytest.approx(
         {
-            Phase.FAILED_TRIES: 0.487,
+            Phase.FAILED_SENDS: 0.487,
             Phase.DISKS: 0.881,
-            Phase.FIRST_NEWS: 0.3,
-            Phase.BETWEEN_TRIES: 9.509,
-            Phase.HOST_AWAY: 2.0,
+            Phase.INITIAL_SYNC: 0.3,
+            Phase.BETWEEN_REQUESTS: 9.509,
+            Phase.HOST_DOWN: 2.0,
             Phase.NOT_SPLIT: 2.511,
         },
         abs=0.001,
@@ -420,8 +424,8 @@
 
 
 def test_what_went_is_found_with_whom_it_is_about(found: Losses) -> None:
-    assert [(mark.what, mark.who, mark.count) for mark in found.marks] == MARKS
-    assert [(each.host, round(each.to_s - each.from_s, 3)) for each in found.absences] == [
+    assert [(mark.message_type, mark.subject, mark.count) for mark in found.marks] == MARKS
+    assert [(each.host, round(each.to_s - each.from_s, 3)) for each in found.downtimes] == [
         ("entry-3", 32.923),
         ("entry-0", 1.677),
         ("entry-0", 2.0),
@@ -430,15 +434,15 @@
 
 FIELDS_READ = [
     *((what, field) for what, fields in FIELDS_BY_SHARED_TYPE.items() for field in fields),
-    *FIELD_BY_LATE_NEWS.items(),
-    *FIELD_BY_NAMING.items(),
+    *DELAY_FIELD_BY_TYPE.items(),
+    *HOST_FIELD_BY_TYPE.items(),
     *((what, kind.field) for what, kind in MARK_KINDS.items()),
 ]
 
 
 @pytest.mark.parametrize(("what", "field"), FIELDS_READ)
 def test_the_log_has_the_types_and_fields_that_the_reader_looks_for(what: str, field: str) -> None:
-    lines = [line for line in LINES if line.what == what]
+    lines = [line for line in LINES if line.message_type == what]
     assert lines
     # A mark without a field is about the host that wrote it.
     assert all(not field or field in line.fields for line in lines)
@@ -461,13 +465,13 @@
     """Returns the fields of each type of line that the source writes."""
     fields_by_type: dict[str, set[str]] = {}
     for call in log_calls(modules()):
-        fields_by_type.setdefault(call.what, set()).update(call.fields)
+        fields_by_type.setdefault(call.message_type, set()).update(call.fields)
     return fields_by_type
 
 
 def test_the_source_still_writes_every_recorded_type_with_its_fields() -> None:
     for line in LINES:
-        assert set(line.fields) <= fields_written()[line.what], line.what
+        assert set(line.fields) <= fields_written()[line.message_type], line.message_type
 
 
 def test_the_page_of_events_has_every_recorded_type_with_its_fields() -> None:
@@ -477,7 +481,7 @@
         if match
     }
     for line in LINES:
-        assert set(line.fields) <= fields_by_type[line.what], line.what
+        assert set(line.fields) <= fields_by_type[line.message_type], line.message_type
 
 
 def test_lines_that_may_explain_a_refusal_are_written() -> None:
@@ -503,7 +507,8 @@
     doubts = {
         str(line.fields["why"])
         for line in LINES
-        if line.what == "send.failed" and str(line.fields["why"]).startswith("not heard for ")
+        if line.message_type == "send.failed"
+        and str(line.fields["why"]).startswith("not heard for ")
     }
     assert doubts == set(TEXTS_IN_DOUBT)
 
@@ -527,7 +532,7 @@
 
 
 def refusals() -> list[LogLine]:
-    return [line for line in LINES if line.what == "request.refused"]
+    return [line for line in LINES if line.message_type == "request.refused"]
 
 
 def service_that_meets(error: BaseException) -> RequestService:
@@ -538,11 +543,11 @@
     return RequestService(*parts)
 
 
-def end_written(error: BaseException, has_begun: bool = False) -> Line:
+def end_written(error: BaseException, headers_sent: bool = False) -> Line:
     """Returns the line that is written where a request ends by an error."""
 
     async def main() -> None:
-        exchange = MagicMock(has_begun=has_begun, began_s=0.0, respond=AsyncMock())
+        exchange = MagicMock(headers_sent=headers_sent, began_s=0.0, respond=AsyncMock())
         try:
             await service_that_meets(error).handle(exchange)
         except asyncio.CancelledError:
@@ -561,13 +566,13 @@
         RefusalCode(fields["code"]), RunState(fields["run_state"]), str(fields["why"])
     )
     line = end_written(RefusedError(refusal))
-    assert line["message_type"] == recorded.what
+    assert line["message_type"] == recorded.message_type
     for name in ("status", "code", "run_state", "why"):
         assert line[name] == fields[name]
 
 
 @pytest.mark.parametrize(
-    ("outcome", "error", "has_begun"),
+    ("outcome", "error", "headers_sent"),
     [
         (
             "broken_off",
@@ -578,11 +583,11 @@
     ],
 )
 def test_a_broken_end_is_still_written_as_the_log_has_it(
-    outcome: str, error: BaseException, has_begun: bool
+    outcome: str, error: BaseException, headers_sent: bool
 ) -> None:
-    line = end_written(error, has_begun)
+    line = end_written(error, headers_sent)
     assert (line["message_type"], line["outcome"]) == ("request.ended", outcome)
-    recorded = {each.fields["outcome"] for each in LINES if each.what == "request.ended"}
+    recorded = {each.fields["outcome"] for each in LINES if each.message_type == "request.ended"}
     assert outcome in recorded
 
 
@@ -597,15 +602,15 @@
     service = service_that_meets(asyncio.CancelledError())
 
     async def main() -> None:
-        delivery = WholeDelivery(exchange, MagicMock())
+        delivery = BufferedDelivery(exchange, MagicMock())
         await delivery.deliver(answer, marks, False, MagicMock())
-        service._note(None, delivery.outcome, "e-1", exchange)
+        service._record_end(None, delivery.outcome, "e-1", exchange)
 
     with collected_lines() as lines:
         asyncio.run(main())
     [line] = lines
     assert (line["message_type"], line["outcome"]) == (what, outcome)
-    assert outcome in {each.fields["outcome"] for each in LINES if each.what == what}
+    assert outcome in {each.fields["outcome"] for each in LINES if each.message_type == what}
 
 
 def test_every_way_to_deliver_calls_a_success_served() -> None:
