--- a/idl/frames.thrift
+++ b/idl/frames.thrift
@@ -1,4 +1,4 @@
-// Frames of the peer link: what every process needs, whatever it says in them.
+// Frames of the peer link: what every process needs, whatever they carry.
 namespace py bayhinge._internal.wire.frames
 
 enum FrameKind { OPEN = 1, DATA = 2, END = 3, FAIL = 4, CANCEL = 5 }
--- a/idl/hosts.thrift
+++ b/idl/hosts.thrift
@@ -20,9 +20,9 @@
   3: optional list<DiskMember> previous,
 }
 
-// What a host tells the others a few times a second. `is_cut_off`: it reaches no disk but through
-// others; `requests_per_s`: what callers ask of it. `endpoints_known_to`: the store's revision up to
-// which it knows the endpoints, so that its figures of one that started again later are left out.
+// A host's heartbeat, sent to others a few times a second. `is_cut_off`: it is partitioned, and
+// reaches disks only through others; `requests_per_s`: what callers ask of it.
+// `endpoints_known_to`: the store's revision up to which it knows the endpoints, so that its figures of one that restarted later are left out.
 struct Hello {
   1: required string host,
   2: required i64 incarnation,
@@ -41,19 +41,19 @@
   15: optional bool is_cut_off = false,
   16: optional i32 requests_per_s = 0,
   17: optional i64 endpoints_known_to,
-  // Hosts of the hall: when somebody last heard each say that it takes callers. By the low 32 bits
-  // of the incarnation, in hundredths of a second before this hello.
+  // Hosts of the hall: when each was last seen to accept callers. By the low 32 bits
+  // of the incarnation, in hundredths of a second before this heartbeat.
   18: optional map<i32, i16> age_by_start,
   // Callers of its own hall are told of it.
   19: optional bool is_told = false,
-  // How old its proof of the newest configuration was when this was sent, in milliseconds. A hint
-  // alone: a hello may have waited anywhere, so nobody counts a proof as this young.
+  // How old its freshness proof of the configuration was when this was sent, in milliseconds. A hint
+  // alone: a heartbeat may have waited anywhere, so nobody counts a proof as this young.
   20: optional i32 proof_age_ms,
 }
 
 // RESERVED: tokens set aside before a turn runs. SETTLED: what it used in the end.
-// TURN: a whole turn, which settles its reservation as well. `endpoint_born_ms`: which start of the
-// endpoint has read and said it, absent where that is not known. `account`: whose turn it is, empty
+// TURN: a whole turn, which settles its reservation as well. `endpoint_born_ms`: which incarnation
+// of the endpoint ran it, absent where that is not known. `account`: whose turn it is, empty
 // where no key was asked for, absent in entries of earlier releases.
 enum EntryKind { RESERVED = 1, SETTLED = 2, TURN = 3 }
 
@@ -129,9 +129,10 @@
 // A call that a host passes on to another, which the sender can't reach itself.
 struct RelayCall { 1: required string address, 2: required string method, 3: required binary payload }
 
-// What one host has under way at the endpoints of one hall. `beat` orders what a start of the
-// host says; `last_grant` is the newest grant of the hall's home that is counted in here.
-// `endpoints_known_to` is as in a hello, here and below.
+// What one host has under way at the endpoints of one hall. `beat` orders the messages of an
+// incarnation of the host; `last_grant` is the newest grant of the hall coordinator that is
+// counted in here. `resting`: endpoints that it has ejected.
+// `endpoints_known_to` is as in a heartbeat, here and below.
 struct HostLoads {
   1: required string host,
   2: required i64 incarnation,
@@ -142,7 +143,7 @@
   7: optional i64 endpoints_known_to,
 }
 
-// What all hosts together have under way at the endpoints of one hall, as its home knows it.
+// What all hosts together have under way at the endpoints of one hall, as its coordinator knows it.
 struct HallLoads {
   1: required string hall,
   2: required string host,
@@ -155,8 +156,8 @@
 // A datagram between entry hosts: one of the two.
 struct LoadNews { 1: optional HostLoads host, 2: optional HallLoads hall }
 
-// Asks a hall's home for an endpoint. `wished` holds the request's history, or is empty, and
-// `wished_born_ms` says which start of it, where that is known;
+// Asks a hall coordinator for an endpoint. `wished` is the placement preference: the endpoint that
+// holds the request's history, or empty. `wished_born_ms` is its incarnation, where that is known;
 // `avoid` names endpoints that the asking host will not send to. `kept_tokens` of the prompt
 // were read at `wished`, `shared_tokens` are those of `shared_part`.
 struct PlaceCall {
@@ -172,15 +173,15 @@
   9: optional list<string> connected,
 }
 
-// `endpoint` is empty where none is left. A host that is not the hall's home says which
-// one is, in `home`, and grants nothing.
+// `endpoint` is empty where none is left. A host that is not the hall's coordinator names
+// it in `home`, and grants nothing.
 struct PlaceReply {
   1: required string endpoint,
   2: required i64 grant,
   3: optional string home,
 }
 
-// Asks a host for its proof of the configuration that was newest at some moment.
+// Asks a host for its freshness proof: which configuration was the newest at some moment.
 struct ProofCall { 1: required string host }
 
 // `revision`: of the newest configuration when the store was asked, absent where the host has no
@@ -188,7 +189,7 @@
 // at most; it begins when the store was asked.
 struct ProofReply { 1: optional i64 revision, 2: optional double age_ms }
 
-// Asks the home of a client account's quota for the right to send one request. `rate_per_s` and
+// Asks the coordinator of a client account's quota for the right to send one request. `rate_per_s` and
 // `burst` are the asking host's limits, of configuration `version`. `begins_program`: the request is
 // a program's first turn. `unused`: requests that were granted lately and that no endpoint has run.
 // `silent`: hosts that come before this one and did not answer.
@@ -203,7 +204,7 @@
   8: required list<string> silent,
 }
 
-// `home` is set where the host is not the account's home and grants nothing. `wait_s`: when a
+// `home` is set where the host is not the account's quota coordinator and grants nothing. `wait_s`: when a
 // request that was not granted should come again.
 struct QuotaReply {
   1: required bool granted,
--- a/idl/journal.thrift
+++ b/idl/journal.thrift
@@ -26,7 +26,7 @@
   6: optional list<string> announced,
 }
 
-// What a host says of itself in its heartbeat object.
+// A host's heartbeat object.
 struct HostStatus {
   1: required i32 format,
   2: required string incarnation,
--- a/idl/peer.thrift
+++ b/idl/peer.thrift
@@ -121,7 +121,7 @@
   2: required i64 revision,
 }
 
-// The news of the host asked, and the changes that the asking one lacks.
+// The state of the host asked, and the changes that the asking one lacks.
 struct NewsReply {
   1: required string incarnation,
   2: required i64 revision,
