--- a/idl/hosts.thrift
+++ b/idl/hosts.thrift
@@ -22,7 +22,8 @@
 
 // A host's heartbeat, sent to others a few times a second. `is_cut_off`: it is partitioned, and
 // reaches disks only through others; `requests_per_s`: what callers ask of it.
-// `endpoints_known_to`: the store's revision up to which it knows the endpoints, so that its figures of one that restarted later are left out.
+// `endpoints_known_to`: the store's revision up to which it knows the endpoints, so that its figures
+// of one that restarted later are left out.
 struct Hello {
   1: required string host,
   2: required i64 incarnation,
