--- a/tests/functional/test_cut_hosts.py
+++ b/tests/functional/test_cut_hosts.py
@@ -25,7 +25,7 @@
     gateway = site.entry_by_name[name]._gateway
     peers: Any = gateway.peers
     disks = {member.address for member in gateway.disks.disk_set.members}
-    straight = peers._link
+    straight = peers._get_link
 
     async def cut(address: str) -> Any:
         if address in disks:
@@ -33,9 +33,9 @@
         return await straight(address)
 
     def mend() -> None:
-        peers._link = straight
+        peers._get_link = straight
 
-    peers._link = cut
+    peers._get_link = cut
     return mend
 
 
--- a/tests/functional/test_platform_turns.py
+++ b/tests/functional/test_platform_turns.py
@@ -172,7 +172,7 @@
         gateway = site.entry_by_name["entry-0"]._gateway
         peers = gateway.peers
         disks = {member.address for member in gateway.disks.disk_set.members}
-        straight = peers._link  # type: ignore[attr-defined]
+        straight = peers._get_link  # type: ignore[attr-defined]
 
         # Streams and calls alike go over a link, so the cut is made there.
         async def cut(address: str):  # type: ignore[no-untyped-def]
@@ -185,7 +185,7 @@
                 hello.phase == HostPhase.READY for hello in gateway.gossip.fresh(HostRole.ENTRY)
             )
         )
-        peers._link = cut  # type: ignore[attr-defined]
+        peers._get_link = cut  # type: ignore[attr-defined]
         second = await site.turn(b"two ", first, at="entry-0")
         assert (second.status, second.is_whole) == (200, True)
         assert gateway.turn_recorder._link.relayed >= 2
