--- a/tests/functional/features/memory.feature
+++ b/tests/functional/features/memory.feature
@@ -1,5 +1,5 @@
-Feature: No engine memory stays held for programs that are gone
-  Also where the release was never sent, because the owner had died.
+Feature: Engine memory of ended programs is released
+  Also when the owner died before it sent the release.
 
   Background:
     Given 3 hosts and 2 engines
@@ -7,7 +7,7 @@
     And program "p" of "desk" opened at entry-1
     When call 0 of "p" asks the model "first" at entry-2
 
-  Scenario: A program that ended is swept within seconds
+  Scenario: Memory of an ended program is released within seconds
     When entry-1 is killed
     And call 1 of "p" asks the model "second" at entry-2
     And program "p" is ended at entry-2
@@ -15,7 +15,7 @@
     And 7 seconds pass
     Then no engine holds memory for "p"
 
-  Scenario: A living program keeps its memory, also while its owner is being replaced
+  Scenario: A running program keeps its memory while its owner is replaced
     When an engine holds memory for "p" of a dead owner
     And entry-1 is killed
     And 20 seconds pass
--- a/tests/functional/features/once.feature
+++ b/tests/functional/features/once.feature
@@ -1,5 +1,5 @@
-Feature: What may not be repeated runs at most once
-  And the caller is told the truth about it.
+Feature: A call that may not be repeated runs at most once
+  The refusal tells the caller whether the call may have run.
 
   Background:
     Given 2 hosts and 2 engines
@@ -30,7 +30,7 @@
     Then call 0 of "p" is answered
     And "nav" took effect 1 times
 
-  Scenario: No endpoint can be reached, so it is true that nothing ran
+  Scenario: No endpoint can be reached, so the call is refused as not run
     When endpoint submissions-1 has the fault "down"
     And endpoint submissions-2 has the fault "down"
     And call 0 of "p" submits "nav" at entry-2
@@ -42,16 +42,16 @@
     And call 0 of "p" submits "nav" at entry-2
     Then call 0 of "p" is answered
     And "nav" took effect 1 times
-    And every promise holds
+    And every guarantee holds
 
   Scenario: A lookup is repeated at another endpoint
     When endpoint prices-1 has the fault "die before acting"
     And call 0 of "p" looks "bond-7" up at entry-2
     Then call 0 of "p" is answered
 
-  Scenario: An engine breaks its stream and the text goes on without a gap
+  Scenario: An engine breaks its stream and the text continues without a gap
     When endpoint engine-1 breaks its next stream after 4 tokens
     And endpoint engine-2 breaks its next stream after 4 tokens
     And call 0 of "p" asks the model "first" at entry-2
     Then call 0 of "p" is answered
-    And every promise holds
+    And every guarantee holds
--- a/tests/functional/features/stops.feature
+++ b/tests/functional/features/stops.feature
@@ -1,5 +1,5 @@
 Feature: Planned stops and leaving endpoints
-  A planned stop cuts no request; a leaving endpoint gets no new work after a few seconds.
+  A planned stop fails no request; a leaving endpoint gets no new work after a few seconds.
 
   Background:
     Given 3 hosts and 2 engines
@@ -16,8 +16,8 @@
     When every planned stop has ended
     And call 2 of "p" asks the model "third" at entry-2
     Then call 2 of "p" is answered
-    And every promise holds
-    And the time line is the recorded one
+    And every guarantee holds
+    And the timeline matches the snapshot
 
   Scenario: Every host is replaced in turn while a program runs
     When entry-1 begins a planned stop
@@ -36,7 +36,7 @@
     And call 3 of "p" asks the model "third" at entry-5
     Then call 3 of "p" is answered
     And "nav" took effect 1 times
-    And every promise holds
+    And every guarantee holds
 
   Scenario: The host dies in the middle of its planned stop
     Given program "q" of "desk" opened at entry-1
@@ -48,24 +48,24 @@
     Then call 0 of "q" is answered
     When call 1 of "p" asks the model "second" at entry-3
     Then call 1 of "p" is answered
-    And every promise holds
+    And every guarantee holds
 
   Scenario: An engine is listed as leaving
     When call 0 of "p" asks the model "first" at entry-2
     And the platform lists endpoint engine-1 as leaving
     And 2 seconds pass
     Then endpoint engine-1 got no call after that
-    And every promise holds
+    And every guarantee holds
 
-  Scenario: An engine says itself that it drains
+  Scenario: An engine reports that it is draining
     When endpoint engine-1 has the fault "draining"
     And call 0 of "p" asks the model "first" at entry-2
     And call 1 of "p" asks the model "second" at entry-2
     Then call 1 of "p" is answered
     And endpoint engine-1 got no call after that
-    And every promise holds
+    And every guarantee holds
 
-  Scenario: Two hosts go at the same time, one killed and one stopped
+  Scenario: Two hosts leave at the same time, one killed and one stopped
     Given program "q" of "desk" opened at entry-2
     When call 0 of "p" asks the model "first" at entry-3
     And call 0 of "q" asks the model "other" at entry-3
@@ -76,7 +76,7 @@
     And call 1 of "q" asks the model "another" at entry-3
     Then call 1 of "p" is answered
     And call 1 of "q" is answered
-    And every promise holds
+    And every guarantee holds
 
   Scenario: One host is stopped while it still has to take over from another
     Given program "q" of "desk" opened at entry-2
@@ -92,4 +92,4 @@
     Then call 1 of "p" is answered
     And call 2 of "p" is answered
     And call 1 of "q" is answered
-    And every promise holds
+    And every guarantee holds
--- a/tests/functional/test_accounts.py
+++ b/tests/functional/test_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts on loopback: keys, their end, whose turns are whose, limits over all hosts."""
+"""Client accounts on loopback: API keys, revocation, ownership of turns, limits over all hosts."""
 
 import asyncio
 import itertools
@@ -27,16 +27,18 @@
 
 pytestmark = pytest.mark.functional
 
-TAKEN_AWAY_S = 2.0
+REVOKE_S = 2.0
 _versions = itertools.count(20)
 
 
-def _play(folder: Path, scenario: Callable[[PlatformSite], Awaitable[Any]]) -> None:
-    async def with_keys(site: PlatformSite) -> None:
+def _run_with_accounts(folder: Path, scenario: Callable[[PlatformSite], Awaitable[Any]]) -> None:
+    async def configure_and_run(site: PlatformSite) -> None:
         await _configure(site, DESK, OTHERS)
         await scenario(site)
 
-    run_site(folder, with_keys, bounds={"revoke_strict": True, "revoke_ms": TAKEN_AWAY_S * 1000})
+    run_site(
+        folder, configure_and_run, bounds={"revoke_strict": True, "revoke_ms": REVOKE_S * 1000}
+    )
 
 
 async def _configure(site: PlatformSite, *accounts: dict[str, Any]) -> None:
@@ -51,11 +53,11 @@
     return [run for endpoint in (*site.engines, *site.services) for run in endpoint.runs]
 
 
-def _told(run: Run, name: str) -> list[str]:
+def _header_values(run: Run, name: str) -> list[str]:
     return [value for header, value in run.headers if header.lower() == name]
 
 
-def test_endpoints_learn_the_account_and_never_the_key(tmp_path: Path) -> None:
+def test_endpoints_receive_the_account_but_never_the_key(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         reply = await site.ask(
             "/look/x",
@@ -66,49 +68,53 @@
         assert reply.status == 200
         assert (await site.turn(b"one", Authorization=bearing(SECOND_KEY_OF_DESK))).status == 200
         for run in _runs(site):
-            assert _told(run, "bayhinge-tenant") == ["desk"]
-            assert _told(run, "authorization") == []
-        # The account's urgency goes before the route's, which is 0.
-        assert _told(
+            assert _header_values(run, "bayhinge-tenant") == ["desk"]
+            assert _header_values(run, "authorization") == []
+        # The account's urgency overrides the route's, which is 0.
+        assert _header_values(
             site.engines[0].runs[0] if site.engines[0].runs else site.engines[1].runs[0],
             "bayhinge-request-priority",
         ) == ["3"]
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
 def test_without_a_known_key_nothing_runs(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         assert (await site.ask("/look/x")).status == 401
-        for shown in (bearing("never a key"), f"Basic {KEY_OF_DESK}"):
-            assert (await site.ask("/look/x", Authorization=shown)).status == 401
+        for authorization in (bearing("never a key"), f"Basic {KEY_OF_DESK}"):
+            assert (await site.ask("/look/x", Authorization=authorization)).status == 401
         assert (await site.ask("/nowhere/x", Authorization=bearing(KEY_OF_DESK))).status == 404
         assert _runs(site) == []
         assert (await site.ask("/open/x")).status == 200
         assert (await site.ask("/open/x", Authorization=bearing("never a key"))).status == 200
         assert (await site.ask("/open/x", Authorization=bearing(KEY_OF_OTHERS))).status == 200
-        assert [_told(run, "bayhinge-tenant") for run in _runs(site)] == [[], [], ["others"]]
-        assert all(_told(run, "authorization") == [] for run in _runs(site))
+        assert [_header_values(run, "bayhinge-tenant") for run in _runs(site)] == [
+            [],
+            [],
+            ["others"],
+        ]
+        assert all(_header_values(run, "authorization") == [] for run in _runs(site))
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_a_key_is_passed_on_where_no_configuration_makes_it_ours(tmp_path: Path) -> None:
+def test_authorization_is_forwarded_when_no_accounts_are_configured(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         assert (await site.ask("/look/x", Authorization=bearing(KEY_OF_DESK))).status == 200
-        assert _told(_runs(site)[0], "authorization") == [f"Bearer {KEY_OF_DESK}"]
+        assert _header_values(_runs(site)[0], "authorization") == [f"Bearer {KEY_OF_DESK}"]
 
     run_site(tmp_path, scenario)
 
 
-def test_a_turn_is_there_for_its_account_alone(tmp_path: Path) -> None:
+def test_a_turn_is_visible_only_to_its_account(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ", Authorization=bearing(KEY_OF_DESK))
         assert (await site.turn(b"two ", first, Authorization=bearing(KEY_OF_OTHERS))).status == 404
         assert (
             await site.turn(b"two ", first, at="entry-1", Authorization=bearing(SECOND_KEY_OF_DESK))
         ).status == 200
-        # Also where no disk has the chain whole, and hosts put it together from entries.
+        # Also when no disk has the whole chain and hosts assemble it from entries.
         for disk in site.disk_by_name.values():
             disk._disk.turns._index._turn_by_attempt.clear()
         assert (
@@ -116,10 +122,10 @@
         ).status == 404
         assert (await site.turn(b"three", first, Authorization=bearing(KEY_OF_DESK))).status == 200
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_a_turn_that_was_kept_without_its_account_is_for_nobody_sure(tmp_path: Path) -> None:
+def test_a_turn_recorded_without_an_account_is_refused(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         entry = wire.TurnEntry(
             wire.EntryKind.TURN, "old", "p", 3, None, b"said\n", "i-llm-1", 60.0, None
@@ -127,27 +133,29 @@
         for disk in site.disk_by_name.values():
             await disk._disk.write([entry])
         first = await site.turn(b"one ", Authorization=bearing(KEY_OF_DESK))
-        ghost = type(first)(200, b"", {}, True, "old")
-        assert (await site.turn(b"two ", ghost, Authorization=bearing(KEY_OF_DESK))).status == 503
+        unowned_turn = type(first)(200, b"", {}, True, "old")
+        assert (
+            await site.turn(b"two ", unowned_turn, Authorization=bearing(KEY_OF_DESK))
+        ).status == 503
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_a_program_s_budget_is_not_another_account_s_to_spend(tmp_path: Path) -> None:
+def test_accounts_do_not_share_a_programs_budget(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for _ in range(3):
             reply = await site.turn(b"x", budget=100, most=30, Authorization=bearing(KEY_OF_OTHERS))
             assert reply.status == 200
-        mine = [
+        statuses = [
             (await site.turn(b"x", budget=100, most=30, Authorization=bearing(KEY_OF_DESK))).status
             for _ in range(3)
         ]
-        assert mine == [200] * 3
+        assert statuses == [200] * 3
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_a_key_that_is_taken_away_counts_no_more_and_a_new_one_does(tmp_path: Path) -> None:
+def test_a_revoked_key_is_rejected_and_a_new_key_is_accepted(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await _configure(site, DESK | {"api_keys": [SECOND_KEY_OF_DESK]}, OTHERS)
         for at in site.entry_by_name:
@@ -158,16 +166,16 @@
                 await site.ask("/look/x", at=at, Authorization=bearing(SECOND_KEY_OF_DESK))
             ).status == 200
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_nobody_admits_keys_once_nobody_can_know_of_them(tmp_path: Path) -> None:
+def test_no_host_admits_keys_once_revocations_can_not_be_observed(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         site.store.troubles.hangs_watches = True
         site.store.troubles.refuses_with = 503
-        # What is taken away now no host hears of.
+        # No host can observe this revocation.
         site.store.put("config", "main", with_accounts(next(_versions), OTHERS))
-        await asyncio.sleep(TAKEN_AWAY_S)
+        await asyncio.sleep(REVOKE_S)
         for at in site.entry_by_name:
             reply = await site.ask("/look/x", at=at, Authorization=bearing(KEY_OF_DESK))
             assert reply.status == 503
@@ -181,10 +189,10 @@
         assert len(_runs(site)) == before
         assert (await site.ask("/look/x", Authorization=bearing(KEY_OF_OTHERS))).status == 200
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_a_configuration_that_can_t_be_read_lets_no_key_in(tmp_path: Path) -> None:
+def test_an_unreadable_configuration_admits_no_key(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         site.store.put("config", "main", {"version": "odd", "tenants": 7})
         gateways = [entry._gateway for entry in site.entry_by_name.values()]
@@ -196,54 +204,54 @@
         await _configure(site, DESK, OTHERS)
         assert (await site.ask("/look/x", Authorization=bearing(KEY_OF_DESK))).status == 200
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_a_host_that_the_store_turns_away_goes_by_what_others_know(tmp_path: Path) -> None:
+def test_a_host_that_the_store_rejects_uses_its_peers_freshness_proofs(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         proofs = site.entry_by_name["entry-1"]._gateway.proofs
 
-        async def turned_away(key: str) -> None:
-            raise StoreUnavailableError(key, "turned away")
+        async def reject(key: str) -> None:
+            raise StoreUnavailableError(key, "rejected")
 
-        proofs._store.get = turned_away  # type: ignore[method-assign]
+        proofs._store.get = reject  # type: ignore[method-assign]
         for _ in range(12):
-            await asyncio.sleep(TAKEN_AWAY_S / 6)
+            await asyncio.sleep(REVOKE_S / 6)
             reply = await site.ask("/look/x", at="entry-1", Authorization=bearing(KEY_OF_DESK))
             assert reply.status == 200
         assert proofs.counts.from_peers > 0
-        # It refused a key as soon as the others knew that it was taken away.
+        # It rejects a key as soon as its peers know of the revocation.
         await _configure(site, OTHERS)
         assert (
             await site.ask("/look/x", at="entry-1", Authorization=bearing(KEY_OF_DESK))
         ).status == 401
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_a_request_that_waited_is_looked_at_again_before_it_is_sent(tmp_path: Path) -> None:
-    """A turn waits for its disks, its key is taken away meanwhile: no endpoint may run it."""
+def test_a_key_is_checked_again_before_a_delayed_request_is_sent(tmp_path: Path) -> None:
+    """The key is revoked while the turn waits for its disks: no endpoint may run it."""
 
     async def scenario(site: PlatformSite) -> None:
-        keeper = site.entry_by_name["entry-0"]._gateway.turn_recorder
-        opened, go_on = keeper.open, asyncio.Event()
+        turn_recorder = site.entry_by_name["entry-0"]._gateway.turn_recorder
+        original_open, may_open = turn_recorder.open, asyncio.Event()
 
-        async def waits(*arguments: Any) -> Any:
-            await go_on.wait()
-            return await opened(*arguments)
+        async def delayed_open(*arguments: Any) -> Any:
+            await may_open.wait()
+            return await original_open(*arguments)
 
-        keeper.open = waits  # type: ignore[method-assign,assignment]
+        turn_recorder.open = delayed_open  # type: ignore[method-assign,assignment]
         waiting = asyncio.create_task(site.turn(b"one ", Authorization=bearing(KEY_OF_DESK)))
         await asyncio.sleep(0.1)
         await _configure(site, OTHERS)
-        go_on.set()
+        may_open.set()
         assert (await waiting).status == 401
         assert _runs(site) == []
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_no_key_stands_in_any_log_line(tmp_path: Path) -> None:
+def test_no_key_is_logged(tmp_path: Path) -> None:
     with collected_lines() as lines:
 
         async def scenario(site: PlatformSite) -> None:
@@ -255,14 +263,14 @@
             await site.ask("/look/x", Authorization=bearing(KEY_OF_DESK))
             await site.turn(b"one", Authorization=bearing(KEY_OF_OTHERS))
 
-        _play(tmp_path, scenario)
+        _run_with_accounts(tmp_path, scenario)
     written = repr(lines)
     assert "bears an unknown key" in written
     for key in (*ALL_KEYS, "an-unknown-key-of-somebody"):
         assert key not in written
 
 
-def test_a_limit_holds_over_all_hosts_and_says_when_to_come_again(tmp_path: Path) -> None:
+def test_a_rate_limit_holds_over_all_hosts_and_sets_retry_after(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await _configure(site, DESK | {"rate_per_s": 10, "burst": 5}, OTHERS)
         # Until a new coordinator grants at its full rate.
@@ -286,10 +294,10 @@
         waits = [float(one.headers["Retry-After"]) for one in replies if one.status == 429]
         assert all(0 < wait <= 2 for wait in waits)
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
 
 
-def test_what_reached_no_endpoint_does_not_count(tmp_path: Path) -> None:
+def test_requests_that_reach_no_endpoint_do_not_count_towards_the_limit(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await _configure(site, DESK | {"rate_per_s": 0.1, "burst": 4}, OTHERS)
         await asyncio.sleep(0.3)
@@ -302,4 +310,4 @@
         await asyncio.sleep(1.0)
         assert (await site.ask("/look/x", Authorization=bearing(KEY_OF_DESK))).status == 200
 
-    _play(tmp_path, scenario)
+    _run_with_accounts(tmp_path, scenario)
--- a/tests/functional/test_clock_jumps.py
+++ b/tests/functional/test_clock_jumps.py
@@ -1,4 +1,4 @@
-"""The time of day may jump by hours, on one host and not on another; no decision may rest on it."""
+"""Wall clocks that jump by hours on single hosts; no decision may depend on the wall clock."""
 
 import asyncio
 import itertools
@@ -17,19 +17,19 @@
 
 
 @pytest.fixture(params=JUMPS_BY_KIND)
-def odd_clock(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
+def jumping_clock(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
     jump(monkeypatch, request.param)
 
 
-@pytest.mark.usefixtures("odd_clock")
-def test_turns_budgets_and_news_do_not_rest_on_the_time_of_day(tmp_path: Path) -> None:
+@pytest.mark.usefixtures("jumping_clock")
+def test_turns_budgets_and_updates_do_not_depend_on_the_wall_clock(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for service in site.services:
             service.troubles.pause_s = 0.4
-        patient = await asyncio.gather(
+        replies = await asyncio.gather(
             *(site.ask("/act/x", Bayhinge_Deadline_Ms="2000") for _ in range(4))
         )
-        assert [reply.status for reply in patient] == [200] * 4
+        assert [reply.status for reply in replies] == [200] * 4
         for service in site.services:
             service.troubles.pause_s = 0.0
             for run in service.runs:
@@ -57,35 +57,35 @@
     run_site(tmp_path, scenario)
 
 
-@pytest.mark.usefixtures("odd_clock")
-def test_what_disks_keep_does_not_expire_by_the_time_of_day(
+@pytest.mark.usefixtures("jumping_clock")
+def test_retained_turns_do_not_expire_by_the_wall_clock(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    told_s: dict[int, list[float]] = {}
+    expire_calls_s: dict[int, list[float]] = {}
     expire = turn_log.TurnLog.expire
 
-    def note(log: turn_log.TurnLog, now_s: float) -> int:
-        told_s.setdefault(id(log), []).append(now_s)
+    def recording_expire(log: turn_log.TurnLog, now_s: float) -> int:
+        expire_calls_s.setdefault(id(log), []).append(now_s)
         return expire(log, now_s)
 
-    monkeypatch.setattr(turn_log.TurnLog, "expire", note)
+    monkeypatch.setattr(turn_log.TurnLog, "expire", recording_expire)
 
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ", program="p-1")
-        # Disks look for what has expired every second or so.
+        # Disks check for expired turns about once a second.
         await asyncio.sleep(4.0)
         second = await site.turn(b"two ", first, program="p-1")
         assert (second.status, second.is_whole) == (200, True)
 
     run_site(tmp_path, scenario)
-    assert len(told_s) == 3
-    for each in told_s.values():
-        assert len(each) >= 3
-        assert all(0.0 < later - sooner < 5.0 for sooner, later in itertools.pairwise(each))
+    assert len(expire_calls_s) == 3
+    for calls_s in expire_calls_s.values():
+        assert len(calls_s) >= 3
+        assert all(0.0 < later - sooner < 5.0 for sooner, later in itertools.pairwise(calls_s))
 
 
-@pytest.mark.usefixtures("odd_clock")
-def test_connections_are_kept_and_a_planned_stop_cuts_nothing(tmp_path: Path) -> None:
+@pytest.mark.usefixtures("jumping_clock")
+def test_connections_are_reused_and_a_planned_stop_fails_no_request(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         connection_pool = site.entry_by_name["entry-0"]._gateway.connection_pool
         for _ in range(20):
--- a/tests/functional/test_cut_hosts.py
+++ b/tests/functional/test_cut_hosts.py
@@ -1,7 +1,6 @@
-"""Hosts that are cut from the disks, with real sockets.
+"""Hosts that are partitioned from the disks, with real sockets.
 
-Users saw a site whose every third host was cut from the disks for twelve seconds: callers were
-still sent there, each turn went the long way round, and through relays that were cut off too.
+Callers must be sent to other hosts, and a relay must itself reach the disks.
 """
 
 import asyncio
@@ -20,43 +19,43 @@
 HOSTS = ("entry-0", "entry-1", "entry-2")
 
 
-def cut_from_disks(site: PlatformSite, name: str) -> Callable[[], None]:
-    """Cuts a host from every disk; returns what ends the cut."""
+def partition_from_disks(site: PlatformSite, name: str) -> Callable[[], None]:
+    """Partitions a host from every disk; returns a function that ends the partition."""
     gateway = site.entry_by_name[name]._gateway
     peers: Any = gateway.peers
     disks = {member.address for member in gateway.disks.disk_set.members}
-    straight = peers._get_link
+    original_get_link = peers._get_link
 
-    async def cut(address: str) -> Any:
+    async def get_link(address: str) -> Any:
         if address in disks:
-            raise PeerUnreachableError(address, "cut", sent=False)
-        return await straight(address)
+            raise PeerUnreachableError(address, "partitioned", sent=False)
+        return await original_get_link(address)
 
-    def mend() -> None:
-        peers._get_link = straight
+    def heal() -> None:
+        peers._get_link = original_get_link
 
-    peers._get_link = cut
-    return mend
+    peers._get_link = get_link
+    return heal
 
 
-async def all_know_each_other(site: PlatformSite) -> None:
+async def wait_until_all_hosts_are_known(site: PlatformSite) -> None:
     gateways = [site.entry_by_name[name]._gateway for name in HOSTS]
     await site.until(lambda: all(len(one.addresses("north", "land")) == 3 for one in gateways))
 
 
-def test_callers_are_told_of_other_hosts_until_the_cut_is_over(tmp_path: Path) -> None:
+def test_callers_are_sent_to_other_hosts_while_a_host_is_partitioned(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        await all_know_each_other(site)
-        mend = cut_from_disks(site, "entry-2")
+        await wait_until_all_hosts_are_known(site)
+        heal = partition_from_disks(site, "entry-2")
         first = await site.turn(b"one ", at="entry-2")
-        assert first.status == 200, "whoever comes all the same is served"
+        assert first.status == 200, "a caller that uses the host anyway is served"
         address = site.address("entry-2").removeprefix("http://")
         gateway = site.entry_by_name["entry-0"]._gateway
         own = site.entry_by_name["entry-2"]._gateway
         await site.until(lambda: address not in gateway.addresses("north", "land"), limit_s=2.0)
         assert address not in own.addresses("north", "land")
-        mend()
-        # No request comes to it now, so it must find out by itself.
+        heal()
+        # It gets no requests now, so it must detect the recovery by itself.
         await site.until(lambda: address in gateway.addresses("north", "land"), limit_s=3.0)
 
     run_site(tmp_path, scenario, entries=3)
@@ -68,10 +67,10 @@
     monkeypatch.setattr(disk_directory, "REACH_PERIOD_S", 30.0)
 
     async def scenario(site: PlatformSite) -> None:
-        await all_know_each_other(site)
-        # The only other host of its hall is cut off as well.
+        await wait_until_all_hosts_are_known(site)
+        # The only other host of its hall is partitioned as well.
         for name in ("entry-0", "entry-2"):
-            cut_from_disks(site, name)
+            partition_from_disks(site, name)
             await site.turn(b"one ", at=name)
         gateway = site.entry_by_name["entry-2"]._gateway
         heartbeats = gateway.gossip.recent_heartbeats
--- a/tests/functional/test_cut_streams.py
+++ b/tests/functional/test_cut_streams.py
@@ -1,4 +1,4 @@
-"""A stream's first run, cut at each of its bytes on a real connection; another run goes on."""
+"""A stream's first run, cut at each byte on a real connection, and resumed by another run."""
 
 import asyncio
 import socket
@@ -47,35 +47,37 @@
     return bool(end) and (not body or body.endswith((b"\n\n", b"\r\n\r\n")))
 
 
-async def play(
-    make: Callable[[int, int], bytes], cut: int, resets: bool, has: int | None
+async def run_cut_stream(
+    build_answer: Callable[[int, int], bytes], cut: int, resets: bool, resume_after: int | None
 ) -> tuple[Caller, StreamDelivery, int]:
-    asked = 0
+    request_count = 0
 
-    async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal asked
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal request_count
         head = await reader.readuntil(b"\r\n\r\n")
-        asked += 1
-        after = [line for line in head.split(b"\r\n") if line.lower().startswith(b"last-event-id")]
-        first = int(after[0].split(b":")[1]) + 1 if after else 1
-        text = make(asked, first)
-        if asked == 1:
+        request_count += 1
+        resume_lines = [
+            line for line in head.split(b"\r\n") if line.lower().startswith(b"last-event-id")
+        ]
+        first = int(resume_lines[0].split(b":")[1]) + 1 if resume_lines else 1
+        text = build_answer(request_count, first)
+        if request_count == 1:
             text = text[:cut]
         writer.write(text)
         await writer.drain()
-        if asked == 1 and resets:
+        if request_count == 1 and resets:
             await asyncio.sleep(0.005)
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
         writer.close()
 
-    server = await asyncio.start_server(wire, "127.0.0.1", 0)
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     endpoint_table, connection_pool = EndpointTable("north"), EndpointConnectionPool()
     for name in ("e-1", "e-2"):
         endpoint_table.put(EndpointEntry(name, "llm", f"127.0.0.1:{port}", "north", 4, False))
     caller = Caller()
-    request = RoutedRequest("GET", "/x", "host", (), "mine", resume_after=has)
+    request = RoutedRequest("GET", "/x", "host", (), "mine", resume_after=resume_after)
     delivery = delivery_to(caller, request)
     limit_s = asyncio.get_running_loop().time() + 2
     sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
@@ -85,37 +87,37 @@
         caller.is_whole = False
     connection_pool.close()
     server.close()
-    return caller, delivery, asked
+    return caller, delivery, request_count
 
 
-@pytest.mark.parametrize("has", [None, 1, 2])
+@pytest.mark.parametrize("resume_after", [None, 1, 2])
 @pytest.mark.parametrize("resets", [False, True], ids=["closed", "reset"])
-@pytest.mark.parametrize("make", [chunked, with_length, until_close])
-def test_each_event_is_one_that_a_run_made_wherever_the_first_run_is_cut(
-    make: Callable[[int, int], bytes], resets: bool, has: int | None
+@pytest.mark.parametrize("build_answer", [chunked, with_length, until_close])
+def test_each_event_comes_whole_from_one_run_wherever_the_first_run_is_cut(
+    build_answer: Callable[[int, int], bytes], resets: bool, resume_after: int | None
 ) -> None:
-    odd: dict[int, tuple[bool, bytes]] = {}
+    wrong_answers_by_cut: dict[int, tuple[bool, bytes]] = {}
 
     async def main() -> None:
-        whole = make(1, (has or 0) + 1)
+        whole = build_answer(1, (resume_after or 0) + 1)
         for cut in range(len(whole)):
-            caller, delivery, _ = await play(make, cut, resets, has)
+            caller, delivery, _ = await run_cut_stream(build_answer, cut, resets, resume_after)
             text = caller.body.replace(b": beat\n\n", b"")
             expected = set()
-            for mask in range(EVENTS + 2):
-                made = b"".join(
-                    event(number, 1 if number <= mask else 2)
-                    for number in range((has or 0) + 1, EVENTS + 1)
+            for events_of_first_run in range(EVENTS + 2):
+                body = b"".join(
+                    event(number, 1 if number <= events_of_first_run else 2)
+                    for number in range((resume_after or 0) + 1, EVENTS + 1)
                 )
-                expected.add(made)
-            tokens = 3 * (EVENTS - (has or 0))
-            if make is until_close and not resets and ends_between_events(whole[:cut]):
-                # Without a length a polite close is the answer's end, also in its middle.
+                expected.add(body)
+            tokens = 3 * (EVENTS - (resume_after or 0))
+            if build_answer is until_close and not resets and ends_between_events(whole[:cut]):
+                # Without a length, a clean close ends the answer at any point.
                 text_of_first = whole[:cut].partition(b"\r\n\r\n")[2]
                 expected, tokens = {text_of_first}, 3 * text_of_first.count(b"id: ")
             is_right = text in expected and delivery.tokens_delivered == tokens
             if not (caller.is_whole and is_right):
-                odd[cut] = (caller.is_whole, caller.body)
+                wrong_answers_by_cut[cut] = (caller.is_whole, caller.body)
 
     asyncio.run(main())
-    assert odd == {}
+    assert wrong_answers_by_cut == {}
--- a/tests/functional/test_daemon.py
+++ b/tests/functional/test_daemon.py
@@ -1,4 +1,4 @@
-"""Real daemon processes on loopback: killed, stopped, and called with stale addresses."""
+"""Daemon processes on loopback that are killed and stopped, and callers with stale addresses."""
 
 import asyncio
 import signal
@@ -78,7 +78,7 @@
             line = await asyncio.to_thread(self.process.stderr.readline)
             if " serves at " in line:
                 return line.split()[-1]
-            assert line, "the daemon ended before it served"
+            assert line, "the daemon result before it served"
 
     def stop(self, number: signal.Signals) -> int:
         self.process.send_signal(number)
@@ -104,7 +104,7 @@
             await asyncio.sleep(0.3)
             stopped = await asyncio.to_thread(daemons[1].stop, signal.SIGTERM)
             assert stopped == status_codes.EXIT_OK
-            # The caller still has the addresses of the two that are gone.
+            # The caller still has the addresses of the two result daemons.
             reports = await asyncio.gather(*running)
             assert all(report.finished for report in reports)
             record = world.tools_by_service["submissions"][0].record
@@ -123,17 +123,17 @@
     asyncio.run(scenario())
 
 
-def test_bad_settings_end_the_daemon_with_every_finding(tmp_path: Path) -> None:
+def test_invalid_settings_end_the_daemon_and_every_error_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "host.ini"
     path.write_text("[host]\nname = Entry One\n[store]\nurl = nowhere\n", encoding="utf-8")
     command = "from bayhinge._internal.cli.daemon import main; main()"
-    ended = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", command, "--settings", str(path)],
         capture_output=True,
         text=True,
         check=False,
     )
-    assert ended.returncode == status_codes.EXIT_BAD_SETTINGS
-    assert f"{path}:2 [host] name: 'Entry One' is not a valid name" in ended.stderr
-    assert f"{path}:4 [store] url: 'nowhere' is not an HTTP URL" in ended.stderr
-    assert "section is missing" in ended.stderr
+    assert result.returncode == status_codes.EXIT_BAD_SETTINGS
+    assert f"{path}:2 [host] name: 'Entry One' is not a valid name" in result.stderr
+    assert f"{path}:4 [store] url: 'nowhere' is not an HTTP URL" in result.stderr
+    assert "section is missing" in result.stderr
--- a/tests/functional/test_demo.py
+++ b/tests/functional/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration, as a newcomer runs it."""
+"""Runs the demo from start to end."""
 
 import asyncio
 import json
--- a/tests/functional/test_early_listening.py
+++ b/tests/functional/test_early_listening.py
@@ -1,7 +1,6 @@
-"""Callers that come while a host is still loading wait for it, and are not refused.
+"""Callers that connect while a host is still loading wait for it instead of being refused.
 
-After a loss of all power every host loads at the same moment. Callers went from one host to the
-next, were refused at each, and their programs failed after a few tries of some milliseconds.
+Otherwise callers run out of hosts to try when all hosts start at the same time.
 """
 
 import asyncio
@@ -17,7 +16,7 @@
 pytestmark = pytest.mark.functional
 
 
-class Greeter(ExchangeHandler):
+class FixedAnswer(ExchangeHandler):
     async def handle(self, exchange: Exchange) -> None:
         await exchange.respond(200, (), b"well come")
 
@@ -28,7 +27,7 @@
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-def test_a_request_that_comes_before_the_host_can_serve_is_served() -> None:
+def test_a_request_sent_before_the_host_can_serve_is_served() -> None:
     async def scenario() -> bytes:
         address = free_address()
         sockets = PreboundSockets()
@@ -38,7 +37,7 @@
         writer.write(b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         await writer.drain()
         await asyncio.sleep(0.2)
-        front = RoutedFront(address, Greeter(), sockets)
+        front = RoutedFront(address, FixedAnswer(), sockets)
         assert await front.start() == address
         answer = await asyncio.wait_for(reader.read(), 2.0)
         writer.close()
@@ -50,7 +49,7 @@
     assert answer.endswith(b"well come")
 
 
-def test_the_settings_name_what_listens_early_and_readiness_does_not(
+def test_the_frontend_and_directory_listen_early_and_readiness_does_not(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     front, directory, ready = free_address(), free_address(), free_address()
@@ -60,9 +59,9 @@
     )
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
     sockets = listen_early()
-    taken = [sockets.take(address) for address in (front, directory, ready)]
-    assert [one is not None for one in taken] == [True, True, False]
-    for one in taken:
+    prebound = [sockets.take(address) for address in (front, directory, ready)]
+    assert [one is not None for one in prebound] == [True, True, False]
+    for one in prebound:
         if one is not None:
             one.close()
 
@@ -70,7 +69,7 @@
 @pytest.mark.parametrize(
     "text", ["", "listen = 3", "[listen]\nfrontend = 7", '[listen]\nfrontend = "x"', "no toml"]
 )
-def test_odd_settings_are_left_to_the_program(
+def test_invalid_settings_are_left_to_the_program(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, text: str
 ) -> None:
     path = tmp_path / "local.toml"
--- a/tests/functional/test_endpoint_link.py
+++ b/tests/functional/test_endpoint_link.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that answer late, twice, crossed, cut, or with other bytes."""
+"""Connections to endpoints whose answers are late, duplicate, swapped, truncated or malformed."""
 
 import asyncio
 import socket
@@ -54,7 +54,7 @@
     return connection, await connection.next_answer()
 
 
-def test_a_kept_connection_serves_one_request_after_the_other() -> None:
+def test_an_idle_connection_is_reused() -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await read_request(reader)
@@ -62,30 +62,30 @@
 
     async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
         for _ in range(3):
-            connection, got = await ask(connection_pool, address)
-            assert await got.read_body() == b"body"
+            connection, received = await ask(connection_pool, address)
+            assert await received.read_body() == b"body"
             connection_pool.release(connection, None)
         assert (connection_pool.counts.opened, connection_pool.counts.reused) == (1, 2)
 
     run(wire, scenario)
 
 
-def test_a_surplus_answer_ends_the_connection() -> None:
+def test_a_surplus_answer_closes_the_connection() -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(answer("a") + answer("surplus"))
         await reader.read()
 
     async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
-        connection, got = await ask(connection_pool, address)
-        assert await got.read_body() == b"body"
+        connection, received = await ask(connection_pool, address)
+        assert await received.read_body() == b"body"
         connection_pool.release(connection, None)
         assert not connection.is_open
 
     run(wire, scenario)
 
 
-def test_a_surplus_answer_that_comes_later_ends_the_idle_connection() -> None:
+def test_a_surplus_answer_that_arrives_later_closes_the_idle_connection() -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(answer("a"))
@@ -94,8 +94,8 @@
         await reader.read()
 
     async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
-        connection, got = await ask(connection_pool, address)
-        await got.read_body()
+        connection, received = await ask(connection_pool, address)
+        await received.read_body()
         connection_pool.release(connection, None)
         await asyncio.sleep(0.1)
         assert not connection.is_open
@@ -103,7 +103,7 @@
     run(wire, scenario)
 
 
-def test_a_late_answer_in_the_place_of_the_next_one_is_told_by_its_id() -> None:
+def test_a_late_answer_is_recognized_by_its_attempt_id() -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(answer("late", b"other") + answer("mine", b"own"))
@@ -128,7 +128,7 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nfour\r\n",
     ],
 )
-def test_a_body_that_is_cut_short_or_spoiled_is_not_whole(bytes_sent: bytes) -> None:
+def test_a_truncated_or_malformed_body_is_incomplete(bytes_sent: bytes) -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(bytes_sent)
@@ -137,14 +137,14 @@
 
     async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
         with pytest.raises(IncompleteAnswerError):
-            _, got = await ask(connection_pool, address)
-            await got.read_body()
+            _, received = await ask(connection_pool, address)
+            await received.read_body()
 
     run(wire, scenario)
 
 
 @pytest.mark.parametrize("resets", [False, True])
-def test_an_answer_without_a_length_is_whole_only_after_a_clean_close(resets: bool) -> None:
+def test_an_answer_without_a_length_is_complete_only_after_a_clean_close(resets: bool) -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nsome")
@@ -156,18 +156,18 @@
         writer.close()
 
     async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
-        _, got = await ask(connection_pool, address)
+        _, received = await ask(connection_pool, address)
         if resets:
             with pytest.raises(IncompleteAnswerError):
-                await got.read_body()
+                await received.read_body()
         else:
-            assert await got.read_body() == b"some"
+            assert await received.read_body() == b"some"
 
     run(wire, scenario)
 
 
 @pytest.mark.parametrize("bytes_sent", [b"", b"nonsense\r\n\r\n", b"HTTP/1.1 2x0 OK\r\n\r\n"])
-def test_no_answer_and_bytes_that_are_none_are_broken(bytes_sent: bytes) -> None:
+def test_a_missing_or_malformed_answer_is_incomplete(bytes_sent: bytes) -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(bytes_sent)
@@ -180,7 +180,7 @@
     run(wire, scenario)
 
 
-def test_an_early_answer_leaves_no_connection_whose_body_is_still_due() -> None:
+def test_a_connection_is_not_reused_after_an_answer_to_a_partly_sent_body() -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_request(reader)
         writer.write(answer("a"))
@@ -189,15 +189,15 @@
     async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
         connection = await connection_pool.acquire("e-1", address)
         connection.send(b"POST / HTTP/1.1\r\nHost: x\r\n\r\n", b"x" * 20_000_000)
-        got = await connection.next_answer()
-        await got.read_body()
+        received = await connection.next_answer()
+        await received.read_body()
         connection_pool.release(connection, None)
         assert not connection.is_open
 
     run(wire, scenario)
 
 
-def test_nobody_there_is_sure_not_to_have_run() -> None:
+def test_a_refused_connection_counts_as_unreachable() -> None:
     async def main() -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
@@ -216,8 +216,8 @@
         writer.close()
 
     async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
-        connection, got = await ask(connection_pool, address)
-        await got.read_body()
+        connection, received = await ask(connection_pool, address)
+        await received.read_body()
         connection_pool.release(connection, None)
         await asyncio.sleep(0.15)
         assert await connection_pool.acquire("e-1", address) is not connection
@@ -234,14 +234,14 @@
 
     async def scenario(connection_pool: EndpointConnectionPool, address: str) -> None:
         other = await asyncio.start_server(wire, "127.0.0.1", 0)
-        kept, got = await ask(connection_pool, address)
-        await got.read_body()
+        kept, received = await ask(connection_pool, address)
+        await received.read_body()
         connection_pool.release(kept, None)
         port = other.sockets[0].getsockname()[1]
-        connection, got = await ask(connection_pool, f"127.0.0.1:{port}")
+        connection, received = await ask(connection_pool, f"127.0.0.1:{port}")
         assert connection is not kept
         assert not kept.is_open
-        await got.read_body()
+        await received.read_body()
         other.close()
 
     run(wire, scenario)
--- a/tests/functional/test_endpoint_restarts.py
+++ b/tests/functional/test_endpoint_restarts.py
@@ -1,6 +1,6 @@
-"""Endpoints that start again under their id, with real sockets.
+"""Endpoints that restart under the same id, with real sockets.
 
-A former start is dark: its connections stay open, are acknowledged, and never bring anything.
+Connections to the former incarnation stay open and are acknowledged, but never deliver anything.
 """
 
 import asyncio
@@ -20,14 +20,14 @@
 
 pytestmark = pytest.mark.functional
 
-AT_ONCE_S = 0.7
-"""Time for the news to reach a host and for a request to end, or to be served elsewhere: watches
-pause for up to 0.2 s behind a change, and the others hear of it some tenths later."""
+PROMPT_S = 0.7
+"""Time for an update to reach a host and for a request to end or to fail over. Watches pause for up
+to 0.2 s after a change, and other hosts receive it some tenths of a second later."""
 
-CLEAR_S = CLOCK_SKEW_S + 0.15
-"""A start so long after something surely came after it."""
+AFTER_SKEW_S = CLOCK_SKEW_S + 0.15
+"""An incarnation that begins this long after an event is recognized as later."""
 
-LONG_S = 30.0
+LONG_PAUSE_S = 30.0
 
 
 def now_ms() -> int:
@@ -38,10 +38,10 @@
     site.store.put("servers", endpoint.instance, endpoint.entry())
 
 
-async def is_known(site: PlatformSite, endpoint: PlatformEngine) -> None:
-    """Waits until every entry host knows an endpoint's newest start and address."""
+async def wait_until_known(site: PlatformSite, endpoint: PlatformEngine) -> None:
+    """Waits until every entry host knows an endpoint's newest incarnation and address."""
 
-    def known() -> bool:
+    def is_known_everywhere() -> bool:
         entries = [
             entry._gateway.endpoint_table.last_entry(endpoint.instance)
             for entry in site.entry_by_name.values()
@@ -53,39 +53,39 @@
             for entry in entries
         )
 
-    await site.until(known)
+    await site.until(is_known_everywhere)
 
 
-async def with_starts(site: PlatformSite) -> None:
-    """All endpoints say since when they run."""
+async def announce_incarnations(site: PlatformSite) -> None:
+    """Announces an incarnation of every endpoint and waits until all hosts know them."""
     endpoints = [*site.engines, *site.services]
     for endpoint in endpoints:
         endpoint.born_ms = now_ms() - 60_000
         announce(site, endpoint)
     for endpoint in endpoints:
-        await is_known(site, endpoint)
+        await wait_until_known(site, endpoint)
 
 
-async def waiting_turn(site: PlatformSite) -> tuple[asyncio.Task[Reply], PlatformEngine]:
+async def start_waiting_turn(site: PlatformSite) -> tuple[asyncio.Task[Reply], PlatformEngine]:
     """Returns a turn that waits at an endpoint, and that endpoint."""
     for engine in site.engines:
-        engine.troubles = EngineTroubles(pause_s=LONG_S)
+        engine.troubles = EngineTroubles(pause_s=LONG_PAUSE_S)
     waiting = asyncio.create_task(site.turn(b"hello", at="entry-0"))
     engine = await asked(site.engines)
-    await asyncio.sleep(CLEAR_S)
+    await asyncio.sleep(AFTER_SKEW_S)
     engine.troubles = EngineTroubles()
     return waiting, engine
 
 
-async def ended(waiting: asyncio.Task[Reply]) -> Reply:
-    """Returns an answer that must come at once."""
-    finished, _ = await asyncio.wait([waiting], timeout=AT_ONCE_S)
-    assert finished, "it still waits at a start that is over"
+async def wait_for_prompt_answer(waiting: asyncio.Task[Reply]) -> Reply:
+    """Returns an answer that must arrive within ``PROMPT_S``."""
+    finished, _ = await asyncio.wait([waiting], timeout=PROMPT_S)
+    assert finished, "it still waits at an ended incarnation"
     return await waiting
 
 
-async def turns_at_once(site: PlatformSite, count: int) -> list[int]:
-    """Returns the statuses of turns that come together, so that all endpoints are needed."""
+async def concurrent_turn_statuses(site: PlatformSite, count: int) -> list[int]:
+    """Returns the statuses of concurrent turns, which need all endpoints."""
     for engine in site.engines:
         engine.troubles = EngineTroubles(pause_s=0.1)
     asked = (
@@ -100,41 +100,43 @@
     assert "Retry-After" not in reply.headers
 
 
-def play(tmp_path: Path, scenario: Callable[[PlatformSite], Awaitable[None]]) -> None:
+def run_with_incarnations(
+    tmp_path: Path, scenario: Callable[[PlatformSite], Awaitable[None]]
+) -> None:
     async def main(site: PlatformSite) -> None:
-        await with_starts(site)
+        await announce_incarnations(site)
         await scenario(site)
 
     run_site(tmp_path, main)
 
 
-def test_a_turn_that_waits_at_a_former_start_ends_at_once_and_may_have_run(
+def test_a_turn_waiting_at_a_former_incarnation_ends_at_once_and_may_have_run(
     tmp_path: Path,
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
-        waiting, engine = await waiting_turn(site)
+        waiting, engine = await start_waiting_turn(site)
         await engine.restart(now_ms())
         announce(site, engine)
-        assert_may_have_run(await ended(waiting))
+        assert_may_have_run(await wait_for_prompt_answer(waiting))
         endpoint_table = site.entry_by_name["entry-0"]._gateway.endpoint_table
         assert not endpoint_table.ejected(asyncio.get_running_loop().time()), (
-            "that was the former start"
+            "the failure belongs to the former incarnation"
         )
-        assert await turns_at_once(site, 4) == [200] * 4
+        assert await concurrent_turn_statuses(site, 4) == [200] * 4
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_a_lookup_that_waits_at_a_former_start_goes_on_elsewhere_at_once(tmp_path: Path) -> None:
+def test_a_lookup_waiting_at_a_former_incarnation_fails_over_at_once(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        # Opens connections that are old by the time of the restart.
+        # Opens connections that are older than the restart.
         for service in site.services:
             service.troubles = EngineTroubles(pause_s=0.1)
         await asyncio.gather(*(site.ask("/look/x", method="GET") for _ in range(4)))
-        await asyncio.sleep(CLEAR_S)
+        await asyncio.sleep(AFTER_SKEW_S)
         for service in site.services:
             service.runs.clear()
-            service.troubles = EngineTroubles(pause_s=LONG_S)
+            service.troubles = EngineTroubles(pause_s=LONG_PAUSE_S)
         waiting = asyncio.create_task(site.ask("/look/x", method="GET"))
         service = await asked(site.services)
         began_s = asyncio.get_running_loop().time()
@@ -142,21 +144,21 @@
         service.troubles = EngineTroubles()
         announce(site, service)
         assert (await waiting).status == 200
-        # Twice its objective would pass until a silent endpoint is left.
-        assert asyncio.get_running_loop().time() - began_s < AT_ONCE_S
+        # Failover from a silent endpoint would take twice the latency objective.
+        assert asyncio.get_running_loop().time() - began_s < PROMPT_S
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_a_stream_that_a_former_start_left_in_its_middle_ends_at_once_and_not_whole(
+def test_a_stream_interrupted_by_a_restart_ends_at_once_and_incomplete(
     tmp_path: Path,
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
-        # The connection is older than the restart; what it brought last is not.
+        # The connection is older than the restart; its last data is not.
         for engine in site.engines:
             engine.troubles = EngineTroubles(pause_s=0.1)
         await asyncio.gather(*(site.turn(b"x", program=f"q{number}") for number in range(4)))
-        await asyncio.sleep(CLEAR_S)
+        await asyncio.sleep(AFTER_SKEW_S)
         for engine in site.engines:
             engine.runs.clear()
             engine.troubles = EngineTroubles(silent_after=2)
@@ -166,47 +168,47 @@
         await engine.restart(now_ms())
         engine.troubles = EngineTroubles()
         announce(site, engine)
-        reply = await ended(waiting)
+        reply = await wait_for_prompt_answer(waiting)
         assert (reply.status, reply.is_whole) == (200, False)
         assert reply.body == b"".join(engine.runs[0].made)
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_the_next_start_may_be_asked_for_what_the_former_one_did_not_give(
+def test_a_lookup_may_be_retried_at_the_new_incarnation(
     tmp_path: Path,
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
         await only_one_service(site)
         (service,) = site.services
         assert (await site.ask("/look/x", method="GET")).status == 200
-        await asyncio.sleep(CLEAR_S)
+        await asyncio.sleep(AFTER_SKEW_S)
         service.runs.clear()
-        service.troubles = EngineTroubles(pause_s=LONG_S)
+        service.troubles = EngineTroubles(pause_s=LONG_PAUSE_S)
         waiting = asyncio.create_task(site.ask("/look/x", method="GET"))
         await asked(site.services)
         await service.restart(now_ms())
         service.troubles = EngineTroubles()
         announce(site, service)
-        assert (await ended(waiting)).status == 200
+        assert (await wait_for_prompt_answer(waiting)).status == 200
         assert len(service.runs) == 2
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_a_request_that_was_sent_to_the_new_start_before_its_news_goes_on(
+def test_a_request_sent_to_the_new_incarnation_before_its_entry_arrives_continues(
     tmp_path: Path,
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
         for engine in site.engines:
             await engine.restart(now_ms())
             engine.troubles = EngineTroubles(pause_s=0.3)
-        await asyncio.sleep(CLEAR_S)
+        await asyncio.sleep(AFTER_SKEW_S)
         waiting = asyncio.create_task(site.turn(b"hello"))
         engine = await asked(site.engines)
         for one in site.engines:
             announce(site, one)
-        await is_known(site, engine)
+        await wait_until_known(site, engine)
         endpoint_table = site.entry_by_name["entry-0"]._gateway.endpoint_table
         state = endpoint_table.find(engine.instance)
         assert state is not None and state.running_here == 1
@@ -214,65 +216,67 @@
         assert (reply.status, reply.is_whole) == (200, True)
         assert sum(len(one.runs) for one in site.engines) == 1
         assert state.running_here == 0
-        # The next turn knows where its history was read.
+        # The recorded turn names the incarnation that ran it.
         places = [
             disk._disk.turns.chain(reply.attempt).run_at for disk in site.disk_by_name.values()
         ]
         assert EndpointIncarnation(engine.instance, engine.born_ms) in places
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_kept_connections_to_a_former_start_are_not_used_again(tmp_path: Path) -> None:
+def test_idle_connections_to_a_former_incarnation_are_not_reused(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         assert (await site.ask("/act/x", b"pay")).status == 200
         service = await asked(site.services)
-        await asyncio.sleep(CLEAR_S)
+        await asyncio.sleep(AFTER_SKEW_S)
         await service.restart(now_ms())
         announce(site, service)
-        await is_known(site, service)
+        await wait_until_known(site, service)
         site.services.remove(service)
         site.services.insert(0, service)
         await only_one_service(site)
-        assert (await ended(asyncio.create_task(site.ask("/act/x", b"pay")))).status == 200
+        assert (
+            await wait_for_prompt_answer(asyncio.create_task(site.ask("/act/x", b"pay")))
+        ).status == 200
         assert len(service.runs) == 2
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_the_same_id_at_another_address(tmp_path: Path) -> None:
+def test_a_restart_under_the_same_id_at_another_address(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        waiting, engine = await waiting_turn(site)
+        waiting, engine = await start_waiting_turn(site)
         await engine.restart(now_ms(), moves=True)
         announce(site, engine)
-        assert_may_have_run(await ended(waiting))
-        await is_known(site, engine)
+        assert_may_have_run(await wait_for_prompt_answer(waiting))
+        await wait_until_known(site, engine)
         engine.runs.clear()
-        assert await turns_at_once(site, 8) == [200] * 8
+        assert await concurrent_turn_statuses(site, 8) == [200] * 8
         assert engine.runs
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_another_id_at_the_same_address(tmp_path: Path) -> None:
+def test_a_restart_under_another_id_at_the_same_address(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        waiting, engine = await waiting_turn(site)
+        waiting, engine = await start_waiting_turn(site)
         await engine.restart(now_ms())
         former, engine.instance = engine.instance, "i-llm-9"
         announce(site, engine)
-        assert_may_have_run(await ended(waiting))
-        assert await turns_at_once(site, 8) == [200] * 8
+        assert_may_have_run(await wait_for_prompt_answer(waiting))
+        assert await concurrent_turn_statuses(site, 8) == [200] * 8
         endpoint_tables = [entry._gateway.endpoint_table for entry in site.entry_by_name.values()]
         assert all(endpoint_table.find(former) for endpoint_table in endpoint_tables), (
-            "its entry has not gone yet"
+            "its entry is not removed yet"
         )
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_the_same_id_elsewhere_while_another_one_takes_its_address(tmp_path: Path) -> None:
+def test_a_restart_elsewhere_while_a_new_endpoint_reuses_the_address(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        waiting, engine = await waiting_turn(site)
+        waiting, engine = await start_waiting_turn(site)
         left_port = engine.port
         await engine.restart(now_ms(), moves=True)
         newcomer = PlatformEngine("i-llm-9", "llm")
@@ -280,66 +284,66 @@
         await newcomer.start()
         site.engines.append(newcomer)
         announce(site, newcomer)
-        assert_may_have_run(await ended(waiting))
+        assert_may_have_run(await wait_for_prompt_answer(waiting))
         announce(site, engine)
-        await is_known(site, engine)
-        assert await turns_at_once(site, 9) == [200] * 9
+        await wait_until_known(site, engine)
+        assert await concurrent_turn_statuses(site, 9) == [200] * 9
         assert all(one.runs for one in site.engines)
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_twice_within_a_heartbeat_and_then_an_entry_that_is_late(tmp_path: Path) -> None:
+def test_two_restarts_within_a_heartbeat_and_a_late_entry_of_the_first(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        waiting, engine = await waiting_turn(site)
+        waiting, engine = await start_waiting_turn(site)
         await engine.restart(now_ms(), moves=True)
         between = engine.entry()
         await engine.restart(now_ms() + 1, moves=True)
         announce(site, engine)
-        assert_may_have_run(await ended(waiting))
-        await is_known(site, engine)
+        assert_may_have_run(await wait_for_prompt_answer(waiting))
+        await wait_until_known(site, engine)
         with collected_lines() as lines:
             site.store.put("servers", engine.instance, between)
             await site.until(lambda: len(told(lines, "endpoint.outdated")) >= 2)
-        await is_known(site, engine)
-        assert await turns_at_once(site, 6) == [200] * 6
+        await wait_until_known(site, engine)
+        assert await concurrent_turn_statuses(site, 6) == [200] * 6
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_a_restart_while_the_store_is_away(tmp_path: Path) -> None:
+def test_a_restart_while_the_store_is_unavailable(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        waiting, engine = await waiting_turn(site)
+        waiting, engine = await start_waiting_turn(site)
         site.store.go_away()
         await asyncio.sleep(0.3)
         await engine.restart(now_ms(), moves=True)
-        # Nobody can know yet; what is not tied to it is served elsewhere.
-        assert await turns_at_once(site, 3) == [200] * 3
+        # No host can know yet; requests that are not tied to it are served elsewhere.
+        assert await concurrent_turn_statuses(site, 3) == [200] * 3
         assert not waiting.done()
         site.store.come_back()
         announce(site, engine)
         await asyncio.wait([waiting], timeout=2.5)
-        assert waiting.done(), "it still waits at a start that is over"
+        assert waiting.done(), "it still waits at an ended incarnation"
         assert_may_have_run(await waiting)
-        await is_known(site, engine)
+        await wait_until_known(site, engine)
         engine.runs.clear()
-        assert await turns_at_once(site, 6) == [200] * 6
+        assert await concurrent_turn_statuses(site, 6) == [200] * 6
         assert engine.runs
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
 
 
-def test_a_restart_says_what_became_of_its_runs(tmp_path: Path) -> None:
+def test_a_restart_logs_how_many_runs_it_ended(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        waiting, engine = await waiting_turn(site)
+        waiting, engine = await start_waiting_turn(site)
         former_ms = engine.born_ms
         await engine.restart(now_ms())
         with collected_lines() as lines:
             announce(site, engine)
-            await ended(waiting)
+            await wait_for_prompt_answer(waiting)
         restarts = told(lines, "endpoint.restarted")
         assert {line["endpoint"] for line in restarts} == {engine.instance}
         assert {line["former_born_ms"] for line in restarts} == {former_ms}
         assert max(int(str(line["runs_over"])) for line in restarts) == 1
 
-    play(tmp_path, scenario)
+    run_with_incarnations(tmp_path, scenario)
--- a/tests/functional/test_first_start.py
+++ b/tests/functional/test_first_start.py
@@ -1,4 +1,4 @@
-"""A whole system starts for the first time: few hosts ask the store, the others hear of it."""
+"""First start of a whole site: only seed hosts read the store, and the others learn from them."""
 
 import asyncio
 from pathlib import Path
@@ -12,7 +12,9 @@
 SEEDS = 2
 
 
-def test_entry_hosts_that_start_before_the_disks_do_not_all_ask_for_them(tmp_path: Path) -> None:
+def test_entry_hosts_that_start_before_the_disks_do_not_all_read_the_disk_set(
+    tmp_path: Path,
+) -> None:
     async def main() -> None:
         site = PlatformSite(tmp_path, entries=8)
         try:
--- a/tests/functional/test_front.py
+++ b/tests/functional/test_front.py
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Received:
-    """A whole HTTP answer."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes
@@ -91,7 +91,7 @@
     asyncio.run(main())
 
 
-def test_an_ordinary_client_needs_a_base_url_and_a_key_alone() -> None:
+def test_an_ordinary_client_needs_only_a_base_url_and_a_key() -> None:
     async def scenario(caller: Caller) -> None:
         answered = await caller.send("POST", "/v1/chat/completions", QUESTION)
         assert answered.status == 200
@@ -104,14 +104,14 @@
         assert streamed.body.endswith(b"data: [DONE]\n\n")
         models = await caller.send("GET", "/v1/models")
         assert [item["id"] for item in models.json["data"]] == ["agent-llm"]
-        # Each such call was a program of its own, and has ended.
+        # Each of these calls was its own program, which has ended.
         await asyncio.sleep(0.2)
         assert all(host.parts.registry.live_count == 0 for host in caller.world.hosts)
 
     run_with_caller(scenario)
 
 
-def test_any_host_takes_any_call_and_a_stream_goes_on_at_its_offset() -> None:
+def test_any_host_accepts_any_call_and_a_stream_resumes_at_its_offset() -> None:
     async def scenario(caller: Caller) -> None:
         program = await caller.open()
         headers: dict[str, Any] = {"Bayhinge_Program": program, "Bayhinge_Call": "0"}
@@ -242,7 +242,7 @@
     run_with_caller(scenario)
 
 
-def test_a_truncated_body_harms_nobody() -> None:
+def test_a_truncated_body_does_not_affect_other_requests() -> None:
     async def scenario(caller: Caller) -> None:
         host, port = caller.addresses[0].removeprefix("http://").split(":")
         _, writer = await asyncio.open_connection(host, int(port))
@@ -278,8 +278,8 @@
 
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE"])
-def test_an_action_whose_connection_breaks_is_not_sent_again_by_any_library(method: str) -> None:
-    # The HTTP library sends PUT and DELETE a second time by itself when a connection breaks.
+def test_an_action_whose_connection_breaks_is_not_retried_by_the_http_library(method: str) -> None:
+    # The HTTP library retries PUT and DELETE by itself when a connection breaks.
     async def scenario(caller: Caller) -> None:
         program = await caller.open()
         for tool in caller.world.tools_by_service["submissions"]:
@@ -293,7 +293,7 @@
     run_with_caller(scenario)
 
 
-def test_addresses_name_the_owner_first_and_how_long_to_keep_them() -> None:
+def test_addresses_list_the_owner_first_and_have_a_time_to_live() -> None:
     async def scenario(caller: Caller) -> None:
         program = await caller.open()
         for at in (0, 1):
@@ -321,7 +321,7 @@
     run_with_caller(scenario)
 
 
-def test_racing_operators_get_a_conflict_with_the_text_that_won() -> None:
+def test_concurrent_edits_conflict_and_return_the_winning_text() -> None:
     async def scenario(caller: Caller) -> None:
         headers: dict[str, Any] = {"Authorization": f"Bearer {OPERATOR_KEY}"}
         path = "/v1/operator/config/template/navdesk"
--- a/tests/functional/test_homes.py
+++ b/tests/functional/test_homes.py
@@ -33,18 +33,18 @@
         ]
         return {coordinator.host if coordinator else "" for coordinator in found}
 
-    def heard() -> set[int]:
+    def known_host_counts() -> set[int]:
         heartbeats = [
             site.entry_by_name[name]._gateway.gossip.recent_heartbeats(HostRole.ENTRY)
             for name in names
         ]
         return {len([one for one in found if one.host in names]) for found in heartbeats}
 
-    await site.until(lambda: coordinators() == {coordinator_of_both} and heard() == {1})
+    await site.until(lambda: coordinators() == {coordinator_of_both} and known_host_counts() == {1})
     return coordinator_of_both
 
 
-def test_requests_that_come_together_at_all_hosts_are_spread_evenly(tmp_path: Path) -> None:
+def test_concurrent_requests_at_all_hosts_are_spread_evenly(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await wait_for_common_coordinator(site)
         for service in site.services:
@@ -52,7 +52,7 @@
         asked = [site.ask("/act/x", b"pay", at=HOSTS[n % 3]) for n in range(12)]
         replies = await asyncio.gather(*asked)
         assert [reply.status for reply in replies] == [200] * 12
-        # By their own figures, three hosts would each send their first one to the same endpoint.
+        # Without the coordinator, each host would send its first request to the same endpoint.
         assert [len(service.runs) for service in site.services] == [6, 6]
         counts = [site.entry_by_name[name]._gateway.placer.counts for name in HOSTS]
         assert sum(one.by_coordinator for one in counts) >= 4
@@ -64,13 +64,13 @@
 def test_a_crashed_coordinator_delays_no_request_and_is_replaced(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         coordinator = await wait_for_common_coordinator(site)
-        left = "entry-2" if coordinator == "entry-0" else "entry-0"
+        remaining = "entry-2" if coordinator == "entry-0" else "entry-0"
         await site.crash_entry(coordinator)
         replies = await asyncio.gather(
-            *(site.ask("/act/x", b"pay", at=at) for at in (left, "entry-1") for _ in range(4))
+            *(site.ask("/act/x", b"pay", at=at) for at in (remaining, "entry-1") for _ in range(4))
         )
         assert [reply.status for reply in replies] == [200] * 8
-        gateway = site.entry_by_name[left]._gateway
+        gateway = site.entry_by_name[remaining]._gateway
         await site.until(lambda: gateway.coordinators.coordinated_hall == "north")
         assert (await site.ask("/act/x", b"pay", at="entry-1")).status == 200
 
@@ -94,10 +94,10 @@
     run_site(tmp_path, scenario, entries=3)
 
 
-def test_callers_are_not_sent_to_a_host_that_is_long_silent(
+def test_callers_are_not_sent_to_a_host_that_has_been_silent_for_long(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # On a large site it takes long until silence of a far host is unusual.
+    # On a large site, a silent remote host is suspected only after a long time.
     monkeypatch.setattr(gossip, "SILENCE_CYCLES", 1000)
 
     async def scenario(site: PlatformSite) -> None:
@@ -111,7 +111,7 @@
     run_site(tmp_path, scenario, entries=3)
 
 
-def test_the_last_host_of_a_site_leaves_without_an_error(tmp_path: Path) -> None:
+def test_the_last_host_of_a_site_stops_without_an_error(tmp_path: Path) -> None:
     lines: list[dict[str, object]] = []
 
     async def scenario(site: PlatformSite) -> None:
@@ -131,4 +131,4 @@
         eliot.remove_destination(lines.append)
     kinds = [line.get("message_type") for line in lines]
     assert "host.stopped" in kinds
-    assert "store.lost" not in kinds, "a host that stops has not lost its store"
+    assert "store.lost" not in kinds, "a planned stop must not report a lost store"
--- a/tests/functional/test_left_behind_sends.py
+++ b/tests/functional/test_left_behind_sends.py
@@ -1,4 +1,4 @@
-"""What is left of an answer on a kept connection, or of a stream, and the next send."""
+"""Leftover bytes of an earlier answer on a reused connection, or of a stream, and the next send."""
 
 import asyncio
 
@@ -12,28 +12,25 @@
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform.call_format import PlatformCallFormat
 from bayhinge._internal.services.gateway.sending import RequestSender
-from tests.functional.test_sending import REQUEST, Keep, reply, send
-from tests.functional.test_sending import ROUTE as ONCE
+from tests.functional.test_sending import REQUEST, BodyCollector, reply, send
+from tests.functional.test_sending import ROUTE as AT_MOST_ONCE_ROUTE
 from tests.lib.cut_answers import ROUTE, Caller, delivery_to
 
 pytestmark = pytest.mark.functional
 
 
 @pytest.mark.parametrize(
-    "part",
+    "partial_answer",
     [
         b"HTTP/1.1 200 OK\r\n",
         b"HTTP/1.1 503 Full\r\nBayhinge-Not-Executed: 1\r\nX-Cut: ",
     ],
     ids=["spoils it", "becomes its head"],
 )
-def test_a_request_that_ran_is_served_behind_the_beginning_of_a_surplus_answer(
-    part: bytes,
+def test_a_request_is_served_after_a_partial_surplus_answer(
+    partial_answer: bytes,
 ) -> None:
-    """An endpoint sends a part of a surplus answer and no more; the connection is kept.
-
-    The next request runs, and its whole answer is not taken for one: nothing is delivered.
-    """
+    """Guards against losing an answer that follows part of a surplus answer."""
     ran = 0
 
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -41,17 +38,17 @@
         while True:
             await reader.readuntil(b"\r\n\r\npay")
             ran += 1
-            more = part if ran == 1 else b""
-            writer.write(reply("200 OK", "mine", b"paid") + more)
+            surplus = partial_answer if ran == 1 else b""
+            writer.write(reply("200 OK", "mine", b"paid") + surplus)
 
     _, _, _, refused = send(wire, times=2)
     assert ran == 2
     assert refused is None, refused.refusal
 
 
-def test_a_request_that_may_run_once_runs_once_behind_a_surplus_beginning() -> None:
-    """The second request runs at the endpoint, and is sent to another one all the same."""
-    part = b"HTTP/1.1 503 Full\r\nBayhinge-Not-Executed: 1\r\nX-Cut: "
+def test_an_at_most_once_request_runs_once_after_a_partial_surplus_answer() -> None:
+    """Guards against sending the second request, which ran, to another endpoint as well."""
+    partial_answer = b"HTTP/1.1 503 Full\r\nBayhinge-Not-Executed: 1\r\nX-Cut: "
     ran: list[str] = []
 
     async def main() -> None:
@@ -60,8 +57,8 @@
                 head = await reader.readuntil(b"\r\n\r\npay")
                 attempt = "first" if b": first\r\n" in head else "second"
                 ran.append(attempt)
-                more = part if len(ran) == 1 else b""
-                writer.write(reply("200 OK", attempt, b"paid") + more)
+                surplus = partial_answer if len(ran) == 1 else b""
+                writer.write(reply("200 OK", attempt, b"paid") + surplus)
 
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -73,7 +70,9 @@
         for name in ("first", "second"):
             headers = ((b"Host", b"h"), (b"Bayhinge-Attempt-Id", name.encode()))
             request = attrs.evolve(REQUEST, attempt=name, headers=headers)
-            await sender.send("app", ONCE, request, None, CallAttempt(), limit_s, Keep())
+            await sender.send(
+                "app", AT_MOST_ONCE_ROUTE, request, None, CallAttempt(), limit_s, BodyCollector()
+            )
         connection_pool.close()
         server.close()
 
@@ -81,8 +80,8 @@
     assert ran == ["first", "second"]
 
 
-def test_a_stream_that_can_not_go_on_is_not_asked_for_again() -> None:
-    """An event without a number went out: what another run gives could not be joined to it."""
+def test_a_stream_that_can_not_be_resumed_is_not_retried() -> None:
+    """An event without an id was delivered, so another run's events can't be joined to it."""
     ran = 0
 
     async def main() -> None:
--- a/tests/functional/test_lessons.py
+++ b/tests/functional/test_lessons.py
@@ -1,4 +1,4 @@
-"""The lessons, and the commands that the operators' pages name."""
+"""The lessons of the tool, and the commands and links in the documentation."""
 
 import re
 import subprocess
@@ -16,21 +16,21 @@
 LINK = re.compile(r"\]\((?!https?:)([^)#]+)")
 
 
-def test_a_takeover_is_told_in_order() -> None:
+def test_the_takeover_lesson_shows_events_in_order() -> None:
     lines = run_lesson("takeover")
-    told = "\n".join(lines)
-    assert "the owner, entry-1, is killed" in told
-    assert told.index("adopted") < told.index("call 1 finished")
+    text = "\n".join(lines)
+    assert "the owner, entry-1, is killed" in text
+    assert text.index("adopted") < text.index("call 1 finished")
 
 
-def test_at_most_once_shows_one_effect_in_the_services_own_record() -> None:
-    told = "\n".join(run_lesson("at-most-once"))
-    assert "'nav' took effect 1 time(s)" in told
-    assert told.count("refused, may_have_run") == 2
+def test_the_at_most_once_lesson_shows_a_single_effect() -> None:
+    text = "\n".join(run_lesson("at-most-once"))
+    assert "'nav' took effect 1 time(s)" in text
+    assert text.count("refused, may_have_run") == 2
 
 
 @pytest.mark.parametrize("name", sorted(LESSONS_BY_NAME))
-def test_every_lesson_leaves_a_time_line(name: str) -> None:
+def test_every_lesson_prints_a_timeline(name: str) -> None:
     lines = run_lesson(name)
     assert lines[0] == LESSONS_BY_NAME[name].title
     assert len(lines) > lines.index("The time line of all hosts:") + 2
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("page", "command"), list(commands()))
-def test_commands_on_the_pages_are_ones_that_the_tool_knows(page: str, command: str) -> None:
+def test_documented_commands_are_known_to_the_tool(page: str, command: str) -> None:
     words = command.split()[1:]
     parsed, *_ = app.parse_args(words, exit_on_error=False, print_error=False)
     assert parsed is not None
@@ -51,7 +51,7 @@
         assert words[1] in LESSONS_BY_NAME
 
 
-def test_links_between_pages_lead_somewhere() -> None:
+def test_links_between_pages_resolve() -> None:
     pages = [DOCS.parent / "README.md", *sorted(DOCS.rglob("*.md"))]
     broken = [
         (page.name, target)
@@ -64,9 +64,9 @@
 
 def test_the_coordination_example_runs_without_the_daemon() -> None:
     example = DOCS.parent / "examples" / "coordination_example.py"
-    ended = subprocess.run(
+    result = subprocess.run(
         [sys.executable, str(example)], capture_output=True, text=True, check=False
     )
-    assert ended.returncode == 0, ended.stderr
-    assert "LedgerView(budget=1000, spent=120, outstanding=0)" in ended.stdout
-    assert "the old writer learns of it" in ended.stdout
+    assert result.returncode == 0, result.stderr
+    assert "LedgerView(budget=1000, spent=120, outstanding=0)" in result.stdout
+    assert "the old writer learns of it" in result.stdout
--- a/tests/functional/test_many_addresses.py
+++ b/tests/functional/test_many_addresses.py
@@ -1,7 +1,6 @@
-"""Thousands of addresses of hosts that are long gone stop no host.
+"""Thousands of addresses of removed hosts in the store must not keep a host from joining.
 
-Each watcher of a hall leaves its address in the store, and nothing takes it away when the host is
-replaced; some eighty are replaced on an ordinary day of the target.
+The address of a hall's watcher is not deleted from the store when its host is replaced.
 """
 
 import asyncio
@@ -16,17 +15,19 @@
 
 pytestmark = pytest.mark.functional
 
-GONE = [f"127.9.{number // 250}.{number % 250 + 1}:7380" for number in range(4000)]
+REMOVED_ADDRESSES = [f"127.9.{number // 250}.{number % 250 + 1}:7380" for number in range(4000)]
 
 
-def test_a_host_that_reads_thousands_of_addresses_greets_and_serves(tmp_path: Path) -> None:
+def test_a_host_that_reads_thousands_of_addresses_sends_heartbeats_and_serves(
+    tmp_path: Path,
+) -> None:
     async def scenario(site: PlatformSite) -> None:
-        for number, address in enumerate(GONE):
-            shown = base64.b64encode(address.encode()).decode()
-            site.store.put("hosts", f"gone-{number}", shown)
+        for number, address in enumerate(REMOVED_ADDRESSES):
+            encoded = base64.b64encode(address.encode()).decode()
+            site.store.put("hosts", f"gone-{number}", encoded)
         entry = await site.start_entry("entry-2")
-        # As where no seed has told of any host: it reads them all.
-        entry._gateway.gossip.add_addresses(GONE)
+        # As if no seed named any other host: it uses all of them.
+        entry._gateway.gossip.add_addresses(REMOVED_ADDRESSES)
         await asyncio.sleep(MIN_ADVERTISED_S + 3.0)
         public = site.address("entry-2").removeprefix("http://")
         others = [site.entry_by_name[name]._gateway for name in ("entry-0", "entry-1")]
--- a/tests/functional/test_odd_objects.py
+++ b/tests/functional/test_odd_objects.py
@@ -1,4 +1,4 @@
-"""Whole sites whose store holds what other writers left: no host stops, and the others hold."""
+"""Sites whose store holds invalid objects: no host fails, and valid objects still apply."""
 
 import asyncio
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 pytestmark = pytest.mark.functional
 
-ODD_SPECS: tuple[Any, ...] = (
+INVALID_SPECS: tuple[Any, ...] = (
     *(
         orjson.loads(value)
         for form, value in ODD_ENTRY_BY_FORM.items()
@@ -26,7 +26,7 @@
     7,
 )
 
-ODD_ADDRESSES: tuple[Any, ...] = (
+INVALID_ADDRESSES: tuple[Any, ...] = (
     "bm8gYWRkcmVzcw==",  # "no address"
     "/////w==",  # no text
     "%%%",
@@ -38,24 +38,24 @@
 )
 
 
-def put_odd_addresses(site: PlatformSite) -> None:
-    for number, spec in enumerate(ODD_ADDRESSES):
+def put_invalid_addresses(site: PlatformSite) -> None:
+    for number, spec in enumerate(INVALID_ADDRESSES):
         site.store.put("hosts", f"a-{number}", spec)
 
 
-def test_odd_entries_cost_no_request_and_a_good_one_behind_them_counts(
+def test_invalid_entries_fail_no_request_and_a_later_valid_one_is_used(
     tmp_path: Path, lines: list[Line]
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
-        for number, spec in enumerate(ODD_SPECS):
+        for number, spec in enumerate(INVALID_SPECS):
             site.store.put("servers", f"i-odd-{number}", spec)
         site.store.put("servers", "i-app-1/x", site.services[0].entry("resting"))
-        behind = PlatformEngine("i-behind", "app")
-        await behind.start()
-        site.services.append(behind)
-        site.store.put("servers", "i-behind", behind.entry())
+        later_endpoint = PlatformEngine("i-later_endpoint", "app")
+        await later_endpoint.start()
+        site.services.append(later_endpoint)
+        site.store.put("servers", "i-later_endpoint", later_endpoint.entry())
         await asyncio.sleep(1.0)
-        # Also at a host that lists them all.
+        # Also at a host that starts now and lists all of them.
         await site.start_entry("entry-2")
         await site.until(lambda: site.is_ready("entry-2"))
         for entry in site.entry_by_name:
@@ -66,20 +66,22 @@
             one.entry.instance
             for one in site.entry_by_name["entry-2"]._gateway.endpoint_table.all()
         }
-        assert known == {"i-llm-1", "i-llm-2", "i-app-1", "i-app-2", "i-behind"}
+        assert known == {"i-llm-1", "i-llm-2", "i-app-1", "i-app-2", "i-later_endpoint"}
         async with site.session.get(
             f"http://{site.entry_by_name['entry-2']._gateway.settings.ip}:9464/metrics"
         ) as page:
             text = await page.text()
-        odd = len(ODD_SPECS) + 1
-        assert f"bayhinge_endpoint_entries_unreadable {float(odd)}" in text
+        invalid_count = len(INVALID_SPECS) + 1
+        assert f"bayhinge_endpoint_entries_unreadable {float(invalid_count)}" in text
 
     run_site(tmp_path, scenario)
     assert told(lines, "endpoint.unreadable")
     assert not told(lines, "duty.failed")
 
 
-def test_an_entry_that_turns_odd_gets_nothing_new_and_its_stream_goes_on(tmp_path: Path) -> None:
+def test_an_entry_that_becomes_invalid_gets_no_new_requests_and_its_stream_continues(
+    tmp_path: Path,
+) -> None:
     async def scenario(site: PlatformSite) -> None:
         first, second = site.engines
         site.store.remove("servers", second.instance)
@@ -103,7 +105,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_host_whose_watch_hangs_learns_of_odd_entries_from_its_peers(tmp_path: Path) -> None:
+def test_a_host_whose_watch_hangs_learns_of_invalid_entries_from_its_peers(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         site.store.troubles.hangs_watches = True
         await asyncio.sleep(0.1)
@@ -122,7 +124,9 @@
     run_site(tmp_path, scenario)
 
 
-def test_entries_that_turned_odd_in_an_outage_get_nothing_new_after_it(tmp_path: Path) -> None:
+def test_entries_that_became_invalid_in_an_outage_get_no_new_requests_after_it(
+    tmp_path: Path,
+) -> None:
     async def scenario(site: PlatformSite) -> None:
         first, second = site.services
         site.store.go_away()
@@ -141,7 +145,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_an_odd_route_is_refused_as_not_run_and_the_others_are_served(tmp_path: Path) -> None:
+def test_an_invalid_route_is_refused_as_not_run_and_the_others_are_served(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         newer = orjson.loads(orjson.dumps(CONFIGURATION)) | {"version": 9, "limits": [1]}
         newer["routes"][1]["timeout_ms"] = "soon"
@@ -162,13 +166,13 @@
 
 def test_invalid_addresses_of_hosts_stop_no_heartbeat(tmp_path: Path, lines: list[Line]) -> None:
     async def scenario(site: PlatformSite) -> None:
-        put_odd_addresses(site)
-        # Its own object is odd as well, and no seed tells it of any host.
+        put_invalid_addresses(site)
+        # Its own object is invalid as valid_set, and no seed names any other host.
         site.store.put("hosts", "entry-2", "%%%")
         entry = await site.start_entry("entry-2")
         gossip = entry._gateway.gossip
-        registry_reads = [str(one) for one in ("10.0.0.9", "", "x:y", "10.0.0.9:0", "é:1")]
-        gossip.add_addresses(registry_reads)
+        addresses = [str(one) for one in ("10.0.0.9", "", "x:y", "10.0.0.9:0", "é:1")]
+        gossip.add_addresses(addresses)
         await asyncio.sleep(2.0)
         assert gossip.knows_others()
         public = site.address("entry-2").removeprefix("http://")
@@ -181,12 +185,12 @@
     assert not told(lines, "duty.failed")
 
 
-def test_a_host_that_knows_no_other_one_reads_past_odd_addresses(
+def test_a_host_that_knows_no_other_host_skips_invalid_addresses(
     tmp_path: Path, lines: list[Line]
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
-        put_odd_addresses(site)
-        # Seeds that are nobody: only the store can tell it of the others.
+        put_invalid_addresses(site)
+        # No host has the seed address: only the store names the others.
         site.seeds = '["127.9.9.9:1"]'
         await site.start_entry("entry-2")
         await site.until(site.entry_by_name["entry-2"]._gateway.gossip.knows_others)
@@ -196,22 +200,24 @@
     assert not told(lines, "duty.failed")
 
 
-@pytest.mark.parametrize("odd", ["%%%", None, "AAAA", "CwABAAAAA2FiYwA=", {"version": 99}])
-def test_an_odd_set_of_disks_is_no_set_and_turns_go_on(
-    tmp_path: Path, lines: list[Line], odd: Any
+@pytest.mark.parametrize("invalid_set", ["%%%", None, "AAAA", "CwABAAAAA2FiYwA=", {"version": 99}])
+def test_an_invalid_disk_set_is_ignored_and_turns_continue(
+    tmp_path: Path, lines: list[Line], invalid_set: Any
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ")
-        well = site.store._objects["disk-sets", "main"]["spec"]
-        site.store.put("disk-sets", "main", odd)
+        valid_set = site.store._objects["disk-sets", "main"]["spec"]
+        site.store.put("disk-sets", "main", invalid_set)
         await site.start_entry("entry-2")
         await site.start_disk("disk-3")
         await site.until(lambda: site.is_ready("entry-2"))
         second = await site.turn(b"two ", first, at="entry-2")
         assert (second.status, second.is_whole) == (200, True)
         await asyncio.sleep(1.0)
-        assert site.store._objects["disk-sets", "main"]["spec"] == odd, "nobody wrote over it"
-        site.store.put("disk-sets", "main", well)
+        assert site.store._objects["disk-sets", "main"]["spec"] == invalid_set, (
+            "no host may overwrite it"
+        )
+        site.store.put("disk-sets", "main", valid_set)
         await site.until(
             lambda: len(site.entry_by_name["entry-2"]._gateway.disks.disk_set.members) == 4
         )
@@ -221,7 +227,7 @@
 
 
 @pytest.mark.parametrize(
-    ("spec", "empties"),
+    ("spec", "retires"),
     [
         ({"duration_s": 5}, True),
         ({}, True),
@@ -232,25 +238,25 @@
         ([5], False),
     ],
 )
-def test_a_request_to_empty_a_disk_is_a_table_whatever_it_says_of_the_time(
-    tmp_path: Path, lines: list[Line], spec: Any, empties: bool
+def test_a_retirement_is_any_json_object_whatever_its_duration(
+    tmp_path: Path, lines: list[Line], spec: Any, retires: bool
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
         site.store.put("retirements", "nobody", spec)
         site.store.put("retirements", "disk-0", spec)
         members = site.entry_by_name["entry-0"]._gateway.disks
 
-        def is_out() -> bool:
+        def has_left() -> bool:
             return all(one.host != "disk-0" for one in members.disk_set.members)
 
-        if empties:
-            await site.until(is_out)
+        if retires:
+            await site.until(has_left)
             return
         await asyncio.sleep(1.0)
-        assert not is_out()
+        assert not has_left()
         assert told(lines, "retirement.unreadable")
         site.store.put("retirements", "disk-0", {"duration_s": 5})
-        await site.until(is_out)
+        await site.until(has_left)
 
     run_site(tmp_path, scenario, disks=4)
     assert not told(lines, "duty.failed")
--- a/tests/functional/test_odd_sites.py
+++ b/tests/functional/test_odd_sites.py
@@ -1,4 +1,4 @@
-"""Sites that are set up oddly: a hall without hosts, hosts whose only seed is themselves."""
+"""Unusual site settings: a hall without hosts, and hosts whose only seed is themselves."""
 
 import asyncio
 from pathlib import Path
@@ -13,23 +13,23 @@
 pytestmark = pytest.mark.functional
 
 
-def test_a_hall_without_hosts_is_told_of_once_and_its_endpoints_are_used(
+def test_a_hall_without_hosts_is_logged_once_and_its_endpoints_are_used(
     tmp_path: Path, lines: list[Line], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(hall_homes, "EMPTY_HALL_AFTER_S", 1.0)
 
     async def scenario(site: PlatformSite) -> None:
         # The settings name a hall that has an endpoint and no host; another one has neither.
-        far = PlatformEngine("i-far", "app")
-        await far.start()
-        site.services.append(far)
-        site.store.put("servers", "i-far", far.entry() | {"zone": "west"})
+        remote_endpoint = PlatformEngine("i-remote_endpoint", "app")
+        await remote_endpoint.start()
+        site.services.append(remote_endpoint)
+        site.store.put("servers", "i-remote_endpoint", remote_endpoint.entry() | {"zone": "west"})
         for other in site.services[:2]:
             site.store.remove("servers", other.instance)
         await asyncio.sleep(3.0)
         for entry in site.entry_by_name:
             assert (await site.ask("/act/x", at=entry)).status == 200
-        assert len(far.runs) == 2
+        assert len(remote_endpoint.runs) == 2
         assert len(await site.resolve(hall="west")) == 2
         empty = told(lines, "hall.without_hosts")
         assert sorted(line["hall"] for line in empty) == ["east", "east", "west", "west"]
@@ -38,7 +38,7 @@
     assert not told(lines, "duty.failed")
 
 
-def test_a_hall_that_loses_its_hosts_is_told_of_and_told_of_when_one_is_back(
+def test_a_hall_that_loses_its_hosts_is_logged_and_so_is_their_return(
     tmp_path: Path, lines: list[Line], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(hall_homes, "EMPTY_HALL_AFTER_S", 1.0)
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -1,4 +1,4 @@
-"""The peer link over loopback: answers that come late, crossed, or not at all."""
+"""Peer links over loopback: answers that are late, interleaved, or missing."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -14,11 +14,11 @@
 
 pytestmark = pytest.mark.functional
 STREAMS = 40
-PIECES = 5
+MESSAGES = 5
 
 
-class CrossingHandler(PeerHandler):
-    """Answers the last stream first, and mixes the pieces of all of them."""
+class InterleavingHandler(PeerHandler):
+    """Answers the last stream first, and interleaves the messages of all streams."""
 
     def __init__(self) -> None:
         self.opened = 0
@@ -33,17 +33,19 @@
             self.all_open.set()
         try:
             await self.all_open.wait()
-            for piece in range(PIECES):
+            for index in range(MESSAGES):
                 await asyncio.sleep(0.002 * ((STREAMS - int(payload)) % 7))
-                yield payload + b"/%d" % piece
+                yield payload + b"/%d" % index
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
 
 
-def run_linked(scenario: Callable[[str, PeerClient, CrossingHandler], Awaitable[None]]) -> None:
+def run_with_link(
+    scenario: Callable[[str, PeerClient, InterleavingHandler], Awaitable[None]],
+) -> None:
     async def main() -> None:
-        handler = CrossingHandler()
+        handler = InterleavingHandler()
         server = PeerServer("127.0.0.1:0", handler, HybridClock(SystemClock()))
         address = await server.start()
         client = PeerClient(HybridClock(SystemClock()), connect_s=1.0)
@@ -54,35 +56,37 @@
     asyncio.run(main())
 
 
-def test_crossed_answers_reach_their_own_callers_whole() -> None:
-    async def scenario(address: str, client: PeerClient, handler: CrossingHandler) -> None:
+def test_interleaved_answers_reach_their_own_callers_complete() -> None:
+    async def scenario(address: str, client: PeerClient, handler: InterleavingHandler) -> None:
         async def ask(number: int) -> list[bytes]:
             name = str(number).encode()
             return [message async for message in client.stream(address, "call", name)]
 
         answers = await asyncio.gather(*(ask(number) for number in range(STREAMS)))
         for number, answer in enumerate(answers):
-            assert answer == [b"%d/%d" % (number, piece) for piece in range(PIECES)]
+            assert answer == [
+                b"%d/%d" % (number, index) for index in range(MESSAGES)
+            ]
 
-    run_linked(scenario)
+    run_with_link(scenario)
 
 
-def test_a_late_answer_to_a_caller_that_left_reaches_nobody() -> None:
-    async def scenario(address: str, client: PeerClient, handler: CrossingHandler) -> None:
-        left = asyncio.create_task(client.call(address, "call", b"1"))
+def test_a_late_answer_to_a_cancelled_call_is_dropped() -> None:
+    async def scenario(address: str, client: PeerClient, handler: InterleavingHandler) -> None:
+        cancelled = asyncio.create_task(client.call(address, "call", b"1"))
         await asyncio.sleep(0.05)
-        left.cancel()
-        await asyncio.gather(left, return_exceptions=True)
+        cancelled.cancel()
+        await asyncio.gather(cancelled, return_exceptions=True)
         await asyncio.sleep(0.05)
         assert handler.cancelled == 1
         handler.all_open.set()
-        assert await client.call(address, "call", b"2") == b"2/%d" % (PIECES - 1)
+        assert await client.call(address, "call", b"2") == b"2/%d" % (MESSAGES - 1)
 
-    run_linked(scenario)
+    run_with_link(scenario)
 
 
-def test_a_broken_link_and_a_refusal_are_told_apart() -> None:
-    async def scenario(address: str, client: PeerClient, handler: CrossingHandler) -> None:
+def test_a_broken_link_and_a_refusal_raise_different_errors() -> None:
+    async def scenario(address: str, client: PeerClient, handler: InterleavingHandler) -> None:
         with pytest.raises(PeerFailureError, match="overloaded"):
             await client.call(address, "refuse", b"")
         waiting = asyncio.create_task(client.call(address, "call", b"1"))
@@ -95,4 +99,4 @@
             await client.call("127.0.0.1:1", "call", b"1")
         assert not refused.value.sent
 
-    run_linked(scenario)
+    run_with_link(scenario)
--- a/tests/functional/test_platform_objects.py
+++ b/tests/functional/test_platform_objects.py
@@ -1,4 +1,4 @@
-"""The store's objects at hosts on loopback: configuration and entries, also while it is away."""
+"""Store objects at hosts on loopback: configuration and entries, also during outages."""
 
 import asyncio
 from pathlib import Path
@@ -12,7 +12,7 @@
 pytestmark = pytest.mark.functional
 
 
-def test_a_new_configuration_is_in_force_everywhere_and_never_goes_back(tmp_path: Path) -> None:
+def test_a_new_configuration_is_in_force_everywhere_and_never_reverts(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         newer = orjson.loads(orjson.dumps(CONFIGURATION)) | {"version": 9}
         newer["routes"][3]["path_prefix"] = "/do/"
@@ -28,12 +28,12 @@
     run_site(tmp_path, scenario)
 
 
-def test_an_odd_configuration_changes_nothing(tmp_path: Path) -> None:
+def test_an_invalid_configuration_changes_nothing(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        odd = orjson.loads(orjson.dumps(CONFIGURATION)) | {"version": 9}
-        odd["routes"][0]["path_prefix"] = None
-        odd["routes"][3]["path_prefix"] = "/do/"
-        site.store.put("config", "main", odd)
+        invalid = orjson.loads(orjson.dumps(CONFIGURATION)) | {"version": 9}
+        invalid["routes"][0]["path_prefix"] = None
+        invalid["routes"][3]["path_prefix"] = "/do/"
+        site.store.put("config", "main", invalid)
         await asyncio.sleep(0.6)
         for entry in site.entry_by_name:
             assert (await site.ask("/act/x", at=entry)).status == 200
@@ -42,9 +42,9 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_host_whose_watch_hangs_hears_of_news_from_its_peers(tmp_path: Path) -> None:
+def test_a_host_whose_watch_hangs_receives_updates_from_its_peers(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        # Every watch that waits now hangs; a host that starts reads the news and tells of it.
+        # All open watches hang; a host that starts reads the update and passes it on.
         site.store.troubles.hangs_watches = True
         await asyncio.sleep(0.1)
         newer = orjson.loads(orjson.dumps(CONFIGURATION)) | {"version": 9}
@@ -58,7 +58,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_an_endpoint_that_leaves_gets_nothing_new(tmp_path: Path) -> None:
+def test_a_draining_endpoint_gets_no_new_requests(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first, second = site.services
         site.store.put("servers", first.instance, first.entry("draining"))
@@ -76,7 +76,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_an_outage_of_the_store_removes_nobody(tmp_path: Path) -> None:
+def test_an_outage_of_the_store_removes_no_host_or_endpoint(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         site.store.troubles.down = True
         await asyncio.sleep(3.0)
@@ -88,7 +88,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_entries_that_lapse_in_an_outage_come_back_without_a_gap(tmp_path: Path) -> None:
+def test_entries_that_are_missing_for_a_second_fail_no_request(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         endpoints = (*site.engines, *site.services)
         for endpoint in endpoints:
@@ -104,7 +104,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_all_hosts_come_back_while_the_store_is_down(tmp_path: Path) -> None:
+def test_all_hosts_restart_while_the_store_is_down(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ")
         prefixes = {"config/", "servers/"}
--- a/tests/functional/test_platform_programs.py
+++ b/tests/functional/test_platform_programs.py
@@ -1,4 +1,4 @@
-"""The programs as processes: what they say of settings that can't be used."""
+"""The programs as processes: errors for missing and invalid settings."""
 
 import os
 import subprocess
@@ -12,7 +12,7 @@
 pytestmark = pytest.mark.functional
 
 
-def start(*arguments: str, settings: Path | None = None) -> subprocess.CompletedProcess[str]:
+def run_program(*arguments: str, settings: Path | None = None) -> subprocess.CompletedProcess[str]:
     environment = {
         name: value for name, value in os.environ.items() if name != "BAYHINGE_NODE_FILE"
     }
@@ -24,20 +24,20 @@
     )
 
 
-def test_without_settings_or_with_an_unknown_program_the_usage_is_told(tmp_path: Path) -> None:
-    assert start("entry").returncode == status_codes.EXIT_USAGE
+def test_missing_settings_and_unknown_programs_are_usage_errors(tmp_path: Path) -> None:
+    assert run_program("entry").returncode == status_codes.EXIT_USAGE
     path = tmp_path / "local.toml"
     path.write_text("")
-    ended = start("sideways", settings=path)
-    assert ended.returncode == status_codes.EXIT_USAGE
-    assert "entry|disk" in ended.stderr
+    result = run_program("sideways", settings=path)
+    assert result.returncode == status_codes.EXIT_USAGE
+    assert "entry|disk" in result.stderr
 
 
-def test_all_findings_are_told_at_once(tmp_path: Path) -> None:
+def test_all_settings_errors_are_reported_at_once(tmp_path: Path) -> None:
     path = tmp_path / "local.toml"
     path.write_text('node_name = "e"\nport_range = [1]\n')
-    ended = start("entry", settings=path)
-    assert ended.returncode == status_codes.EXIT_BAD_SETTINGS
-    assert "local.toml port_range" in ended.stderr
-    assert "local.toml [platform] address: the field is missing" in ended.stderr
-    assert "Traceback" not in ended.stderr
+    result = run_program("entry", settings=path)
+    assert result.returncode == status_codes.EXIT_BAD_SETTINGS
+    assert "local.toml port_range" in result.stderr
+    assert "local.toml [platform] address: the field is missing" in result.stderr
+    assert "Traceback" not in result.stderr
--- a/tests/functional/test_platform_requests.py
+++ b/tests/functional/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""Requests to entry hosts on loopback: routes, refusals, repeats, limits, and their figures."""
+"""Requests to entry hosts on loopback: routes, refusals, retries, limits, and metrics."""
 
 import asyncio
 from pathlib import Path
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.functional
 
 
-def test_a_request_passes_through_unaltered(tmp_path: Path) -> None:
+def test_a_request_is_forwarded_unaltered(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         reply = await site.ask("/act/a%2Fb?x=%20&y", b"\x00raw", Bayhinge_Affinity_Key="17")
         assert (reply.status, reply.body) == (200, b"answer to \x00raw")
@@ -20,13 +20,13 @@
         names = [name for name, _ in run.headers]
         assert "Bayhinge-Affinity-Key" in names
         assert names.count("Host") == 1
-        assert "User-Agent" in names, "what the caller sends goes on"
+        assert "User-Agent" in names, "the caller's headers are forwarded"
         assert 0 < int(dict(run.headers)["Bayhinge-Deadline-Ms"]) <= 1500
 
     run_site(tmp_path, scenario)
 
 
-def test_what_has_no_route_is_404_and_a_missing_id_400(tmp_path: Path) -> None:
+def test_an_unknown_route_is_404_and_a_missing_attempt_id_is_400(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         assert (await site.ask("/nowhere/x")).status == 404
         url = f"{site.address('entry-0')}/act/x"
@@ -45,7 +45,9 @@
     run_site(tmp_path, scenario)
 
 
-def test_what_may_not_repeat_runs_once_and_its_lost_answer_is_no_refusal(tmp_path: Path) -> None:
+def test_an_at_most_once_request_runs_once_and_a_lost_answer_is_not_retryable(
+    tmp_path: Path,
+) -> None:
     async def scenario(site: PlatformSite) -> None:
         for service in site.services:
             service.troubles.loses_answers = 1
@@ -57,7 +59,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_what_may_repeat_goes_to_another_endpoint(tmp_path: Path) -> None:
+def test_a_repeatable_request_is_retried_at_another_endpoint(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         site.services[0].troubles.loses_answers = 1
         site.services[1].troubles.loses_answers = 0
@@ -68,7 +70,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_full_endpoints_are_refused_as_not_run_with_a_time(tmp_path: Path) -> None:
+def test_requests_to_full_endpoints_are_refused_as_not_run_with_retry_after(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for service in site.services:
             service.troubles.full = 1
@@ -81,7 +83,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_time_out_is_answered_at_once_and_stops_the_endpoint(tmp_path: Path) -> None:
+def test_a_timeout_is_answered_at_once_and_cancels_the_run(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for service in site.services:
             service.troubles.pause_s = 5.0
@@ -95,13 +97,13 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_caller_that_leaves_stops_the_engine(tmp_path: Path) -> None:
+def test_a_caller_that_disconnects_cancels_the_run(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for engine in site.engines:
             engine.troubles.pause_s = 5.0
-        asking = asyncio.create_task(site.turn(b"hello "))
+        turn = asyncio.create_task(site.turn(b"hello "))
         await site.until(lambda: any(engine.runs for engine in site.engines))
-        asking.cancel()
+        turn.cancel()
         runs = [run for engine in site.engines for run in engine.runs]
         await site.until(lambda: all(run.was_cancelled for run in runs), limit_s=1.0)
 
--- a/tests/functional/test_platform_stops.py
+++ b/tests/functional/test_platform_stops.py
@@ -1,4 +1,4 @@
-"""Which entry hosts callers are told of, and planned stops of them, on loopback."""
+"""Entry host addresses for callers, and planned stops of entry hosts, on loopback."""
 
 import asyncio
 from pathlib import Path
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.functional
 
 
-def test_callers_are_told_of_ready_hosts_near_ones_first(tmp_path: Path) -> None:
+def test_addresses_are_those_of_ready_hosts_with_the_callers_hall_first(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await site.until(lambda: True)
         addresses: list[str] = []
@@ -27,38 +27,38 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_planned_stop_cuts_nothing_and_leaves_the_lists_at_once(tmp_path: Path) -> None:
+def test_a_planned_stop_fails_no_request_and_removes_the_address_at_once(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for engine in site.engines:
             engine.troubles.pause_s = 0.8
-        asking = asyncio.create_task(site.turn(b"long ", at="entry-0"))
+        turn = asyncio.create_task(site.turn(b"long ", at="entry-0"))
         await site.until(lambda: any(engine.runs for engine in site.engines))
         program = site.entry_by_name.pop("entry-0")
         stopping = asyncio.create_task(program.stop())
         await asyncio.sleep(0.4)
         assert await site.ready("entry-0") == 503
         assert await site.resolve("entry-1") == [site.address("entry-1").removeprefix("http://")]
-        # Callers that still hold the address are served until their time is over.
+        # Callers that still cache the address are served until it expires.
         late = await site.ask("/act/x", at="entry-0")
         assert late.status == 200
         assert late.headers.get("Connection", "").lower() == "close"
-        reply = await asking
+        reply = await turn
         assert (reply.status, reply.is_whole) == (200, True)
         await stopping
 
     run_site(tmp_path, scenario)
 
 
-def test_a_planned_stop_waits_for_a_turn_that_outlasts_what_callers_know(tmp_path: Path) -> None:
-    """Callers keep an answer about addresses for 3 s; this turn takes 4 s of the 5 s it may."""
+def test_a_planned_stop_waits_for_a_turn_that_outlasts_cached_addresses(tmp_path: Path) -> None:
+    """Callers cache addresses for 3 s; this turn takes 4 s of its 5 s limit."""
 
     async def scenario(site: PlatformSite) -> None:
         for engine in site.engines:
             engine.troubles.pause_s = 1.0
-        asking = asyncio.create_task(site.turn(b"longer ", at="entry-0"))
+        turn = asyncio.create_task(site.turn(b"longer ", at="entry-0"))
         await site.until(lambda: any(engine.runs for engine in site.engines))
         await site.entry_by_name.pop("entry-0").stop()
-        reply = await asking
+        reply = await turn
         assert (reply.status, reply.is_whole) == (200, True)
 
     run_site(tmp_path, scenario)
--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store, against a stand-in: what holds, also in trouble."""
+"""The client of the platform's store against a stand-in, also with failures."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -27,7 +27,7 @@
 pytestmark = pytest.mark.functional
 
 
-ODD_BODIES = (
+INVALID_BODIES = (
     b"[]",
     b"5",
     b"null",
@@ -43,7 +43,7 @@
 
 GOOD_OBJECT = b'{"metadata":{"name":"i-good","revision":7},"spec":{"slots":4}}'
 
-ODD_OBJECTS = (
+INVALID_OBJECTS = (
     b"null",
     b"[1]",
     b'"x"',
@@ -61,7 +61,9 @@
 )
 
 
-def run(scenario: Callable[[PlatformStoreServer, PlatformObjects], Awaitable[None]]) -> None:
+def run_with_store(
+    scenario: Callable[[PlatformStoreServer, PlatformObjects], Awaitable[None]],
+) -> None:
     async def main() -> None:
         server = PlatformStoreServer()
         await server.start()
@@ -75,7 +77,7 @@
     asyncio.run(main())
 
 
-def test_objects_of_our_own_keep_the_stores_contract() -> None:
+def test_create_update_and_delete_check_versions() -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         assert await store.get("things/a") is None
         first = await store.create("things/a", b"\x00one")
@@ -95,7 +97,7 @@
         with pytest.raises(VersionConflictError):
             await store.update("things/a", b"x", second.version)
 
-    run(scenario)
+    run_with_store(scenario)
 
 
 def test_lists_are_read_page_by_page() -> None:
@@ -108,10 +110,10 @@
         ]
         assert orjson.loads(listing.objects[7].value) == {"number": 7}
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_a_watch_brings_changes_and_says_when_history_is_lost() -> None:
+def test_a_watch_returns_changes_and_reports_lost_history() -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         start = server.revision
         waiting = asyncio.create_task(store.poll("config/", start, 5.0))
@@ -128,10 +130,10 @@
         with pytest.raises(HistoryLostError):
             await store.poll("config/", page.revision, 5.0)
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_trouble_is_told_apart() -> None:
+def test_failures_of_the_store_raise_different_errors() -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         server.troubles.refuses_with = 429
         with pytest.raises(StoreRateLimitedError):
@@ -151,60 +153,62 @@
         # The write was done although its answer was lost.
         assert (await store.get("things/a")) is not None
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_an_answer_of_unknown_form_is_an_outage_not_a_crash() -> None:
+def test_an_invalid_answer_counts_as_an_outage() -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         server._objects["things", "odd"] = {"metadata": {}, "spec": "%%%", "status": None}
         with pytest.raises(StoreUnavailableError):
             await store.get("things/odd")
-        for body in ODD_BODIES:
+        for body in INVALID_BODIES:
             server.troubles.says = body
             with pytest.raises(StoreUnavailableError):
                 await store.list("things/")
             with pytest.raises(StoreUnavailableError):
                 await store.poll("things/", 5, 0.1)
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_an_odd_object_hides_no_other_one() -> None:
-    """Also one whose text is none, or that can't be written again, in a list and in a watch."""
+def test_an_invalid_object_does_not_hide_others() -> None:
+    """Covers objects that can't be decoded or encoded again, in lists and in watches."""
 
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
-        for odd in ODD_OBJECTS:
-            told = b"%s,%s" % (odd, GOOD_OBJECT)
-            server.troubles.says = b'{"items":[%s],"has_more":false,"timestamp":9}' % told
+        for invalid in INVALID_OBJECTS:
+            items = b"%s,%s" % (invalid, GOOD_OBJECT)
+            server.troubles.says = b'{"items":[%s],"has_more":false,"timestamp":9}' % items
             listing = await store.list("servers/")
-            assert StoredObject("servers/i-good", b'{"slots":4}', 7) in listing.objects, odd
-            assert all(one.value == b"" for one in listing.objects[:-1]), odd
-            events = b",".join(b'{"deleted":false,"object":%s}' % one for one in (odd, GOOD_OBJECT))
+            assert StoredObject("servers/i-good", b'{"slots":4}', 7) in listing.objects, invalid
+            assert all(one.value == b"" for one in listing.objects[:-1]), invalid
+            events = b",".join(
+                b'{"deleted":false,"object":%s}' % one for one in (invalid, GOOD_OBJECT)
+            )
             server.troubles.says = b'{"events":[%s],"timestamp":9}' % events
             page = await store.poll("servers/", 5, 0.1)
-            assert page.changes[-1] == Change("servers/i-good", b'{"slots":4}', 7, 7), odd
-            assert all(one.value == b"" for one in page.changes[:-1]), odd
+            assert page.changes[-1] == Change("servers/i-good", b'{"slots":4}', 7, 7), invalid
+            assert all(one.value == b"" for one in page.changes[:-1]), invalid
             assert page.revision == 9
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_an_odd_object_of_our_own_kinds_hides_no_other_one() -> None:
+def test_an_object_with_invalid_base64_does_not_hide_others() -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
-        for number, odd in enumerate(("%%%", None, 5, {"a": 1}, "Zm9v!", "é")):
-            server.put("things", f"a-{number}", odd)
+        for number, invalid in enumerate(("%%%", None, 5, {"a": 1}, "Zm9v!", "é")):
+            server.put("things", f"a-{number}", invalid)
         await store.create("things/b", b"well")
         listing = await store.list("things/")
         assert [one.value for one in listing.objects] == [b""] * 6 + [b"well"]
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_pages_go_on_behind_any_name() -> None:
+def test_paging_continues_after_any_name() -> None:
     names = ["#a", "&a", "+a", "%41", "a/b", "a b", 'a"b', "aé", "a%2Fb", "a..", "a" * 2000]
 
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
-        # Each of them ends a page once, so that the next one is asked for behind it.
+        # Each name ends a page once, so that the next page is requested after it.
         for name in names:
             for number in range(19):
                 server.put("servers", f"!{number:02d}", {})
@@ -215,14 +219,14 @@
             assert keys[-2:] == [f"servers/{name}", "servers/\u4e00 last"], name
             server.remove("servers", name)
 
-    run(scenario)
+    run_with_store(scenario)
 
 
 def member(name: str) -> DiskMember:
     return DiskMember(name, hash(name) & 0xFFFF, "127.0.0.1:1", "north")
 
 
-def test_racing_changes_of_the_disk_set_are_all_made_also_with_lost_answers() -> None:
+def test_concurrent_changes_of_the_disk_set_all_apply_despite_lost_answers() -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         def add(name: str) -> Callable[[list[DiskMember]], list[DiskMember] | None]:
             def change(members: list[DiskMember]) -> list[DiskMember] | None:
@@ -244,11 +248,11 @@
         assert sorted(one.host for one in disk_set.members) == [f"d{n}" for n in range(5)]
         assert disk_set.version == 5
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-class Memory(ObjectListener):
-    """Keeps what it hears."""
+class RecordingListener(ObjectListener):
+    """Keeps the current value of each key."""
 
     def __init__(self) -> None:
         self.value_by_key: dict[str, bytes] = {}
@@ -273,43 +277,43 @@
             await asyncio.sleep(0.01)
 
 
-def test_a_follower_hears_changes_through_lost_history_and_outages(
+def test_a_follower_receives_changes_despite_lost_history_and_outages(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(prefix_follower, "RETRY_S", 0.05)
 
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
-        memory = Memory()
+        listener = RecordingListener()
         server.put("config", "main", {"version": 1})
-        follower = PrefixFollower(store, "config/", lambda: 2.0, memory, peers())
+        follower = PrefixFollower(store, "config/", lambda: 2.0, listener, peers())
         running = asyncio.create_task(follower.run())
-        await until(lambda: memory.value_by_key == {"config/main": b'{"version":1}'})
+        await until(lambda: listener.value_by_key == {"config/main": b'{"version":1}'})
         server.put("config", "main", {"version": 2})
-        await until(lambda: memory.value_by_key == {"config/main": b'{"version":2}'})
+        await until(lambda: listener.value_by_key == {"config/main": b'{"version":2}'})
         server.put("config", "main", {"version": 3})
         server.forget_history()
-        await until(lambda: memory.value_by_key == {"config/main": b'{"version":3}'})
+        await until(lambda: listener.value_by_key == {"config/main": b'{"version":3}'})
         server.troubles.refuses_with = 503
         server.put("config", "main", {"version": 4})
         server.forget_history()
         await until(lambda: follower.health.failing_since_s is not None)
-        assert memory.value_by_key == {"config/main": b'{"version":3}'}
+        assert listener.value_by_key == {"config/main": b'{"version":3}'}
         server.troubles.refuses_with = 0
-        await until(lambda: memory.value_by_key == {"config/main": b'{"version":4}'})
+        await until(lambda: listener.value_by_key == {"config/main": b'{"version":4}'})
         assert follower.health.failing_since_s is None
         running.cancel()
 
-    run(scenario)
+    run_with_store(scenario)
 
 
 @pytest.mark.parametrize("status", [429, 503])
-def test_all_followers_of_a_process_go_on_when_it_is_turned_away_no_more(status: int) -> None:
+def test_all_followers_continue_when_the_store_accepts_calls_again(status: int) -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         prefixes = ("config/", "servers/")
-        memories = [Memory() for _ in prefixes]
+        listeners = [RecordingListener() for _ in prefixes]
         followers = [
-            PrefixFollower(store, prefix, lambda: 1.0, memory, peers())
-            for prefix, memory in zip(prefixes, memories, strict=True)
+            PrefixFollower(store, prefix, lambda: 1.0, listener, peers())
+            for prefix, listener in zip(prefixes, listeners, strict=True)
         ]
         running = [asyncio.create_task(follower.run()) for follower in followers]
         await until(lambda: len(server.calls) >= 4)
@@ -318,28 +322,28 @@
         await asyncio.sleep(0.5)
         before = len(server.calls)
         await asyncio.sleep(2.0)
-        assert len(server.calls) - before <= 9, "one of them asks, every 0.25 s at the soonest"
+        assert len(server.calls) - before <= 9, "only one of them retries, at most every 0.25 s"
         server.troubles.refuses_with = 0
         for prefix in prefixes:
             server.put(prefix.rstrip("/"), "main", {"version": 7})
-        await until(lambda: all(memory.value_by_key for memory in memories), limit_s=1.75)
+        await until(lambda: all(listener.value_by_key for listener in listeners), limit_s=1.75)
         for task in running:
             task.cancel()
 
-    run(scenario)
+    run_with_store(scenario)
 
 
-def test_many_changes_in_a_row_cost_few_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_many_changes_in_a_row_need_few_calls(monkeypatch: pytest.MonkeyPatch) -> None:
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
-        memory = Memory()
-        follower = PrefixFollower(store, "servers/", lambda: 2.0, memory, peers())
+        listener = RecordingListener()
+        follower = PrefixFollower(store, "servers/", lambda: 2.0, listener, peers())
         running = asyncio.create_task(follower.run())
         await until(lambda: len(server.calls) >= 2)
         for number in range(40):
             server.put("servers", f"i-{number}", {})
             await asyncio.sleep(0.02)
-        await until(lambda: len(memory.value_by_key) == 40)
+        await until(lambda: len(listener.value_by_key) == 40)
         assert len(server.calls) <= 10, server.calls
         running.cancel()
 
-    run(scenario)
+    run_with_store(scenario)
--- a/tests/functional/test_platform_turns.py
+++ b/tests/functional/test_platform_turns.py
@@ -1,4 +1,4 @@
-"""Turns that disk hosts keep, on loopback: histories, budgets, and disks that go and come."""
+"""Turns retained by disk hosts, on loopback: histories, budgets, and disks that leave and join."""
 
 import asyncio
 from pathlib import Path
@@ -23,20 +23,20 @@
         assert bodies[second.attempt] == b"one\n" + first.said + b"two\x00"
         assert bodies[third.attempt] == bodies[second.attempt] + second.said + b"three"
         assert bodies[child.attempt] == b"one\n" + first.said + b"child"
-        # A chain stays with the engine that holds its memory.
+        # All turns of a chain go to the engine that has its prefix cached.
         engines = {reply.headers["Bayhinge-Server-Seal"] for reply in (first, second, third, child)}
         assert len(engines) == 1
 
     run_site(tmp_path, scenario)
 
 
-def test_an_unknown_turn_is_404_only_while_every_disk_says_so(tmp_path: Path) -> None:
+def test_an_unknown_turn_is_404_only_if_every_disk_confirms_it(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ")
-        ghost = type(first)(200, b"", {}, True, "never-was")
-        assert (await site.turn(b"two ", ghost)).status == 404
+        unknown_turn = type(first)(200, b"", {}, True, "never-was")
+        assert (await site.turn(b"two ", unknown_turn)).status == 404
         await site.stop_disk("disk-2")
-        reply = await site.turn(b"two ", ghost)
+        reply = await site.turn(b"two ", unknown_turn)
         assert reply.status == 503
         assert float(reply.headers["Retry-After"]) > 0
         assert (await site.turn(b"two ", first)).status == 200
@@ -44,7 +44,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_budget_holds_for_turns_side_by_side_on_two_hosts(tmp_path: Path) -> None:
+def test_a_budget_holds_for_concurrent_turns_on_two_hosts(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         replies = await asyncio.gather(
             *(
@@ -59,7 +59,7 @@
         ran = [run.attempt for engine in site.engines for run in engine.runs]
         refused = {reply.attempt for reply in replies if reply.status == 402}
         assert not refused & set(ran)
-        # Settled turns count at what they used: three events of three tokens each.
+        # Settled turns are charged what they used: three events of three tokens each.
         assert (await site.turn(b"x", budget=100, most=30)).status == 200
 
     run_site(tmp_path, scenario)
@@ -77,7 +77,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_stream_that_breaks_does_not_look_whole_and_counts_what_it_gave(tmp_path: Path) -> None:
+def test_a_broken_stream_is_incomplete_and_charged_for_delivered_tokens(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for engine in site.engines:
             engine.troubles.breaks_after = 2
@@ -87,21 +87,21 @@
         for engine in site.engines:
             engine.troubles.breaks_after = None
         await asyncio.sleep(0.1)
-        # It was no turn: nobody can go on from it.
+        # It was not recorded as a turn, so no turn can continue it.
         assert (await site.turn(b"y", broken, budget=None)).status == 404
-        # Two events of three tokens were handed out.
+        # Two events of three tokens were delivered.
         assert (await site.turn(b"x", budget=100, most=94)).status == 200
 
     run_site(tmp_path, scenario)
 
 
-def test_turns_outlive_a_lost_disk_and_a_new_one_copies_them(tmp_path: Path) -> None:
+def test_turns_survive_a_lost_disk_and_its_replacement_copies_them(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ")
         await site.stop_disk("disk-0")
         second = await site.turn(b"two ", first)
         assert second.status == 200
-        # The disk comes back empty at its old address, copies, and joins again.
+        # The disk restarts empty at its old address, copies the turns, and rejoins the set.
         fresh = await site.start_disk("disk-0", first_start=False, generation=1)
         host = fresh._disk
         await site.until(host._is_member)
@@ -112,7 +112,7 @@
                 == host.disk_set.version
             )
         )
-        # Now another one may go: a newcomer counts once it has read the others under the new set.
+        # Another disk may stop once the new member has copied from the others under the new set.
         await site.until(lambda: host.fence.has_caught_up)
         await site.stop_disk("disk-1")
         assert (await site.turn(b"three", second)).status == 200
@@ -120,7 +120,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_turn_waits_a_moment_for_disks_that_restart(tmp_path: Path) -> None:
+def test_a_turn_waits_for_disks_that_restart(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"hello")
         for name in ("disk-0", "disk-1"):
@@ -134,7 +134,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_without_two_disks_no_turn_ends_as_whole(tmp_path: Path) -> None:
+def test_without_two_disks_no_turn_completes(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await site.stop_disk("disk-0")
         await site.stop_disk("disk-1")
@@ -149,7 +149,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_retired_disk_hands_everything_over_before_it_says_so(tmp_path: Path) -> None:
+def test_a_retired_disk_hands_over_all_turns_before_it_reports_completion(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ")
         site.retire("disk-1")
@@ -166,19 +166,19 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_host_that_is_cut_from_the_disks_goes_through_a_peer(tmp_path: Path) -> None:
+def test_a_host_partitioned_from_the_disks_relays_through_a_peer(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ", at="entry-1")
         gateway = site.entry_by_name["entry-0"]._gateway
         peers = gateway.peers
         disks = {member.address for member in gateway.disks.disk_set.members}
-        straight = peers._get_link  # type: ignore[attr-defined]
+        original_get_link = peers._get_link  # type: ignore[attr-defined]
 
-        # Streams and calls alike go over a link, so the cut is made there.
-        async def cut(address: str):  # type: ignore[no-untyped-def]
+        # Streams and calls both use a link, so failing it partitions the host.
+        async def get_link(address: str):  # type: ignore[no-untyped-def]
             if address in disks:
-                raise PeerUnreachableError(address, "cut", sent=False)
-            return await straight(address)
+                raise PeerUnreachableError(address, "partitioned", sent=False)
+            return await original_get_link(address)
 
         await site.until(
             lambda: any(
@@ -186,7 +186,7 @@
                 for heartbeat in gateway.gossip.recent_heartbeats(HostRole.ENTRY)
             )
         )
-        peers._get_link = cut  # type: ignore[attr-defined]
+        peers._get_link = get_link  # type: ignore[attr-defined]
         second = await site.turn(b"two ", first, at="entry-0")
         assert (second.status, second.is_whole) == (200, True)
         assert gateway.turn_recorder._link.relayed >= 2
@@ -194,26 +194,26 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_caller_that_leaves_while_disks_are_asked_keeps_no_tokens_set_aside(
+def test_a_caller_that_disconnects_during_a_reservation_leaves_none_behind(
     tmp_path: Path,
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
         gateway = site.entry_by_name["entry-0"]._gateway
-        call = gateway.disk_link.call
-        asked = asyncio.Event()
+        original_call = gateway.disk_link.call
+        call_answered = asyncio.Event()
 
-        async def slow(member, method, message):  # type: ignore[no-untyped-def]
-            answer = await call(member, method, message)
-            asked.set()
+        async def slow_call(member, method, message):  # type: ignore[no-untyped-def]
+            answer = await original_call(member, method, message)
+            call_answered.set()
             if method == "reserve-turn":
                 await asyncio.sleep(0.3)
             return answer
 
-        gateway.disk_link.call = slow  # type: ignore[method-assign]
-        asking = asyncio.create_task(site.turn(b"x", budget=60, most=50))
-        await asked.wait()
-        asking.cancel()
-        gateway.disk_link.call = call  # type: ignore[method-assign]
+        gateway.disk_link.call = slow_call  # type: ignore[method-assign]
+        turn = asyncio.create_task(site.turn(b"x", budget=60, most=50))
+        await call_answered.wait()
+        turn.cancel()
+        gateway.disk_link.call = original_call  # type: ignore[method-assign]
         await asyncio.sleep(0.6)
         assert (await site.turn(b"x", budget=60, most=50)).status == 200
 
--- a/tests/functional/test_resuming.py
+++ b/tests/functional/test_resuming.py
@@ -1,4 +1,4 @@
-"""Streams that break off and go on: by the product inside one answer, and by their callers."""
+"""Broken streams that are resumed, by the gateway within one answer or by their callers."""
 
 import asyncio
 from pathlib import Path
@@ -26,17 +26,17 @@
     return [run for engine in site.engines for run in engine.runs]
 
 
-def sent(run: Run) -> dict[str, str]:
+def request_headers(run: Run) -> dict[str, str]:
     return {name.lower(): value for name, value in run.headers}
 
 
-def hurt_first(site: PlatformSite, trouble: EngineTroubles) -> None:
-    """Gives the trouble to whichever engine is asked first; the others are well."""
+def set_trouble(site: PlatformSite, trouble: EngineTroubles) -> None:
+    """Sets the trouble at every engine, until the others are healed once one runs."""
     for engine in site.engines:
         engine.troubles = attrs.evolve(trouble)
 
 
-async def heal_others_once_one_runs(site: PlatformSite) -> PlatformEngine:
+async def heal_other_engine_once_one_runs(site: PlatformSite) -> PlatformEngine:
     """Returns the engine that was healed."""
     await site.until(lambda: bool(runs(site)))
     (other,) = (engine for engine in site.engines if not engine.runs)
@@ -56,97 +56,91 @@
     ],
     ids=["breaks", "cut event", "cut first event", "silent", "silent at once", "no answer"],
 )
-def test_one_answer_goes_on_at_another_endpoint(tmp_path: Path, trouble: EngineTroubles) -> None:
+def test_an_answer_continues_at_another_endpoint(tmp_path: Path, trouble: EngineTroubles) -> None:
     async def scenario(site: PlatformSite) -> None:
-        hurt_first(site, trouble)
+        set_trouble(site, trouble)
         began = asyncio.get_running_loop().time()
-        asking = asyncio.create_task(draft(site))
-        await heal_others_once_one_runs(site)
-        reply = await asking
+        turn = asyncio.create_task(draft(site))
+        await heal_other_engine_once_one_runs(site)
+        reply = await turn
         assert (reply.status, reply.is_whole) == (200, True)
         assert ids(reply) == [1, 2, 3]
         first, second = runs(site)
         assert first.attempt == second.attempt == reply.attempt
-        assert asyncio.get_running_loop().time() - began < 1.0, "callers leave after a second"
+        assert asyncio.get_running_loop().time() - began < 1.0, "callers give up after a second"
 
     run_site(tmp_path, scenario)
 
 
 CUTS = (1, 4, 5, 6, 12, -4, -1)
-"""Bytes of an event that still leave: within its first line, between lines, before its end."""
+"""Bytes of an event that are still sent: within its first line, between lines, before its end."""
 
 
-@pytest.mark.parametrize(("breaks_after", "has"), [(0, None), (0, 1), (1, None), (1, 1), (2, None)])
-def test_each_event_is_one_that_a_run_made_whole(
-    tmp_path: Path, breaks_after: int, has: int | None
+@pytest.mark.parametrize(
+    ("breaks_after", "resume_after"), [(0, None), (0, 1), (1, None), (1, 1), (2, None)]
+)
+def test_each_event_comes_whole_from_one_run(
+    tmp_path: Path, breaks_after: int, resume_after: int | None
 ) -> None:
-    """Callers saw events whose number read ``1id: 1``, or whose data began with another's.
-
-    An endpoint went down in the middle of the first event of its answer. Nothing had gone out to
-    the caller yet, another endpoint was asked for the same, and the answer ended as whole. What
-    was left of the cut event stood in front of the second endpoint's first one.
-
-    Evidence: all cuts within the first event of an answer fail (``breaks_after`` 0), whether it is
-    the stream's first one or the caller ``has`` some already; behind one whole event none does.
-    """
-    odd_by_cut: dict[int, list[bytes]] = {}
+    """Guards against joining the start of a cut event with the next run's first event."""
+    wrong_events_by_cut: dict[int, list[bytes]] = {}
 
     async def scenario(site: PlatformSite) -> None:
-        headers = {} if has is None else {"Last_Event_Id": str(has)}
+        headers = {} if resume_after is None else {"Last_Event_Id": str(resume_after)}
         for cut_at in CUTS:
             for engine in site.engines:
                 engine.runs.clear()
             trouble = EngineTroubles(
                 breaks_after=breaks_after, pause_s=0.02, cuts_events=True, cut_at=cut_at
             )
-            hurt_first(site, trouble)
-            asking = asyncio.create_task(draft(site, **headers))
-            await heal_others_once_one_runs(site)
-            reply = await asking
+            set_trouble(site, trouble)
+            turn = asyncio.create_task(draft(site, **headers))
+            await heal_other_engine_once_one_runs(site)
+            reply = await turn
             assert reply.is_whole
             made = {event for run in runs(site) for event in run.made}
             events = [event + b"\n\n" for event in reply.body.split(b"\n\n")[:-1]]
-            odd = [event for event in events if event not in made]
-            if odd or ids(reply) != list(range((has or 0) + 1, 4)):
-                odd_by_cut[cut_at] = odd
+            wrong = [event for event in events if event not in made]
+            if wrong or ids(reply) != list(range((resume_after or 0) + 1, 4)):
+                wrong_events_by_cut[cut_at] = wrong
 
     run_site(tmp_path, scenario)
-    assert odd_by_cut == {}
+    assert wrong_events_by_cut == {}
 
 
 @pytest.mark.parametrize(("off_by", "is_whole"), [(-1, True), (1, False)])
-def test_a_run_that_begins_at_the_wrong_event_is_mended_or_left(
+def test_a_resumed_run_with_repeated_events_is_trimmed_and_one_with_a_gap_is_dropped(
     tmp_path: Path, off_by: int, is_whole: bool
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
-        hurt_first(site, EngineTroubles(breaks_after=1, pause_s=0.02))
-        asking = asyncio.create_task(draft(site))
-        other = await heal_others_once_one_runs(site)
+        set_trouble(site, EngineTroubles(breaks_after=1, pause_s=0.02))
+        turn = asyncio.create_task(draft(site))
+        other = await heal_other_engine_once_one_runs(site)
         other.troubles.resumes_off_by = off_by
-        reply = await asking
+        reply = await turn
         assert reply.is_whole is is_whole
         assert ids(reply) == ([1, 2, 3] if is_whole else [1])
 
     run_site(tmp_path, scenario)
 
 
-def test_the_caller_goes_on_where_the_route_allows_it(tmp_path: Path) -> None:
+def test_a_caller_may_resume_where_the_route_allows_it(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         reply = await draft(site, Last_Event_Id="2")
         assert (reply.is_whole, ids(reply)) == (True, [3])
         (run,) = runs(site)
-        assert sent(run)["last-event-id"] == "2"
-        kept = await site.turn(b"hello", Last_Event_Id="2")
-        assert ids(kept) == [1, 2, 3]
-        (whole,) = [other for other in runs(site) if other.attempt == kept.attempt]
-        assert "last-event-id" not in sent(whole)
+        assert request_headers(run)["last-event-id"] == "2"
+        not_resumed = await site.turn(b"hello", Last_Event_Id="2")
+        assert ids(not_resumed) == [1, 2, 3]
+        (whole,) = [other for other in runs(site) if other.attempt == not_resumed.attempt]
+        assert "last-event-id" not in request_headers(whole)
 
     run_site(tmp_path, scenario)
 
 
 def test_a_stream_that_may_not_be_resumed_runs_once(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        hurt_first(site, EngineTroubles(breaks_after=1))
+        set_trouble(site, EngineTroubles(breaks_after=1))
         reply = await site.turn(b"hello")
         assert not reply.is_whole
         assert len(runs(site)) == 1
@@ -154,12 +148,12 @@
     run_site(tmp_path, scenario)
 
 
-def test_an_endpoint_that_fails_before_it_says_anything_is_replaced(tmp_path: Path) -> None:
+def test_a_run_that_fails_before_its_answer_is_retried_elsewhere(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        hurt_first(site, EngineTroubles(loses_answers=1, pause_s=0.1))
-        asking = asyncio.create_task(draft(site))
-        other = await heal_others_once_one_runs(site)
-        reply = await asking
+        set_trouble(site, EngineTroubles(loses_answers=1, pause_s=0.1))
+        turn = asyncio.create_task(draft(site))
+        other = await heal_other_engine_once_one_runs(site)
+        reply = await turn
         assert (reply.is_whole, ids(reply)) == (True, [1, 2, 3])
         assert reply.headers["Bayhinge-Server-Seal"] == f"seal-{other.instance}"
 
@@ -178,19 +172,21 @@
         {"Bayhinge_Token_Budget": "many"},
     ],
 )
-def test_odd_numbers_are_refused_with_their_place(tmp_path: Path, headers: dict[str, str]) -> None:
+def test_invalid_numbers_are_refused_with_the_name_of_their_header(
+    tmp_path: Path, headers: dict[str, str]
+) -> None:
     async def scenario(site: PlatformSite) -> None:
         reply = await draft(site, **headers)
         assert reply.status == 400
         name = next(iter(headers)).replace("_", "-")
         assert name.encode() in reply.body
         assert not runs(site)
-        assert (await draft(site)).status == 200, "the host goes on"
+        assert (await draft(site)).status == 200, "the host still serves"
 
     run_site(tmp_path, scenario)
 
 
-def test_large_and_empty_numbers_are_taken_as_they_are_meant(tmp_path: Path) -> None:
+def test_very_large_numbers_and_zero_are_accepted(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         huge = "9" * 400
         assert (await draft(site, Bayhinge_Token_Usage=f"1,{huge}")).status == 402
@@ -202,7 +198,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_budget_holds_on_a_route_that_keeps_nothing(tmp_path: Path) -> None:
+def test_a_budget_holds_on_a_route_that_retains_no_turns(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         replies = await asyncio.gather(
             *(
@@ -214,48 +210,48 @@
         served = statuses.count(200)
         assert served <= 3, statuses
         assert statuses.count(402) == 12 - served
-        # Settled turns count at what they used: three events of three tokens each.
+        # Settled turns are charged what they used: three events of three tokens each.
         await asyncio.sleep(0.1)
         assert (await site.turn(b"x", budget=100, most=30, path="/draft/x")).status == 200
 
     run_site(tmp_path, scenario)
 
 
-def test_what_was_handed_out_counts_once_over_resumed_runs(tmp_path: Path) -> None:
+def test_what_was_delivered_counts_once_over_resumed_runs(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        hurt_first(site, EngineTroubles(breaks_after=1, pause_s=0.02))
-        asking = asyncio.create_task(site.turn(b"x", budget=100, most=90, path="/draft/x"))
-        await heal_others_once_one_runs(site)
-        assert (await asking).is_whole
+        set_trouble(site, EngineTroubles(breaks_after=1, pause_s=0.02))
+        turn = asyncio.create_task(site.turn(b"x", budget=100, most=90, path="/draft/x"))
+        await heal_other_engine_once_one_runs(site)
+        assert (await turn).is_whole
         await asyncio.sleep(0.1)
-        # Three events of three tokens were handed out: nine of a hundred are gone.
+        # Three events of three tokens were delivered: nine of a hundred are spent.
         assert (await site.turn(b"x", budget=100, most=92, path="/draft/x")).status == 402
         for engine in site.engines:
             engine.troubles = EngineTroubles(breaks_after=1)
         broken = await site.turn(b"x", budget=100, most=91, path="/draft/x")
         assert not broken.is_whole
         await asyncio.sleep(0.1)
-        handed_out = 9 + 3 * len(ids(broken))
+        delivered = 9 + 3 * len(ids(broken))
         for engine in site.engines:
             engine.troubles = EngineTroubles()
-        rest = 100 - handed_out
+        rest = 100 - delivered
         assert (await site.turn(b"x", budget=100, most=rest + 1, path="/draft/x")).status == 402
         assert (await site.turn(b"x", budget=100, most=rest, path="/draft/x")).status == 200
 
     run_site(tmp_path, scenario)
 
 
-def test_a_route_that_keeps_nothing_costs_its_disks_a_reservation(
+def test_a_route_that_retains_no_turns_writes_only_reservations(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     syncs: list[TurnLog] = []
     sync = TurnLog.sync
 
-    def counted(log: TurnLog) -> None:
+    def counting_sync(log: TurnLog) -> None:
         syncs.append(log)
         sync(log)
 
-    monkeypatch.setattr(TurnLog, "sync", counted)
+    monkeypatch.setattr(TurnLog, "sync", counting_sync)
 
     async def scenario(site: PlatformSite) -> None:
         logs = [disk._disk.turns for disk in site.disk_by_name.values()]
@@ -266,10 +262,10 @@
             assert reply.status == 200
         await asyncio.sleep(0.2)
         stored = sum(log._end for log in logs)
-        # 336 bytes a turn on three disks, in place of 15,500 where it is kept; one sync each for
-        # the reservation, none for what was used.
+        # 336 bytes a turn on three disks, compared to 15,500 for a retained one; one sync each
+        # for the reservation, none for the settlement.
         assert stored < 10 * 400, stored
         assert len(syncs) <= 3 * 10
-        assert (await site.turn(b"y", reply)).status == 404, "no turn was kept"
+        assert (await site.turn(b"y", reply)).status == 404, "no turn may be retained"
 
     run_site(tmp_path, scenario)
--- a/tests/functional/test_retirement.py
+++ b/tests/functional/test_retirement.py
@@ -1,8 +1,6 @@
-"""Disks that are to be emptied, with real sockets.
+"""Retirement of disk hosts, with real sockets.
 
-On a drawn day two of three disks were retired, the second one when two were left. It left the set
-at once, so that one disk was left where each turn needs two: every turn ran and none could end,
-and from then on not one program was served.
+A retiring disk must not leave the set while turns, which need two disks, depend on it.
 """
 
 import asyncio
@@ -18,7 +16,7 @@
 COMPLETED = {"state": "completed"}
 
 
-def test_a_disk_that_turns_can_not_do_without_stays_until_another_has_joined(
+def test_a_retiring_disk_that_turns_need_stays_until_another_has_joined(
     tmp_path: Path,
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
@@ -41,7 +39,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_of_two_disks_that_are_to_be_emptied_together_one_stays(tmp_path: Path) -> None:
+def test_of_two_disks_retired_together_one_stays(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ")
         for name in ("disk-1", "disk-2"):
@@ -59,12 +57,8 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_disk_that_is_to_be_emptied_serves_while_another_one_is_lost(tmp_path: Path) -> None:
-    """The disk had left a twentieth of a second after it was asked, with five seconds allowed.
-
-    Another disk was lost right behind that: one was left where each turn needs two, and turns were
-    refused until the lost one was back.
-    """
+def test_a_retiring_disk_serves_while_another_one_is_lost(tmp_path: Path) -> None:
+    """Guards against a disk that leaves at once although its retirement allows five seconds."""
 
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ")
--- a/tests/functional/test_rolling_restart.py
+++ b/tests/functional/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""Eight hosts are stopped and replaced in turn, under load, with callers that lag behind."""
+"""Eight hosts are stopped and replaced one by one under load, with callers that cache addresses."""
 
 import asyncio
 import random
@@ -12,26 +12,28 @@
 
 
 class Callers:
-    """Agents that keep a list of addresses for a while, as callers do."""
+    """Agents that cache the list of addresses, as callers do."""
 
     def __init__(self, world: World) -> None:
         self.world = world
         self.addresses = sorted(world.hosts_by_name)
         self.outcomes: list[Outcome] = []
-        self.is_over = False
+        self.is_finished = False
 
     async def refresh(self) -> None:
-        while not self.is_over:
+        while not self.is_finished:
             await asyncio.sleep(self.world.membership.address_keep_seconds * 0.9)
-            view = await self.world.any_host().service.addresses(None)
-            known = {f"http://{name}:8100": name for name in self.world.hosts_by_name}
-            self.addresses = [known[item] for item in view.addresses if item in known]
+            answer = await self.world.any_host().service.addresses(None)
+            host_by_address = {f"http://{name}:8100": name for name in self.world.hosts_by_name}
+            self.addresses = [
+                host_by_address[item] for item in answer.addresses if item in host_by_address
+            ]
 
     async def run_program(self, number: int) -> None:
         source = random.Random(number)
         program = await self.world.open("desk", source.choice(self.addresses))
         index = 0
-        while not self.is_over:
+        while not self.is_finished:
             at = source.choice(self.addresses)
             if source.random() < 0.3:
                 outcome = await self.world.act(program, index, f"{number}-{index}", at)
@@ -42,7 +44,7 @@
             await asyncio.sleep(source.random() * PAUSE_S)
 
 
-async def roll(world: World) -> None:
+async def replace_every_host(world: World) -> None:
     for number in range(HOSTS):
         await world.add_host(f"entry-{HOSTS + number + 1}")
         await asyncio.sleep(2.0)
@@ -57,8 +59,8 @@
         callers = Callers(world)
         refreshing = asyncio.create_task(callers.refresh())
         running = [asyncio.create_task(callers.run_program(item)) for item in range(PROGRAMS)]
-        await roll(world)
-        callers.is_over = True
+        await replace_every_host(world)
+        callers.is_finished = True
         await asyncio.gather(*running, refreshing)
         broken = world.broken_promises()
         await world.close()
--- a/tests/functional/test_routed_front.py
+++ b/tests/functional/test_routed_front.py
@@ -1,4 +1,4 @@
-"""The front of an entry host while it stops: nobody is left waiting on a connection."""
+"""The front of an entry host while it stops: no caller is left waiting on a connection."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
     return head + await reader.readexactly(3)
 
 
-def test_a_kept_connection_ends_at_once_when_the_front_closes() -> None:
+def test_an_idle_connection_closes_at_once_when_the_front_closes() -> None:
     async def main() -> None:
         front = RoutedFront("127.0.0.1:0", Echo())
         host, port = split_address(await front.start())
@@ -46,7 +46,7 @@
     asyncio.run(main())
 
 
-def test_a_request_under_way_is_answered_after_the_front_closes() -> None:
+def test_a_running_request_is_answered_after_the_front_closes() -> None:
     async def main() -> None:
         front = RoutedFront("127.0.0.1:0", Echo(pause_s=0.3))
         host, port = split_address(await front.start())
--- a/tests/functional/test_scenarios.py
+++ b/tests/functional/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios in ``features``, each a failure that bayhinge must bear."""
+"""Runs the scenarios in ``features``, each with a failure that bayhinge must tolerate."""
 
 from pytest_bdd import scenarios
 
--- a/tests/functional/test_schedules.py
+++ b/tests/functional/test_schedules.py
@@ -1,4 +1,4 @@
-"""Random failure schedules, a few of them, and proof that their judge can fail."""
+"""A few random failure schedules, and checks that violations are detected."""
 
 import pytest
 
@@ -13,17 +13,17 @@
 
 
 @pytest.mark.parametrize("seed", [8, 33, 47, 108, 10228, 10937, 10951, 11520])
-def test_no_promise_breaks_under_a_schedule_of_failures(seed: int) -> None:
+def test_no_guarantee_breaks_under_a_schedule_of_failures(seed: int) -> None:
     report = run_schedule(seed)
     assert report.broken == (), "\n".join(report.history)
     assert report.finished == report.programs
 
 
-def find_broken(seeds: range) -> list[str]:
+def find_violations(seeds: range) -> list[str]:
     return [line for seed in seeds for line in run_schedule(seed).broken]
 
 
-def test_the_judge_sees_a_call_that_runs_twice(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_call_that_runs_twice_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Call, "repeatable", property(lambda call: True))
 
     async def scenario() -> list[str]:
@@ -41,21 +41,20 @@
     assert run_virtual(scenario()) == ["nav ran 4 times"]
 
 
-def test_the_judge_sees_an_owner_that_ignores_its_fence(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The behaviour before the fault was mended: a host that slept through its own
-    # takeover kept its programs, and refused their calls for ever.
+def test_an_owner_that_ignores_its_fence_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    # A host that misses its own takeover keeps its programs and refuses their calls for ever.
     monkeypatch.setattr(ProgramRegistry, "remove_all", lambda registry: None)
     monkeypatch.setattr(schedules, "HEALED_S", 60.0)
-    assert any("did not finish" in line for line in find_broken(range(40, 60)))
+    assert any("did not finish" in line for line in find_violations(range(40, 60)))
 
 
-def test_the_judge_sees_a_journal_without_a_fence(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_journal_without_a_fence_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     async def never_fenced(journal: Journal, key: str, nonce: str) -> bool:
         return True
 
     monkeypatch.setattr(Journal, "_is_ours", never_fenced)
     monkeypatch.setattr(Journal, "check_seal", lambda journal: _no_seal())
-    assert find_broken(range(30)) != []
+    assert find_violations(range(30)) != []
 
 
 async def _no_seal() -> FencedError | None:
--- a/tests/functional/test_sending.py
+++ b/tests/functional/test_sending.py
@@ -1,4 +1,4 @@
-"""What a sender makes of refusals that come late, or belong to another request."""
+"""How a sender handles refusals that arrive late or belong to another request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -30,8 +30,8 @@
 REQUEST = RoutedRequest("POST", "/x", "h", ((b"Host", b"h"),), "mine", body=b"pay")
 
 
-class Keep(Delivery):
-    """Keeps the body."""
+class BodyCollector(Delivery):
+    """Collects the body of the answer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -51,14 +51,16 @@
 
 def send(
     wire: Wire, times: int = 1
-) -> tuple[Keep, CallAttempt, EndpointConnectionPool, RefusedError | None]:
-    async def main() -> tuple[Keep, CallAttempt, EndpointConnectionPool, RefusedError | None]:
+) -> tuple[BodyCollector, CallAttempt, EndpointConnectionPool, RefusedError | None]:
+    async def main() -> tuple[
+        BodyCollector, CallAttempt, EndpointConnectionPool, RefusedError | None
+    ]:
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         endpoint_table, connection_pool = EndpointTable("north"), EndpointConnectionPool()
         endpoint_table.put(EndpointEntry("e-1", "app", f"127.0.0.1:{port}", "north", 4, False))
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
-        delivery, attempt, refused = Keep(), CallAttempt(), None
+        delivery, attempt, refused = BodyCollector(), CallAttempt(), None
         limit_s = asyncio.get_running_loop().time() + 2
         for _ in range(times):
             refused = None
@@ -80,7 +82,7 @@
         reply("503 Service Unavailable", "other", more="Bayhinge-Not-Executed: 1\r\n"),
     ],
 )
-def test_a_refusal_of_another_request_says_nothing_of_this_one(late: bytes) -> None:
+def test_a_refusal_of_another_request_is_ignored(late: bytes) -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\npay")
         writer.write(late + reply("200 OK", "mine", b"paid"))
@@ -105,7 +107,7 @@
 
 
 @pytest.mark.parametrize("name", ["", "mine"])
-def test_a_refusal_of_its_own_leaves_it_unrun_and_the_connection_in_use(name: str) -> None:
+def test_a_refused_request_counts_as_not_run_and_its_connection_is_reused(name: str) -> None:
     async def wire(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await reader.readuntil(b"\r\n\r\npay")
@@ -120,22 +122,22 @@
     assert (connection_pool.counts.opened, connection_pool.counts.reused) == (1, 1)
 
 
-class SlowLinks(EndpointConnectionPool):
-    """The first connection is used only after a moment."""
+class DelayedConnectionPool(EndpointConnectionPool):
+    """Returns a connection only once ``may_return`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
         self.asked = asyncio.Event()
-        self.can_resume = asyncio.Event()
+        self.may_return = asyncio.Event()
 
     async def acquire(self, key: str, address: str) -> EndpointConnection:
         connection = await super().acquire(key, address)
         self.asked.set()
-        await self.can_resume.wait()
+        await self.may_return.wait()
         return connection
 
 
-def test_nothing_is_sent_to_an_address_that_was_left_while_the_connection_came_up() -> None:
+def test_nothing_is_sent_to_an_address_that_the_endpoint_left_during_the_connect() -> None:
     sent_to: list[str] = []
 
     def wire(name: str) -> Wire:
@@ -146,26 +148,30 @@
 
         return serve
 
-    async def main() -> tuple[Keep, CallAttempt]:
+    async def main() -> tuple[BodyCollector, CallAttempt]:
         servers = [
             await asyncio.start_server(wire(name), "127.0.0.1", 0) for name in ("left", "new")
         ]
         addresses = [f"127.0.0.1:{server.sockets[0].getsockname()[1]}" for server in servers]
-        endpoint_table, connection_pool, runs = EndpointTable("north"), SlowLinks(), ActiveRuns()
+        endpoint_table, connection_pool, runs = (
+            EndpointTable("north"),
+            DelayedConnectionPool(),
+            ActiveRuns(),
+        )
         endpoint_table.put(EndpointEntry("e-1", "app", addresses[0], "north", 4, False, 1_000))
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat(), runs=runs)
-        delivery, attempt = Keep(), CallAttempt()
+        delivery, attempt = BodyCollector(), CallAttempt()
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
             sender.send("app", ROUTE, REQUEST, None, attempt, limit_s, delivery)
         )
         await connection_pool.asked.wait()
-        again = EndpointEntry("e-1", "app", addresses[1], "north", 4, False, 2_000)
-        assert endpoint_table.put(again) is EntryChange.RESTARTED
+        restarted_entry = EndpointEntry("e-1", "app", addresses[1], "north", 4, False, 2_000)
+        assert endpoint_table.put(restarted_entry) is EntryChange.RESTARTED
         newest = endpoint_table.find("e-1")
         assert newest is not None
         assert runs.handle_restart(newest, NewIncarnation(addresses[1], None)) == (1, 0)
-        connection_pool.can_resume.set()
+        connection_pool.may_return.set()
         await sending
         assert newest.running_here == 0
         connection_pool.close()
@@ -179,7 +185,7 @@
     assert attempt.sends == 1
 
 
-def test_a_start_that_a_request_was_found_to_be_at_is_not_asked_again() -> None:
+def test_an_incarnation_that_already_has_the_request_is_not_retried() -> None:
     route = Route(
         "r", "h", "/", RouteKind.IDEMPOTENT, (ServiceShare("app", 1),), 2.0, 1.0, 0, max_endpoints=2
     )
@@ -207,13 +213,13 @@
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat(), runs=runs)
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
-            sender.send("app", route, REQUEST, None, CallAttempt(), limit_s, Keep())
+            sender.send("app", route, REQUEST, None, CallAttempt(), limit_s, BodyCollector())
         )
         await is_asked.wait()
         endpoint_table.put(EndpointEntry("e-1", "app", address, "north", 4, False, 2_000))
         newest = endpoint_table.find("e-1")
         assert newest is not None
-        # Sent since the restart, as far as can be told: it is at the new start already.
+        # It counts as sent after the restart, so it already runs at the new incarnation.
         assert runs.handle_restart(newest, NewIncarnation(address, None)) == (0, 1)
         may_close.set()
         refused = None
--- a/tests/functional/test_silent_connections.py
+++ b/tests/functional/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections fall silent for good while new ones work: every kind of link finds it."""
+"""Open connections that fall silent for good while new ones work: every kind of link detects it."""
 
 import asyncio
 import socket
@@ -21,11 +21,11 @@
 
 pytestmark = pytest.mark.functional
 
-IN_TOUCH_S = 3.0
-"""A host counts as in touch again so long after the silence began."""
+RECONNECT_S = 3.0
+"""A host must have working connections again within this time after the silence began."""
 
 APPLY_S = 2.0
-"""A configuration is in force so long after the store has taken it."""
+"""A configuration must be in force within this time after the store accepted it."""
 
 
 def disk_addresses(site: PlatformSite) -> list[str]:
@@ -47,7 +47,7 @@
         return payload
 
 
-def test_a_call_that_is_given_up_leaves_the_silent_peer_link() -> None:
+def test_a_call_that_times_out_abandons_the_silent_peer_link() -> None:
     async def main() -> None:
         server = PeerServer("127.0.0.1:0", Echo(), HybridClock(SystemClock()))
         address = await server.start()
@@ -66,7 +66,7 @@
     asyncio.run(main())
 
 
-def test_a_call_without_a_bound_of_its_own_ends_when_its_link_is_silent() -> None:
+def test_a_call_without_a_timeout_ends_when_its_link_is_silent() -> None:
     async def main() -> None:
         server = PeerServer("127.0.0.1:0", Echo(), HybridClock(SystemClock()))
         address = await server.start()
@@ -74,8 +74,8 @@
         waiting = asyncio.create_task(client.call(address, "never", b""))
         await asyncio.sleep(0.05)
         assert silence_connections([address]) == 2
-        # Its request was acknowledged long ago: only the kernel's probes can tell.
-        async with asyncio.timeout(IN_TOUCH_S):
+        # Its request was acknowledged long ago: only the kernel's probes detect the silence.
+        async with asyncio.timeout(RECONNECT_S):
             with pytest.raises(PeerUnreachableError):
                 await waiting
         await client.close()
@@ -84,26 +84,26 @@
     asyncio.run(main())
 
 
-def test_a_slow_peer_is_not_left_and_a_silent_peer_only_once() -> None:
+def test_a_slow_peer_link_is_kept_and_a_silent_one_is_abandoned_once() -> None:
     async def main() -> None:
         server = PeerServer("127.0.0.1:0", Echo(), HybridClock(SystemClock()))
         address = await server.start()
         client = PeerClient(HybridClock(SystemClock()), connect_s=0.5)
 
-        async def give_up() -> None:
+        async def call_until_timeout() -> None:
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.04):
                     await client.call(address, "never", b"")
 
         await client.call(address, "echo", b"")
-        slow = asyncio.create_task(give_up())
+        slow = asyncio.create_task(call_until_timeout())
         await asyncio.sleep(0.02)
         await client.call(address, "echo", b"")
         await slow
-        assert client.abandoned_connections == 0, "the link was heard while the call waited"
+        assert client.abandoned_connections == 0, "the link received data while the call waited"
         for _ in range(5):
-            await give_up()
-        # The second connection never brought anything: a third one would say no more.
+            await call_until_timeout()
+        # The second connection never received any data, so a third would not help.
         assert client.abandoned_connections == 1
         await client.close()
         await server.stop()
@@ -111,10 +111,10 @@
     asyncio.run(main())
 
 
-def test_turns_go_on_when_every_link_to_disks_and_peers_is_silent(tmp_path: Path) -> None:
+def test_turns_continue_when_every_link_to_disks_and_peers_is_silent(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for number in range(4):
-            # Opens the links between all hosts that the turns behind will need.
+            # Opens the links between all hosts that the later turns need.
             first = await site.turn(b"one ", at=f"entry-{number % 2}", program=f"w{number}")
         assert silence_connections([*disk_addresses(site), *entry_addresses(site)]) >= 6
         loop = asyncio.get_running_loop()
@@ -132,7 +132,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_news_from_the_store_come_although_every_watch_is_silent(tmp_path: Path) -> None:
+def test_updates_from_the_store_arrive_although_every_watch_is_silent(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         assert silence_connections([site.store.address, *entry_addresses(site)]) >= 4
         loop = asyncio.get_running_loop()
@@ -146,15 +146,15 @@
                 for entry in site.entry_by_name.values()
             )
         )
-        assert loop.time() - began < IN_TOUCH_S + APPLY_S / 2
+        assert loop.time() - began < RECONNECT_S + APPLY_S / 2
 
     run_site(tmp_path, scenario)
 
 
-def test_a_disk_is_emptied_although_its_watch_is_silent(tmp_path: Path) -> None:
+def test_a_disk_is_retired_although_its_watch_is_silent(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         assert silence_connections([site.store.address]) >= 2
-        await asyncio.sleep(IN_TOUCH_S)
+        await asyncio.sleep(RECONNECT_S)
         site.retire("disk-1")
         await site.until(
             lambda: site.store.status("retirements", "disk-1") == {"state": "completed"},
@@ -164,7 +164,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_lookup_leaves_a_silent_endpoint_connection_for_another_one(tmp_path: Path) -> None:
+def test_a_lookup_fails_over_from_a_silent_endpoint_connection(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for _ in range(4):
             assert (await site.ask("/look/x", method="GET")).status == 200
@@ -176,7 +176,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_what_may_not_repeat_is_not_called_unrun_on_a_silent_connection(tmp_path: Path) -> None:
+def test_an_at_most_once_request_on_a_silent_connection_may_have_run(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         assert (await site.ask("/act/x", b"pay")).status == 200
         silence_connections(endpoint_addresses(site.services))
@@ -188,7 +188,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_silent_stream_ends_in_its_middle_where_it_may_not_be_resumed(tmp_path: Path) -> None:
+def test_a_silent_stream_that_may_not_be_resumed_ends_incomplete(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for engine in site.engines:
             engine.troubles = EngineTroubles(silent_after=1)
@@ -196,13 +196,13 @@
         await site.until(lambda: any(engine.runs for engine in site.engines))
         await asyncio.sleep(0.1)
         assert silence_connections(endpoint_addresses(site.engines)) == 2
-        async with asyncio.timeout(IN_TOUCH_S):
+        async with asyncio.timeout(RECONNECT_S):
             assert not (await asking).is_whole
 
     run_site(tmp_path, scenario)
 
 
-def test_work_for_a_caller_that_fell_silent_ends(tmp_path: Path) -> None:
+def test_work_for_a_silent_caller_is_cancelled(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for engine in site.engines:
             engine.events, engine.troubles.pause_s = 1000, 0.05
--- a/tests/functional/test_silent_endpoints.py
+++ b/tests/functional/test_silent_endpoints.py
@@ -15,17 +15,17 @@
 
 LOOK_OBJECTIVE_S = 0.4
 CHAT_OBJECTIVE_S = 0.2
-ASKED_S = 6.0
-"""Time within which a request reaches an endpoint."""
+REACH_ENDPOINT_S = 6.0
+"""A request must reach an endpoint within this time."""
 
 
-def test_a_lookup_leaves_an_endpoint_that_says_nothing(tmp_path: Path) -> None:
+def test_a_lookup_fails_over_from_a_silent_endpoint(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         for service in site.services:
             service.troubles = EngineTroubles(pause_s=30.0)
         began = asyncio.get_running_loop().time()
         asking = asyncio.create_task(site.ask("/look/x", method="GET"))
-        await asked(site.services, ASKED_S)
+        await asked(site.services, REACH_ENDPOINT_S)
         assert (await asking).status == 200
         took_s = asyncio.get_running_loop().time() - began
         assert took_s < SILENCE_OBJECTIVES * LOOK_OBJECTIVE_S + 0.3
@@ -33,7 +33,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_an_endpoint_that_is_slow_alone_is_waited_for(tmp_path: Path) -> None:
+def test_a_slow_endpoint_without_an_alternative_is_waited_for(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         await only_one_service(site)
         site.services[0].troubles = EngineTroubles(pause_s=1.2)
@@ -43,24 +43,24 @@
     run_site(tmp_path, scenario)
 
 
-def test_others_avoid_a_silent_endpoint_while_what_may_not_repeat_waits_there(
+def test_a_silent_endpoint_is_avoided_while_an_at_most_once_request_waits_there(
     tmp_path: Path,
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
         for engine in site.engines:
             engine.troubles = EngineTroubles(pause_s=30.0)
         waiting = asyncio.create_task(site.turn(b"hello"))
-        mute = await asked(site.engines, ASKED_S)
+        silent_engine = await asked(site.engines, REACH_ENDPOINT_S)
         await asyncio.sleep(SILENCE_OBJECTIVES * CHAT_OBJECTIVE_S + 0.1)
         for engine in site.engines:
-            if engine is not mute:
+            if engine is not silent_engine:
                 engine.troubles = EngineTroubles(pause_s=0.1)
-        # By load alone the mute one would get most of these.
+        # By load alone, the silent engine would get most of these.
         replies = await asyncio.gather(
             *(site.turn(b"x", program=f"p{number}") for number in range(6))
         )
         assert [reply.status for reply in replies] == [200] * 6
-        assert len(mute.runs) == 1
+        assert len(silent_engine.runs) == 1
         assert not waiting.done(), "it runs once, and may still be answered"
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
@@ -69,7 +69,7 @@
 
 
 def test_a_stalled_host_suspects_no_endpoint(tmp_path: Path) -> None:
-    """All stand still together here, so that the answers come right behind the stall."""
+    """The whole process stalls, so the answers arrive right after the stall."""
 
     async def scenario(site: PlatformSite) -> None:
         for service in site.services:
--- a/tests/functional/test_soak_endpoints.py
+++ b/tests/functional/test_soak_endpoints.py
@@ -1,4 +1,4 @@
-"""The soak's endpoints end in the middle of streams and start again under their ids."""
+"""Endpoints of the soak interrupt their streams and restart under the same id."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 async def read_stream(session: aiohttp.ClientSession, endpoint: Endpoint) -> tuple[bytes, bool]:
-    """Returns what came of a stream, and whether it ended well."""
+    """Returns the received bytes of a stream, and whether it ended cleanly."""
     headers = {"Bayhinge-Attempt-Id": "s1", "Bayhinge-Expect-Instance": "i-llm-1"}
     url = f"http://{endpoint.entry()['address']}/chat/x"
     pieces: list[bytes] = []
@@ -25,7 +25,7 @@
     return b"".join(pieces), True
 
 
-def test_a_start_again_cuts_streams_and_knows_nothing_of_them() -> None:
+def test_a_restart_interrupts_streams_and_forgets_them() -> None:
     async def scenario() -> None:
         endpoint = await start_endpoint("i-llm-1", "llm")
         engine, address = endpoint.engine, endpoint.entry()["address"]
@@ -49,7 +49,7 @@
         assert after["born"] > before["born"]
         first, second = split_events(answer)[0], split_events(again)[0]
         assert [event_id(event) for event in second] == [1, 2, 3]
-        assert not set(first) & set(second), "each event tells the start that made it"
+        assert not set(first) & set(second), "each event names the incarnation that made it"
         await endpoint.proxy.stop()
         await engine.stop()
 
--- a/tests/functional/test_standins.py
+++ b/tests/functional/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins over HTTP: what tests rely on when they judge by them."""
+"""The stand-ins over HTTP: behaviour that other tests rely on."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -139,7 +139,7 @@
     with_engine(scenario)
 
 
-def test_a_cancelled_request_stops_and_says_so_in_the_engines_record() -> None:
+def test_a_cancelled_request_stops_and_is_marked_in_the_engines_record() -> None:
     async def scenario(engine: EngineServer, session: aiohttp.ClientSession) -> None:
         body = chat("long", request_id="r1", max_tokens=24)
         engine.faults.slow_factor = 20
--- a/tests/functional/test_starting_host.py
+++ b/tests/functional/test_starting_host.py
@@ -1,4 +1,4 @@
-"""A host serves from its first moment on: requests wait for what it has not heard yet."""
+"""A starting host accepts requests at once; they wait for its initial sync."""
 
 import asyncio
 from pathlib import Path
@@ -11,7 +11,7 @@
 pytestmark = pytest.mark.functional
 
 
-def test_a_turn_that_comes_with_the_hosts_start_is_served(tmp_path: Path) -> None:
+def test_a_turn_sent_during_the_hosts_start_is_served(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         first = await site.turn(b"one ")
         await site.start_entry("entry-2")
@@ -32,7 +32,7 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_host_that_hears_nothing_says_so_in_time(tmp_path: Path) -> None:
+def test_a_host_without_an_initial_sync_refuses_turns_in_time(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         site.store.troubles.silent = True
         for name in list(site.entry_by_name):
--- a/tests/functional/test_store_outages.py
+++ b/tests/functional/test_store_outages.py
@@ -1,17 +1,7 @@
-"""The store goes away and comes back: how soon its changes are in force at every host.
+"""Store outages: how soon a change after one is in force at every host.
 
-The story: the store answered nobody for some eight seconds, and half of the hosts were killed
-meanwhile. At its return it took the changes that operators had waited with. Three seconds later
-callers were still refused with 404 on a route that had been added.
-
-The order of events: a host that had lost the store asked again soon, but with a call that may wait
-for five seconds. A call that is sent while the store is away is never taken, so it outlives the
-return of the store by what is left of its wait. All hosts were in that state at once: a change
-wakes all watches in one moment, and so does a common start, so they end together as well.
-
-The evidence: each host's failed calls with their waits (6.0 to 6.6 s, begun within the outage), the
-platform's record of calls, which has none about the configuration for 3.1 s after the return, and
-writes of the same processes which the store took meanwhile.
+A watch sent during an outage is never answered, so it may outlast the outage by the rest of its
+wait. Guards against all hosts waiting in such a watch when the store is available again.
 """
 
 import asyncio
@@ -26,10 +16,10 @@
 pytestmark = pytest.mark.functional
 
 APPLY_S = 2.0
-"""A configuration is in force so long after the store has taken it."""
+"""A configuration must be in force within this time after the store accepted it."""
 
-IN_TOUCH_S = 3.0
-"""A host counts as in touch again so long after the store's trouble."""
+RECONNECT_S = 3.0
+"""A host must reach the store again within this time after an outage."""
 
 
 def put_version(site: PlatformSite, version: int) -> None:
@@ -42,11 +32,11 @@
     return all(table is not None and table.version == version for table in tables)
 
 
-async def wake_all_watches(site: PlatformSite) -> None:
-    """Makes a change, so that every watch begins anew in the same moment."""
+async def restart_all_watches(site: PlatformSite) -> None:
+    """Makes a change, so that all watches restart at the same time."""
     put_version(site, 8)
     await site.until(lambda: is_everywhere(site, 8))
-    # A watch that has brought changes pauses for up to 0.8 s.
+    # A watch that returned changes pauses for up to 0.8 s.
     await asyncio.sleep(1.0)
 
 
@@ -60,7 +50,7 @@
 
 def test_a_change_right_after_a_long_outage_is_in_force_in_time(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        await wake_all_watches(site)
+        await restart_all_watches(site)
         site.store.go_away()
         followers = [
             entry._gateway.followers_by_prefix["config/"] for entry in site.entry_by_name.values()
@@ -69,7 +59,7 @@
             lambda: all(follower.health.failing_since_s is not None for follower in followers),
             limit_s=10.0,
         )
-        # Both ask again within the outage: 0.75 s later at most, and the pause of busy watches.
+        # Both retry within the outage: after at most 0.75 s and the pause of busy watches.
         await asyncio.sleep(1.7)
         site.store.come_back()
         assert await seconds_until_everywhere(site, 9) < APPLY_S
@@ -81,16 +71,16 @@
     tmp_path: Path,
 ) -> None:
     async def scenario(site: PlatformSite) -> None:
-        await wake_all_watches(site)
+        await restart_all_watches(site)
         site.store.go_away()
         await asyncio.sleep(0.5)
         site.store.come_back()
-        assert await seconds_until_everywhere(site, 9) < IN_TOUCH_S
+        assert await seconds_until_everywhere(site, 9) < RECONNECT_S
 
     run_site(tmp_path, scenario)
 
 
-def test_entries_that_lapsed_in_an_outage_have_time_to_come_back_after_it(tmp_path: Path) -> None:
+def test_entries_that_expired_in_an_outage_have_time_to_return_after_it(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
         endpoints = (*site.engines, *site.services)
         site.store.go_away()
@@ -104,7 +94,7 @@
         await site.until(lambda: any(follower.is_failing for follower in followers), limit_s=10.0)
         await asyncio.sleep(1.0)
         site.store.come_back()
-        # Endpoints that live and reach the store are back within about two seconds.
+        # Running endpoints that reach the store re-register within about two seconds.
         loop = asyncio.get_running_loop()
         until_s = loop.time() + 2.3
         statuses: list[int] = []
@@ -120,9 +110,9 @@
     run_site(tmp_path, scenario)
 
 
-def test_a_host_that_starts_in_an_outage_has_what_came_behind_it_in_time(tmp_path: Path) -> None:
+def test_a_host_that_starts_in_an_outage_applies_a_later_change_in_time(tmp_path: Path) -> None:
     async def scenario(site: PlatformSite) -> None:
-        # Disk hosts keep the newest objects, and tell them to hosts that start.
+        # Disk hosts keep the newest objects and send them to hosts that start.
         await site.until(
             lambda: all(
                 disk._disk.objects.revision_by_prefix.keys() >= {"config/", "servers/"}
@@ -135,7 +125,7 @@
         for name in ("entry-0", "entry-1"):
             await site.start_entry(name)
         await site.until(lambda: all(site.is_ready(name) for name in site.entry_by_name))
-        # Their first calls are given up after a second, and asked again within 0.75 s.
+        # Their first calls time out after a second and are retried within 0.75 s.
         await asyncio.sleep(2.0)
         site.store.come_back()
         assert await seconds_until_everywhere(site, 9) < APPLY_S
--- a/tests/functional/test_tool.py
+++ b/tests/functional/test_tool.py
@@ -20,8 +20,8 @@
 pytestmark = pytest.mark.functional
 
 
-class Background:
-    """Hosts and stand-ins on a loop in a thread of its own; the tool runs in the test's."""
+class BackgroundWorld:
+    """Hosts and stand-ins on an event loop in a background thread; the tool runs in the test's."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -50,14 +50,14 @@
 
 
 @pytest.fixture(scope="module")
-def background() -> Iterator[Background]:
-    running = Background()
+def background() -> Iterator[BackgroundWorld]:
+    running = BackgroundWorld()
     yield running
     running.close()
 
 
 @pytest.fixture
-def tool(background: Background, monkeypatch: pytest.MonkeyPatch) -> Background:
+def tool(background: BackgroundWorld, monkeypatch: pytest.MonkeyPatch) -> BackgroundWorld:
     monkeypatch.setenv("BAYHINGE_ADDRESS", background.world.hosts[0].base_url)
     monkeypatch.setenv("BAYHINGE_OPERATOR_KEY", OPERATOR_KEY)
     return background
@@ -72,7 +72,7 @@
 
 
 def test_queries_print_tables_and_json(
-    tool: Background, capsys: pytest.CaptureFixture[str]
+    tool: BackgroundWorld, capsys: pytest.CaptureFixture[str]
 ) -> None:
     for words in (["hosts"], ["endpoints"], ["stats"], ["programs", "list"], ["config", "status"]):
         assert call(*words) == 0
@@ -85,15 +85,15 @@
     assert "its caller ended it" in capsys.readouterr().out
 
 
-def test_explain_tells_a_programs_story_without_secrets(
-    tool: Background, capsys: pytest.CaptureFixture[str]
+def test_explain_shows_the_events_of_a_program_without_secrets(
+    tool: BackgroundWorld, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert call("explain", tool.program) == 0
-    story = capsys.readouterr().out
-    assert f"Program {tool.program} of client account fund-desk:" in story
+    output = capsys.readouterr().out
+    assert f"Program {tool.program} of client account fund-desk:" in output
     for expected in ("opened", "call 0 placed at engine-", "call 8 finished", "ended"):
-        assert expected in story
-    assert key_of(Account.FUND_DESK) not in story
+        assert expected in output
+    assert key_of(Account.FUND_DESK) not in output
     assert call("timeline", "--mechanism", "owner") == 0
     shown = capsys.readouterr().out
     assert "placed" not in shown
@@ -101,7 +101,7 @@
 
 
 def test_accounts_are_created_edited_and_rolled_back(
-    tool: Background, capsys: pytest.CaptureFixture[str], tmp_path: Path
+    tool: BackgroundWorld, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     assert call("accounts", "create", "new-desk", "--template", "navdesk", "--wait", "10") == 0
     created = capsys.readouterr().out
@@ -129,8 +129,8 @@
     assert "+priority = 1" in capsys.readouterr().out
 
 
-def test_findings_have_their_place_and_a_status_of_their_own(
-    tool: Background, capsys: pytest.CaptureFixture[str], tmp_path: Path
+def test_settings_errors_have_a_location_and_their_own_exit_status(
+    tool: BackgroundWorld, capsys: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
     bad = tmp_path / "bad.ini"
     bad.write_text("[account]\ntemplate = gone\n", encoding="utf-8")
@@ -146,8 +146,8 @@
     assert call("templates", "get", "nothing") == status_codes.EXIT_NOT_FOUND
 
 
-def test_a_wrong_key_and_a_dead_address_are_told_apart(
-    tool: Background, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+def test_a_wrong_key_and_an_unreachable_address_have_different_exit_statuses(
+    tool: BackgroundWorld, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("BAYHINGE_OPERATOR_KEY", "wrong")
     assert call("hosts") == status_codes.EXIT_FAILURE
