--- a/tests/functional/test_daemon.py
+++ b/tests/functional/test_daemon.py
@@ -78,7 +78,7 @@
             line = await asyncio.to_thread(self.process.stderr.readline)
             if " serves at " in line:
                 return line.split()[-1]
-            assert line, "the daemon result before it served"
+            assert line, "the daemon ended before it served"
 
     def stop(self, number: signal.Signals) -> int:
         self.process.send_signal(number)
@@ -104,7 +104,7 @@
             await asyncio.sleep(0.3)
             stopped = await asyncio.to_thread(daemons[1].stop, signal.SIGTERM)
             assert stopped == status_codes.EXIT_OK
-            # The caller still has the addresses of the two result daemons.
+            # The caller still has the addresses of the two ended daemons.
             reports = await asyncio.gather(*running)
             assert all(report.finished for report in reports)
             record = world.tools_by_service["submissions"][0].record
--- a/tests/functional/test_odd_objects.py
+++ b/tests/functional/test_odd_objects.py
@@ -50,10 +50,10 @@
         for number, spec in enumerate(INVALID_SPECS):
             site.store.put("servers", f"i-odd-{number}", spec)
         site.store.put("servers", "i-app-1/x", site.services[0].entry("resting"))
-        later_endpoint = PlatformEngine("i-later_endpoint", "app")
+        later_endpoint = PlatformEngine("i-behind", "app")
         await later_endpoint.start()
         site.services.append(later_endpoint)
-        site.store.put("servers", "i-later_endpoint", later_endpoint.entry())
+        site.store.put("servers", "i-behind", later_endpoint.entry())
         await asyncio.sleep(1.0)
         # Also at a host that starts now and lists all of them.
         await site.start_entry("entry-2")
@@ -66,7 +66,7 @@
             one.entry.instance
             for one in site.entry_by_name["entry-2"]._gateway.endpoint_table.all()
         }
-        assert known == {"i-llm-1", "i-llm-2", "i-app-1", "i-app-2", "i-later_endpoint"}
+        assert known == {"i-llm-1", "i-llm-2", "i-app-1", "i-app-2", "i-behind"}
         async with site.session.get(
             f"http://{site.entry_by_name['entry-2']._gateway.settings.ip}:9464/metrics"
         ) as page:
@@ -167,7 +167,7 @@
 def test_invalid_addresses_of_hosts_stop_no_heartbeat(tmp_path: Path, lines: list[Line]) -> None:
     async def scenario(site: PlatformSite) -> None:
         put_invalid_addresses(site)
-        # Its own object is invalid as valid_set, and no seed names any other host.
+        # Its own object is invalid as well, and no seed names any other host.
         site.store.put("hosts", "entry-2", "%%%")
         entry = await site.start_entry("entry-2")
         gossip = entry._gateway.gossip
--- a/tests/functional/test_odd_sites.py
+++ b/tests/functional/test_odd_sites.py
@@ -20,10 +20,10 @@
 
     async def scenario(site: PlatformSite) -> None:
         # The settings name a hall that has an endpoint and no host; another one has neither.
-        remote_endpoint = PlatformEngine("i-remote_endpoint", "app")
+        remote_endpoint = PlatformEngine("i-far", "app")
         await remote_endpoint.start()
         site.services.append(remote_endpoint)
-        site.store.put("servers", "i-remote_endpoint", remote_endpoint.entry() | {"zone": "west"})
+        site.store.put("servers", "i-far", remote_endpoint.entry() | {"zone": "west"})
         for other in site.services[:2]:
             site.store.remove("servers", other.instance)
         await asyncio.sleep(3.0)
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -64,9 +64,7 @@
 
         answers = await asyncio.gather(*(ask(number) for number in range(STREAMS)))
         for number, answer in enumerate(answers):
-            assert answer == [
-                b"%d/%d" % (number, index) for index in range(MESSAGES)
-            ]
+            assert answer == [b"%d/%d" % (number, index) for index in range(MESSAGES)]
 
     run_with_link(scenario)
 
--- a/tests/functional/test_schedules.py
+++ b/tests/functional/test_schedules.py
@@ -49,10 +49,10 @@
 
 
 def test_a_journal_without_a_fence_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def never_fenced(journal: Journal, key: str, nonce: str) -> bool:
+    async def always_own(journal: Journal, key: str, nonce: str) -> bool:
         return True
 
-    monkeypatch.setattr(Journal, "_is_ours", never_fenced)
+    monkeypatch.setattr(Journal, "_is_own_batch", always_own)
     monkeypatch.setattr(Journal, "check_seal", lambda journal: _no_seal())
     assert find_violations(range(30)) != []
 
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -184,7 +184,7 @@
         "tests/unit/test_news_after_outages.py",
         "tests/unit/test_store_calls.py",
         f"{_FUNCTIONAL}store_outages.py",
-        f"{_FUNCTIONAL}darkened.py",
+        f"{_FUNCTIONAL}changes_after_outages.py",
         f"{_FUNCTIONAL}platform_store.py",
     ),
     "takeover": (
@@ -212,7 +212,7 @@
         *_PLATFORM,
         f"{_LEFT}elsewhere.py",
         f"{_FUNCTIONAL}store_outages.py",
-        f"{_FUNCTIONAL}darkened.py",
+        f"{_FUNCTIONAL}changes_after_outages.py",
         f"{_FUNCTIONAL}platform_store.py",
     ),
     "drain": (*_PLATFORM, f"{_FUNCTIONAL}rolling_restart.py"),
