--- a/tests/functional/test_platform_store.py
+++ b/tests/functional/test_platform_store.py
@@ -41,7 +41,7 @@
     b"[" * 100_000,
 )
 
-GOOD_OBJECT = b'{"metadata":{"name":"i-good","revision":7},"spec":{"slots":4}}'
+VALID_OBJECT = b'{"metadata":{"name":"i-good","revision":7},"spec":{"slots":4}}'
 
 INVALID_OBJECTS = (
     b"null",
@@ -176,13 +176,13 @@
 
     async def scenario(server: PlatformStoreServer, store: PlatformObjects) -> None:
         for invalid in INVALID_OBJECTS:
-            items = b"%s,%s" % (invalid, GOOD_OBJECT)
+            items = b"%s,%s" % (invalid, VALID_OBJECT)
             server.troubles.says = b'{"items":[%s],"has_more":false,"timestamp":9}' % items
             listing = await store.list("servers/")
             assert StoredObject("servers/i-good", b'{"slots":4}', 7) in listing.objects, invalid
             assert all(one.value == b"" for one in listing.objects[:-1]), invalid
             events = b",".join(
-                b'{"deleted":false,"object":%s}' % one for one in (invalid, GOOD_OBJECT)
+                b'{"deleted":false,"object":%s}' % one for one in (invalid, VALID_OBJECT)
             )
             server.troubles.says = b'{"events":[%s],"timestamp":9}' % events
             page = await store.poll("servers/", 5, 0.1)
