--- a/src/bayhinge/_internal/cli/daemon.py
+++ b/src/bayhinge/_internal/cli/daemon.py
@@ -35,7 +35,7 @@
         for finding in read.error:
             print(finding, file=sys.stderr)
         print(f"{len(read.error)} finding(s); nothing was started.", file=sys.stderr)
-        return status_codes.EXIT_BAD_SETTINGS
+        return status_codes.EXIT_INVALID_INPUT
     if check:
         print(f"{settings}: no findings")
         return status_codes.EXIT_OK
--- a/src/bayhinge/_internal/cli/tool/accounts.py
+++ b/src/bayhinge/_internal/cli/tool/accounts.py
@@ -9,7 +9,7 @@
     Connection,
     print_json,
     print_table,
-    run,
+    run_with_api,
 )
 from bayhinge._internal.models.account_keys import hash_key
 from bayhinge._internal.models.accounts import ConfigKind
@@ -58,7 +58,7 @@
     """
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.query("account-parameters", name=name)
 
-    print_table(connection, run(connection, work), ["name", "value", "source"])
+    print_table(connection, run_with_api(connection, query), ["name", "value", "source"])
--- a/src/bayhinge/_internal/cli/tool/addresses.py
+++ b/src/bayhinge/_internal/cli/tool/addresses.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from bayhinge._internal.cli.tool.connection import Api, Connection, print_json, run
+from bayhinge._internal.cli.tool.connection import Api, Connection, print_json, run_with_api
 
 
 def addresses(program: str = "", *, connection: Connection | None = None) -> None:
@@ -14,11 +14,11 @@
     """
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         parameters = {"program": program} if program else {}
         return await api.request("GET", "/v1/addresses", parameters=parameters)
 
-    view = run(connection, work)
+    view = run_with_api(connection, query)
     if connection.json:
         print_json(view)
         return
--- a/src/bayhinge/_internal/cli/tool/config.py
+++ b/src/bayhinge/_internal/cli/tool/config.py
@@ -4,7 +4,7 @@
 
 import cyclopts
 
-from bayhinge._internal.cli.tool.connection import Api, Connection, print_table, run
+from bayhinge._internal.cli.tool.connection import Api, Connection, print_table, run_with_api
 
 COLUMNS = ["host", "incarnation", "revision", "newest_heard", "vouches", "damaged"]
 
@@ -16,7 +16,7 @@
     """Shows the revision that each host has applied, and whether it is confirmed as current."""
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.query("config-status")
 
-    print_table(connection, run(connection, work), COLUMNS)
+    print_table(connection, run_with_api(connection, query), COLUMNS)
--- a/src/bayhinge/_internal/cli/tool/config_commands.py
+++ b/src/bayhinge/_internal/cli/tool/config_commands.py
@@ -17,7 +17,7 @@
     Connection,
     print_json,
     print_table,
-    run,
+    run_with_api,
 )
 from bayhinge._internal.exceptions import ApiError
 from bayhinge._internal.models.accounts import ConfigKind, check_config_text
@@ -52,10 +52,10 @@
         """Lists all names with their newest revisions."""
         connection = connection or Connection()
 
-        async def work(api: Api) -> Any:
+        async def query(api: Api) -> Any:
             return await api.query("config", kind=self._kind)
 
-        print_table(connection, run(connection, work), ["name", "revision", "author"])
+        print_table(connection, run_with_api(connection, query), ["name", "revision", "author"])
 
     def get(self, name: str, *, connection: Connection | None = None) -> None:
         """Prints an object as INI, with its revision as a comment.
@@ -65,7 +65,7 @@
             connection: which host to ask.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._find(api, name))
+        found = run_with_api(connection, lambda api: self._find(api, name))
         if connection.json:
             print_json(found)
             return
@@ -92,7 +92,7 @@
             connection: which host to ask.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._find(api, name))
+        found = run_with_api(connection, lambda api: self._find(api, name))
         text = set_values(found["text"], values)
         _print_diff(found["text"], text, "accepted", "yours")
         self.propose(connection, name, text, found["revision"], author, wait)
@@ -122,9 +122,9 @@
         findings = check_config_text(self._kind, text, str(file))
         if findings:
             _print_findings(str(finding) for finding in findings)
-            raise SystemExit(status_codes.EXIT_BAD_SETTINGS)
+            raise SystemExit(status_codes.EXIT_INVALID_INPUT)
         if base is None:
-            base = run(connection, lambda api: self._newest_revision(api, name))
+            base = run_with_api(connection, lambda api: self._newest_revision(api, name))
         self.propose(connection, name, text, base, author, wait)
 
     def diff(self, name: str, file: Path, *, connection: Connection | None = None) -> None:
@@ -136,7 +136,7 @@
             connection: which host to ask.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._find(api, name))
+        found = run_with_api(connection, lambda api: self._find(api, name))
         _print_diff(found["text"], file.read_text(encoding="utf-8"), "accepted", str(file))
 
     def history(self, name: str, *, connection: Connection | None = None) -> None:
@@ -147,7 +147,7 @@
             connection: which host to ask.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._history(api, name))
+        found = run_with_api(connection, lambda api: self._history(api, name))
         rows = [
             {**item, "change": "deleted" if item["text"] is None else "written"} for item in found
         ]
@@ -172,7 +172,7 @@
             connection: which host to ask.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._history(api, name))
+        found = run_with_api(connection, lambda api: self._history(api, name))
         texts = {item["revision"]: item["text"] for item in found}
         if texts.get(revision) is None:
             print(f"{name} has no text at revision {revision}", file=sys.stderr)
@@ -197,7 +197,7 @@
             connection: which host to ask.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._find(api, name))
+        found = run_with_api(connection, lambda api: self._find(api, name))
         self.propose(connection, name, None, found["revision"], author, wait)
 
     async def _find(self, api: Api, name: str) -> Any:
@@ -225,12 +225,12 @@
     ) -> None:
         """Sends an edit, waits up to ``wait`` seconds for all hosts, and prints the result."""
 
-        async def work(api: Api) -> Any:
+        async def edit(api: Api) -> Any:
             return await self._send(api, name, text, base, author or getpass.getuser())
 
-        revision = run(connection, lambda api: _report_rejection(work(api), text))
+        revision = run_with_api(connection, lambda api: _report_rejection(edit(api), text))
         if wait:
-            missing = run(connection, lambda api: _wait_until_applied(api, revision, wait))
+            missing = run_with_api(connection, lambda api: _wait_until_applied(api, revision, wait))
             if missing:
                 _print_findings(missing)
                 raise SystemExit(status_codes.EXIT_FAILURE)
@@ -260,10 +260,10 @@
     return "\n".join(lines) + "\n"
 
 
-async def _report_rejection(work: Any, text: str | None) -> int:
+async def _report_rejection(edit: Any, text: str | None) -> int:
     """Awaits an edit; prints findings, or the diff after a conflict, before it raises."""
     try:
-        return int(await work)
+        return int(await edit)
     except ApiError as error:
         body = orjson.loads(error.body)
         if "findings" in body:
--- a/src/bayhinge/_internal/cli/tool/connection.py
+++ b/src/bayhinge/_internal/cli/tool/connection.py
@@ -103,13 +103,13 @@
                 yield orjson.loads(line)
 
 
-def run(connection: Connection, work: Callable[[Api], Awaitable[Answer]]) -> Answer:
-    """Runs ``work`` with a client; prints errors and exits with their exit codes."""
+def run_with_api(connection: Connection, action: Callable[[Api], Awaitable[Answer]]) -> Answer:
+    """Runs ``action`` with a client; prints errors and exits with their exit codes."""
 
     async def main() -> Answer:
         api = Api(connection)
         try:
-            return await work(api)
+            return await action(api)
         finally:
             await api.close()
 
@@ -158,7 +158,7 @@
     by_status = {
         status_codes.HTTP_NOT_FOUND: status_codes.EXIT_NOT_FOUND,
         status_codes.HTTP_CONFLICT: status_codes.EXIT_CONFLICT,
-        status_codes.HTTP_UNPROCESSABLE: status_codes.EXIT_BAD_SETTINGS,
+        status_codes.HTTP_UNPROCESSABLE: status_codes.EXIT_INVALID_INPUT,
         status_codes.HTTP_UNAVAILABLE: status_codes.EXIT_UNREACHABLE,
     }
     return by_status.get(status, status_codes.EXIT_FAILURE)
--- a/src/bayhinge/_internal/cli/tool/endpoints.py
+++ b/src/bayhinge/_internal/cli/tool/endpoints.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from bayhinge._internal.cli.tool.connection import Api, Connection, print_table, run
+from bayhinge._internal.cli.tool.connection import Api, Connection, print_table, run_with_api
 
 COLUMNS = [
     "name",
@@ -22,7 +22,7 @@
     """Lists the endpoints with their health, load and cache contents."""
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.query("endpoints")
 
-    print_table(connection, run(connection, work), COLUMNS)
+    print_table(connection, run_with_api(connection, query), COLUMNS)
--- a/src/bayhinge/_internal/cli/tool/explain.py
+++ b/src/bayhinge/_internal/cli/tool/explain.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from bayhinge._internal.cli.tool.connection import Api, Connection, print_json, run
+from bayhinge._internal.cli.tool.connection import Api, Connection, print_json, run_with_api
 from bayhinge._internal.models.events import event_from_fields
 from bayhinge._internal.queries.sentences import explanation_lines
 
@@ -16,10 +16,10 @@
     """
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.query("events", program=program)
 
-    found = run(connection, work)
+    found = run_with_api(connection, query)
     if connection.json:
         print_json(found)
         return
--- a/src/bayhinge/_internal/cli/tool/hosts.py
+++ b/src/bayhinge/_internal/cli/tool/hosts.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from bayhinge._internal.cli.tool.connection import Api, Connection, print_table, run
+from bayhinge._internal.cli.tool.connection import Api, Connection, print_table, run_with_api
 
 COLUMNS = ["host", "hall", "state", "public_address", "revision", "load", "incarnation"]
 
@@ -11,7 +11,7 @@
     """Lists the hosts that the queried host considers live."""
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.query("hosts")
 
-    print_table(connection, run(connection, work), COLUMNS)
+    print_table(connection, run_with_api(connection, query), COLUMNS)
--- a/src/bayhinge/_internal/cli/tool/programs.py
+++ b/src/bayhinge/_internal/cli/tool/programs.py
@@ -4,7 +4,13 @@
 
 import cyclopts
 
-from bayhinge._internal.cli.tool.connection import Api, Connection, print_json, print_table, run
+from bayhinge._internal.cli.tool.connection import (
+    Api,
+    Connection,
+    print_json,
+    print_table,
+    run_with_api,
+)
 
 COLUMNS = ["id", "account", "owner", "next_call", "running_call", "spent_tokens", "ended"]
 
@@ -21,10 +27,10 @@
     """
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.query("programs", account=account)
 
-    print_table(connection, run(connection, work), COLUMNS)
+    print_table(connection, run_with_api(connection, query), COLUMNS)
 
 
 @app.command
@@ -37,10 +43,10 @@
     """
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.request("GET", f"/v1/programs/{program}")
 
-    _print(connection, run(connection, work))
+    _print(connection, run_with_api(connection, query))
 
 
 @app.command
@@ -53,10 +59,10 @@
     """
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.request("POST", f"/v1/programs/{program}/cancel")
 
-    _print(connection, run(connection, work))
+    _print(connection, run_with_api(connection, query))
 
 
 def _print(connection: Connection, view: dict[str, Any]) -> None:
--- a/src/bayhinge/_internal/cli/tool/settings.py
+++ b/src/bayhinge/_internal/cli/tool/settings.py
@@ -25,7 +25,7 @@
         return
     for finding in read.error:
         print(finding, file=sys.stderr)
-    raise SystemExit(status_codes.EXIT_BAD_SETTINGS)
+    raise SystemExit(status_codes.EXIT_INVALID_INPUT)
 
 
 @app.command
--- a/src/bayhinge/_internal/cli/tool/stats.py
+++ b/src/bayhinge/_internal/cli/tool/stats.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from bayhinge._internal.cli.tool.connection import Api, Connection, print_table, run
+from bayhinge._internal.cli.tool.connection import Api, Connection, print_table, run_with_api
 
 COLUMNS = [
     "host",
@@ -22,10 +22,10 @@
     """Prints the counters of each host, and its first-token latency in ms as p50/p95/p99."""
     connection = connection or Connection()
 
-    async def work(api: Api) -> Any:
+    async def query(api: Api) -> Any:
         return await api.query("stats")
 
-    rows = run(connection, work)
+    rows = run_with_api(connection, query)
     if not connection.json:
         rows = [{**row, "first_token_ms": _percentiles(row["latency_ms"])} for row in rows]
     print_table(connection, rows, COLUMNS)
--- a/src/bayhinge/_internal/cli/tool/timeline.py
+++ b/src/bayhinge/_internal/cli/tool/timeline.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Any
 
-from bayhinge._internal.cli.tool.connection import Api, Connection, print_json, run
+from bayhinge._internal.cli.tool.connection import Api, Connection, print_json, run_with_api
 from bayhinge._internal.models.events import event_from_fields
 from bayhinge._internal.queries.html_report import html_report
 from bayhinge._internal.queries.sentences import timeline_lines
@@ -41,13 +41,13 @@
         "mechanism": mechanism,
     }
     if html is not None:
-        found = run(connection, lambda api: api.query("events", **filters))
+        found = run_with_api(connection, lambda api: api.query("events", **filters))
         events = [event_from_fields(item) for item in found]
         html.write_text(html_report("bayhinge timeline", events), encoding="utf-8")
         print(f"written: {html}")
         return
     try:
-        run(connection, lambda api: _print_events(api, connection, filters, follow))
+        run_with_api(connection, lambda api: _print_events(api, connection, filters, follow))
     except KeyboardInterrupt:
         return
 
--- a/src/bayhinge/_internal/models/refusals.py
+++ b/src/bayhinge/_internal/models/refusals.py
@@ -1,6 +1,6 @@
 """Refusals: the typed error for every call that gets no answer.
 
-The run state of a refusal is derived by :class:`CallAttempt` from the requests that were sent;
+The run state of a refusal is derived by :class:`SendRecord` from the requests that were sent;
 a refusal without an attempt belongs to a call that was never accepted.
 """
 
@@ -148,7 +148,7 @@
 
 
 @attrs.define
-class CallAttempt:
+class SendRecord:
     """Tracks the requests sent for one call, to derive the run state of a refusal.
 
     Attributes:
--- a/src/bayhinge/_internal/platform/programs.py
+++ b/src/bayhinge/_internal/platform/programs.py
@@ -74,7 +74,7 @@
     if read.is_error():
         for finding in read.error:
             print(finding, file=sys.stderr)
-        return status_codes.EXIT_BAD_SETTINGS
+        return status_codes.EXIT_INVALID_INPUT
     eliot.add_destinations(LogOutput(sys.stdout.fileno(), read.ok.host))
     asyncio.run(_run(program(read.ok, sockets or PreboundSockets()), path))
     return status_codes.EXIT_OK
--- a/src/bayhinge/_internal/services/adoption.py
+++ b/src/bayhinge/_internal/services/adoption.py
@@ -15,10 +15,10 @@
 from bayhinge._internal.models.ids import ProgramId
 from bayhinge._internal.models.programs import ProgramState
 from bayhinge._internal.models.refusals import (
-    CallAttempt,
     Figure,
     RefusalCode,
     RefusedError,
+    SendRecord,
     refuse_unaccepted,
 )
 from bayhinge._internal.services.call_records import failure_record
@@ -260,7 +260,7 @@
             f"call {started.index} was sent to {started.endpoint}, and its owner died before the "
             "outcome was recorded; the call may not be repeated"
         )
-        refusal = CallAttempt(started_before=True).refuse(RefusalCode.OUTCOME_UNKNOWN, why)
+        refusal = SendRecord(started_before=True).refuse(RefusalCode.OUTCOME_UNKNOWN, why)
         finished = failure_record(state, started, refusal)
         position = await self._parts.journal.append(encode_finished(finished))
         apply_finished(state, finished, position)
--- a/src/bayhinge/_internal/services/call_runner.py
+++ b/src/bayhinge/_internal/services/call_runner.py
@@ -16,7 +16,7 @@
 from bayhinge._internal.models.events import Mechanism
 from bayhinge._internal.models.messages import build_request_body, estimate_tokens, merge_tool_calls
 from bayhinge._internal.models.programs import ProgramState
-from bayhinge._internal.models.refusals import CallAttempt, Figure, RefusalCode, RefusedError
+from bayhinge._internal.models.refusals import Figure, RefusalCode, RefusedError, SendRecord
 from bayhinge._internal.models.settings import Settings
 from bayhinge._internal.network.endpoint_client import EndpointClient, EngineChunk, EngineRequest
 from bayhinge._internal.services.answers import LiveAnswer
@@ -45,7 +45,7 @@
     index: int
     prompt: tuple[bytes, ...]
     deadline: float
-    extend_budget: Callable[[int, CallAttempt], Awaitable[None]] | None = None
+    extend_budget: Callable[[int, SendRecord], Awaitable[None]] | None = None
 
 
 @attrs.frozen
@@ -66,7 +66,7 @@
 class _Progress:
     """The state of a call over all its attempts."""
 
-    attempt: CallAttempt = attrs.field(factory=CallAttempt)
+    send_record: SendRecord = attrs.field(factory=SendRecord)
     avoid: set[str] = attrs.field(factory=set)
     tool_calls: list[dict[str, object]] = attrs.field(factory=list)
     usage: Usage = attrs.field(factory=Usage)
@@ -76,14 +76,14 @@
 
     def begin_attempt(self) -> None:
         """Clears everything but text that a failed attempt has collected."""
-        self.attempt.record_send()
+        self.send_record.record_send()
         self.attempts += 1
         self.tool_calls.clear()
         self.usage = Usage()
         self.finish_reason = DEFAULT_FINISH_REASON
 
 
-BeforeSend = Callable[[str, CallAttempt], Awaitable[None]]
+BeforeSend = Callable[[str, SendRecord], Awaitable[None]]
 """Makes a call's start durable; called with the endpoint and the call's attempts."""
 
 
@@ -119,7 +119,7 @@
         progress = _Progress()
         if pool is None:
             why = f"no pool serves model '{work.model}'"
-            raise RefusedError(progress.attempt.refuse(RefusalCode.NO_ENDPOINT, why))
+            raise RefusedError(progress.send_record.refuse(RefusalCode.NO_ENDPOINT, why))
         while True:
             granted = await self._request_endpoint(pool.name, prepared, progress)
             try:
@@ -146,7 +146,7 @@
         progress = _Progress()
         if work.service not in self._settings.services_by_name:
             why = f"service '{work.service}' does not exist"
-            raise RefusedError(progress.attempt.refuse(RefusalCode.NO_ENDPOINT, why))
+            raise RefusedError(progress.send_record.refuse(RefusalCode.NO_ENDPOINT, why))
         while True:
             granted = await self._request_endpoint(work.service, prepared, progress)
             try:
@@ -163,14 +163,14 @@
             why = "the caller's patience ran out before an endpoint answered"
             figures = (Figure("tries", progress.attempts),)
             raise RefusedError(
-                progress.attempt.refuse(
+                progress.send_record.refuse(
                     RefusalCode.PATIENCE_EXCEEDED, why, *figures, retry_after_s=RETRY_AFTER_S
                 )
             )
         try:
             granted = await self._grants.request(pool, self._offer(prepared, progress, patience_s))
         except RefusedError as error:
-            refusal = attrs.evolve(error.refusal, run_state=progress.attempt.run_state)
+            refusal = attrs.evolve(error.refusal, run_state=progress.send_record.run_state)
             raise RefusedError(refusal) from error
         return granted
 
@@ -223,7 +223,7 @@
             if error.may_have_run:
                 await self._charge_failed_attempt(prepared, progress, pieces)
             else:
-                progress.attempt.retract_send()
+                progress.send_record.retract_send()
             raise
         finally:
             if outcome is Outcome.CANCELLED:
@@ -241,7 +241,7 @@
                 seconds - first_token_s,
             )
             self._grants.done(granted, done)
-        progress.attempt.answered = True
+        progress.send_record.answered = True
         end = _model_end(prepared, work, progress)
         spend = progress.usage.total + progress.failed_tokens
         return CallResult(end, granted.endpoint, loop.time() - started, spend)
@@ -253,7 +253,7 @@
         cost = estimate_tokens(prepared.prompt) + pieces
         progress.failed_tokens += cost
         if prepared.extend_budget is not None:
-            await prepared.extend_budget(cost, progress.attempt)
+            await prepared.extend_budget(cost, progress.send_record)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -301,9 +301,9 @@
         outcome = Outcome.CANCELLED
         try:
             if before_send is not None:
-                await before_send(granted.endpoint, progress.attempt)
+                await before_send(granted.endpoint, progress.send_record)
             timeout_s = min(settings.timeout_seconds, max(0.05, prepared.deadline - loop.time()))
-            progress.attempt.record_send()
+            progress.send_record.record_send()
             progress.attempts += 1
             answer = await self._endpoints.call_service(
                 granted.endpoint, granted.address, work, timeout_s
@@ -312,14 +312,14 @@
         except EndpointError as error:
             outcome = _outcome_of(error)
             if not error.may_have_run:
-                progress.attempt.retract_send()
+                progress.send_record.retract_send()
             raise
         except RefusedError:
             outcome = Outcome.CANCELLED
             raise
         finally:
             self._grants.done(granted, CallCompletion(granted.grant, outcome))
-        progress.attempt.answered = True
+        progress.send_record.answered = True
         end = AnswerEnd(
             prepared.index,
             answer.status,
@@ -337,7 +337,7 @@
     ) -> None:
         """Waits before the next attempt, or refuses the call if there must be none."""
         progress.avoid.add(error.endpoint)
-        attempt = progress.attempt
+        send_record = progress.send_record
         self._record(
             prepared,
             "attempt failed",
@@ -351,12 +351,12 @@
                 f"endpoint {error.endpoint} gave no answer ({error.why}); "
                 "the call may not be repeated, and it may have run"
             )
-            raise RefusedError(attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, why)) from error
+            raise RefusedError(send_record.refuse(RefusalCode.OUTCOME_UNKNOWN, why)) from error
         if progress.attempts >= MAX_ATTEMPTS or len(progress.avoid) > MAX_ATTEMPTS:
             why = f"endpoints failed {progress.attempts} times, the last one: {error.why}"
             figures = (Figure("tries", progress.attempts),)
             raise RefusedError(
-                attempt.refuse(
+                send_record.refuse(
                     RefusalCode.ENDPOINT_FAILED, why, *figures, retry_after_s=RETRY_AFTER_S
                 )
             ) from error
--- a/src/bayhinge/_internal/services/gateway/disk_client.py
+++ b/src/bayhinge/_internal/services/gateway/disk_client.py
@@ -7,7 +7,7 @@
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.network.frames import decode_message
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
-from bayhinge._internal.services.gateway.disk_link import DiskLink, DiskUnreachableError
+from bayhinge._internal.services.gateway.disk_link import DiskCallError, DiskLink
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 Reply = TypeVar("Reply")
@@ -26,7 +26,7 @@
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=limit_s)
 
-    async def ask(
+    async def call_all(
         self,
         members: list[wire.DiskMember],
         method: str,
@@ -51,7 +51,7 @@
         """Returns one disk's answer; None if it is missing or malformed."""
         try:
             return decode_message(empty, await self._link.call(member, method, message))
-        except DiskUnreachableError:
+        except DiskCallError:
             return None
         except FrameError as error:
             self._directory.record_failure(member, str(error))
--- a/src/bayhinge/_internal/services/gateway/disk_link.py
+++ b/src/bayhinge/_internal/services/gateway/disk_link.py
@@ -32,7 +32,7 @@
 _CALL_ERRORS = (PeerUnreachableError, PeerFailureError, FrameError)
 
 
-class DiskUnreachableError(Exception):
+class DiskCallError(Exception):
     """A disk did not answer, or refused the call."""
 
 
@@ -49,7 +49,7 @@
         """Returns a disk's first answer, direct or relayed.
 
         Raises:
-            DiskUnreachableError: the disk did not answer, or refused the call.
+            DiskCallError: the disk did not answer, or refused the call.
         """
         paths = _CallPaths(asyncio.get_running_loop().time())
         paths.direct.append(self._call_direct(member, method, message))
@@ -64,7 +64,7 @@
             paths.cancel()
         if answer is None:
             self._directory.record_failure(member, paths.failure_reason())
-            raise DiskUnreachableError(paths.failure_reason())
+            raise DiskCallError(paths.failure_reason())
         if any(_has_result(task) for task in paths.direct):
             self._directory.record_success(member)
         else:
--- a/src/bayhinge/_internal/services/gateway/metrics.py
+++ b/src/bayhinge/_internal/services/gateway/metrics.py
@@ -70,7 +70,7 @@
     for prefix, follower in gateway.followers_by_prefix.items():
         name = prefix.rstrip("/")
         gauges[f"store_revision_{name}"] = follower.revision
-        gauges[f"store_age_seconds_{name}"] = now - follower.last_answer_s
+        gauges[f"store_age_seconds_{name}"] = now - follower.last_refresh_s
         gauges[f"store_call_seconds_{name}"] = follower.waiting_s()
         gauges[f"store_fails_{name}"] = follower.is_failing
     return gauges
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -10,11 +10,11 @@
 
 from bayhinge._internal import status_codes
 from bayhinge._internal.models.refusals import (
-    CallAttempt,
     Refusal,
     RefusalCode,
     RefusedError,
     RunState,
+    SendRecord,
     refuse_unaccepted,
 )
 from bayhinge._internal.models.routed_requests import RequestField, RoutedRequest
@@ -140,17 +140,17 @@
             )
         patience_s = min(request.patience_s or route.timeout_s, route.timeout_s)
         deadline_s = exchange.began_s + patience_s
-        attempt = CallAttempt()
+        send_record = SendRecord()
         try:
             async with asyncio.timeout_at(deadline_s):
                 request = await self._admission.admit(table, route, request)
                 _validate_head(route, request)
-                async with self._within_quota(route, request, attempt):
+                async with self._within_quota(route, request, send_record):
                     request = await self._read_body(exchange, table, request)
-                    await self._forward(exchange, table, route, request, attempt, deadline_s)
+                    await self._forward(exchange, table, route, request, send_record, deadline_s)
         except TimeoutError:
             raise RefusedError(
-                attempt.refuse(
+                send_record.refuse(
                     RefusalCode.PATIENCE_EXCEEDED,
                     f"no answer within {patience_s:.3f} s",
                     retry_after_s=RETRY_AFTER_S,
@@ -159,7 +159,7 @@
 
     @asynccontextmanager
     async def _within_quota(
-        self, route: Route, request: RoutedRequest, attempt: CallAttempt
+        self, route: Route, request: RoutedRequest, send_record: SendRecord
     ) -> AsyncIterator[None]:
         """Acquires a quota token of the account, and returns it if the request did not run."""
         account = request.account
@@ -170,7 +170,7 @@
         try:
             yield
         finally:
-            if attempt.run_state is RunState.NOT_RUN:
+            if send_record.run_state is RunState.NOT_RUN:
                 self._quotas.return_unused(account)
 
     async def _read_body(
@@ -194,7 +194,7 @@
         table: RoutingTable,
         route: Route,
         request: RoutedRequest,
-        attempt: CallAttempt,
+        send_record: SendRecord,
         deadline_s: float,
     ) -> None:
         sync_deadline_s = initial_sync_deadline(exchange.began_s, request.patience_s)
@@ -203,7 +203,9 @@
         service = route.choose_service(self._random)
         delivery = self._delivery(exchange, table, route, service, request, turn)
         try:
-            await self._sender.send(service, route, request, turn, attempt, deadline_s, delivery)
+            await self._sender.send(
+                service, route, request, turn, send_record, deadline_s, delivery
+            )
         finally:
             if turn is not None and not delivery.is_recorded:
                 self._turn_recorder.settle(turn, delivery.tokens_delivered)
--- a/src/bayhinge/_internal/services/gateway/sending.py
+++ b/src/bayhinge/_internal/services/gateway/sending.py
@@ -13,7 +13,7 @@
     smoothed_answer_s,
 )
 from bayhinge._internal.decisions.endpoint_book import EndpointTable, PlacementPreference
-from bayhinge._internal.models.refusals import CallAttempt, Refusal, RefusalCode, RefusedError
+from bayhinge._internal.models.refusals import Refusal, RefusalCode, RefusedError, SendRecord
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind
 from bayhinge._internal.network.endpoint_answer import (
@@ -65,7 +65,7 @@
     request: RoutedRequest
     body: bytes
     preference: PlacementPreference
-    attempt: CallAttempt
+    send_record: SendRecord
     deadline_s: float
     delivery: Delivery
     tried: list[ActiveRun] = attrs.field(factory=list)
@@ -118,7 +118,7 @@
         route: Route,
         request: RoutedRequest,
         turn: OpenTurn | None,
-        attempt: CallAttempt,
+        send_record: SendRecord,
         deadline_s: float,
         delivery: Delivery,
     ) -> None:
@@ -134,7 +134,7 @@
             request,
             body,
             preference_of(request, turn),
-            attempt,
+            send_record,
             deadline_s,
             delivery,
         )
@@ -144,14 +144,14 @@
                 await self._send_to(run, send_state)
                 return
             except AdmissionRevokedError as error:
-                attempt.retract_send()
+                send_record.retract_send()
                 raise RefusedError(self._admission_refusal(send_state, error)) from error
             except EndpointUnreachableError as error:
-                attempt.retract_send()
+                send_record.retract_send()
                 send_state.rejected += 1
                 self._record_failure(run, send_state, str(error))
             except RequestRejectedError as error:
-                attempt.retract_send()
+                send_record.retract_send()
                 send_state.rejected += 1
                 self._log("send.not_taken", run, send_state, str(error))
             except IncompleteAnswerError as error:
@@ -167,9 +167,9 @@
 
     def _admission_refusal(self, send_state: _SendState, error: AdmissionRevokedError) -> Refusal:
         if send_state.ran:
-            return send_state.attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
+            return send_state.send_record.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
         retry_after_s = None if error.code is RefusalCode.UNAUTHORIZED else RETRY_AFTER_S
-        return send_state.attempt.refuse(error.code, error.why, retry_after_s=retry_after_s)
+        return send_state.send_record.refuse(error.code, error.why, retry_after_s=retry_after_s)
 
     async def _next_run(self, send_state: _SendState) -> ActiveRun:
         state = None
@@ -182,8 +182,10 @@
         if state is None:
             code = RefusalCode.OUTCOME_UNKNOWN if send_state.ran else RefusalCode.NO_ENDPOINT
             why = f"none of {len(send_state.tried)} endpoint(s) of the service accepted the request"
-            raise RefusedError(send_state.attempt.refuse(code, why, retry_after_s=RETRY_AFTER_S))
-        send_state.attempt.record_send()
+            raise RefusedError(
+                send_state.send_record.refuse(code, why, retry_after_s=RETRY_AFTER_S)
+            )
+        send_state.send_record.record_send()
         run = self._runs.begin(state)
         send_state.tried.append(run)
         return run
@@ -336,7 +338,7 @@
             )
             return
         raise RefusedError(
-            send_state.attempt.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
+            send_state.send_record.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
         ) from error
 
     def _record_failure(
--- a/src/bayhinge/_internal/services/gateway/turn_histories.py
+++ b/src/bayhinge/_internal/services/gateway/turn_histories.py
@@ -47,7 +47,7 @@
             self._directory.replicas(turn.context.program)[1:],
             self._directory.nearest_first(),
         ):
-            async for _, reply in self._disk_client.ask(
+            async for _, reply in self._disk_client.call_all(
                 disks, methods.RESERVE, message, wire.ReserveReply
             ):
                 if reply.missing is None and reply.chain is not None:
@@ -80,7 +80,7 @@
         newest = version
         try:
             async with stall_tolerant_timeout(DISK_ANSWER_S):
-                async for _, reply in self._disk_client.ask(
+                async for _, reply in self._disk_client.call_all(
                     members, methods.ENTRIES, message, wire.EntriesReply
                 ):
                     answered += 1
--- a/src/bayhinge/_internal/services/gateway/turn_recorder.py
+++ b/src/bayhinge/_internal/services/gateway/turn_recorder.py
@@ -96,7 +96,9 @@
                 else self._directory.replicas(turn.context.program)
             )
             disks = [disk for disk in disks if disk.host not in generation_by_host]
-            async for disk, reply in self.ask(disks, methods.APPEND, message, wire.AppendReply):
+            async for disk, reply in self.call_all(
+                disks, methods.APPEND, message, wire.AppendReply
+            ):
                 generation_by_host[disk.host] = reply.generation
                 if len(set(generation_by_host.values())) >= copies_needed(self._tolerated):
                     return
--- a/src/bayhinge/_internal/services/owner.py
+++ b/src/bayhinge/_internal/services/owner.py
@@ -23,12 +23,12 @@
 from bayhinge._internal.models.messages import assistant_message, estimate_tokens
 from bayhinge._internal.models.programs import CallEntry, ProgramState, UnfinishedCall
 from bayhinge._internal.models.refusals import (
-    CallAttempt,
     Figure,
     Refusal,
     RefusalCode,
     RefusedError,
     RunState,
+    SendRecord,
     refusal_from_json,
     refuse_unaccepted,
 )
@@ -268,8 +268,8 @@
         prompt = await self._build_prompt(state, call.work, new_messages.ok)
         reservation = await self._reserve(account, call.work, prompt)
 
-        async def extend_budget(units: int, attempt: CallAttempt) -> None:
-            await self._extend_reservation(account, reservation, units, attempt)
+        async def extend_budget(units: int, send_record: SendRecord) -> None:
+            await self._extend_reservation(account, reservation, units, send_record)
 
         prepared = PreparedCall(state, account, call, index, prompt, deadline, extend_budget)
         return _Admitted(prepared, new_messages.ok, reservation)
@@ -285,7 +285,7 @@
         try:
             return (*await self._parts.histories.get(state), *new_messages.messages)
         except CoordinationError as error:
-            raise RefusedError(refuse_for_store(CallAttempt(), error)) from error
+            raise RefusedError(refuse_for_store(SendRecord(), error)) from error
 
     async def _reserve(
         self, account: ClientAccount, work: ModelCall, prompt: tuple[bytes, ...]
@@ -294,16 +294,16 @@
         try:
             return await self._parts.escrow.reserve(account.name, units, account.budget_tokens)
         except CoordinationError as error:
-            raise RefusedError(_refuse_for_budget(account, CallAttempt(), error)) from error
+            raise RefusedError(_refuse_for_budget(account, SendRecord(), error)) from error
 
     async def _extend_reservation(
-        self, account: ClientAccount, reservation: Reservation, units: int, attempt: CallAttempt
+        self, account: ClientAccount, reservation: Reservation, units: int, send_record: SendRecord
     ) -> None:
         """Reserves the tokens of a failed attempt before the call is sent again."""
         try:
             await self._parts.escrow.extend(reservation, units, account.budget_tokens)
         except CoordinationError as error:
-            raise RefusedError(_refuse_for_budget(account, attempt, error)) from error
+            raise RefusedError(_refuse_for_budget(account, send_record, error)) from error
 
     # ---- calls that may not be repeated ----
 
@@ -315,8 +315,8 @@
             refusal = refuse_unaccepted(RefusalCode.STORE_UNAVAILABLE, why, retry_after_s=2.0)
             raise RefusedError(refusal)
 
-        async def record_start(endpoint: str, attempt: CallAttempt) -> None:
-            await self._record_start(program, prepared, endpoint, attempt)
+        async def record_start(endpoint: str, send_record: SendRecord) -> None:
+            await self._record_start(program, prepared, endpoint, send_record)
 
         try:
             return await self._parts.runner.run_service(prepared, record_start)
@@ -325,7 +325,7 @@
             raise
 
     async def _record_start(
-        self, program: OwnedProgram, prepared: PreparedCall, endpoint: str, attempt: CallAttempt
+        self, program: OwnedProgram, prepared: PreparedCall, endpoint: str, send_record: SendRecord
     ) -> None:
         call = prepared.call
         started = UnfinishedCall(prepared.index, call.digest, call.idempotency_key, endpoint)
@@ -337,10 +337,10 @@
                 await asyncio.shield(durable)
         except TimeoutError as error:
             why = "the call's start could not be recorded within the caller's patience"
-            refusal = attempt.refuse(RefusalCode.STORE_UNAVAILABLE, why, retry_after_s=2.0)
+            refusal = send_record.refuse(RefusalCode.STORE_UNAVAILABLE, why, retry_after_s=2.0)
             raise RefusedError(refusal) from error
         except (FencedError, JournalFullError) as error:
-            raise RefusedError(refuse_for_store(attempt, error)) from error
+            raise RefusedError(refuse_for_store(send_record, error)) from error
 
     async def _record_refused_outcome(
         self, program: OwnedProgram, prepared: PreparedCall, refusal: Refusal
@@ -376,8 +376,8 @@
         try:
             position = await self._parts.journal.append(encode_finished(finished))
         except (FencedError, JournalFullError) as error:
-            attempt = CallAttempt(sends=1, answered=True)
-            raise RefusedError(refuse_for_store(attempt, error)) from error
+            send_record = SendRecord(sends=1, answered=True)
+            raise RefusedError(refuse_for_store(send_record, error)) from error
         entry = apply_finished(state, finished, position)
         if admitted.new_messages is not None:
             answer = assistant_message(running.live.text, result.end.tool_calls)
@@ -404,8 +404,8 @@
         try:
             record = decode_record(await self._parts.reader.read_record(entry.position))
         except CoordinationError as error:
-            attempt = CallAttempt(sends=1, answered=True)
-            raise RefusedError(refuse_for_store(attempt, error)) from error
+            send_record = SendRecord(sends=1, answered=True)
+            raise RefusedError(refuse_for_store(send_record, error)) from error
         finished = record.finished
         if finished.failure is not None:
             raise RefusedError(refusal_from_json(finished.failure))
@@ -425,11 +425,11 @@
 
 
 def _refuse_for_budget(
-    account: ClientAccount, attempt: CallAttempt, error: CoordinationError
+    account: ClientAccount, send_record: SendRecord, error: CoordinationError
 ) -> Refusal:
     if not isinstance(error, BudgetExceededError):
-        return refuse_for_store(attempt, error)
-    return attempt.refuse(
+        return refuse_for_store(send_record, error)
+    return send_record.refuse(
         RefusalCode.BUDGET_EXCEEDED,
         "the client account's budget has no room for this call's worst case",
         Figure("needed_tokens", error.wanted),
--- a/src/bayhinge/_internal/services/owner_parts.py
+++ b/src/bayhinge/_internal/services/owner_parts.py
@@ -8,10 +8,10 @@
 from bayhinge._internal.commands.accept_call import RunningCallView
 from bayhinge._internal.models.programs import ProgramState
 from bayhinge._internal.models.refusals import (
-    CallAttempt,
     Figure,
     Refusal,
     RefusalCode,
+    SendRecord,
     refuse_unaccepted,
 )
 from bayhinge._internal.models.settings import Settings
@@ -78,12 +78,12 @@
     random_unit: Callable[[], float]
 
 
-def refuse_for_store(attempt: CallAttempt, error: CoordinationError) -> Refusal:
+def refuse_for_store(send_record: SendRecord, error: CoordinationError) -> Refusal:
     """Returns the refusal for a failed store or a fenced journal."""
     if isinstance(error, FencedError):
         why = "another host has taken the program over; look up its address again"
-        return attempt.refuse(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
-    return attempt.refuse(
+        return send_record.refuse(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
+    return send_record.refuse(
         RefusalCode.STORE_UNAVAILABLE,
         f"the platform's object store is needed for this call: {error}",
         retry_after_s=STORE_RETRY_AFTER_S,
--- a/src/bayhinge/_internal/services/prefix_follower.py
+++ b/src/bayhinge/_internal/services/prefix_follower.py
@@ -33,7 +33,7 @@
 """Mean pause, with 50 % jitter, after a repeated failure of the store. After the first failure
 there is none: a watch that timed out shows nothing about the store's present state."""
 
-MAX_RETURN_WAIT_S = 5.0
+MAX_RECOVERY_WAIT_S = 5.0
 """Longest wait of a follower for the store's return while another one of the process polls it."""
 
 MIN_PAUSE_S = 0.2
@@ -48,7 +48,7 @@
 """The same for a host without a watch or without any state; changes that come together need only
 one fetch."""
 
-DUTY_CHECK_S = 0.6
+WATCHER_CHECK_S = 0.6
 """How often a host without a watch checks whether it should watch."""
 
 RENEW_AFTER_S = 2.0
@@ -96,7 +96,7 @@
         self,
         store: PollingStore,
         prefix: str,
-        watch_timeout_s: Callable[[], float],
+        next_watch_timeout_s: Callable[[], float],
         listener: ObjectListener,
         peers: Peers,
     ) -> None:
@@ -105,13 +105,13 @@
         Args:
             store: the store to follow.
             prefix: the objects' prefix.
-            watch_timeout_s: returns how long a watch that starts now should wait for changes.
+            next_watch_timeout_s: returns how long a watch that starts now should wait for changes.
             listener: receives the objects and their changes.
             peers: the connections to other hosts.
         """
         self._store = store
         self.prefix = prefix
-        self._watch_timeout_s = watch_timeout_s
+        self._next_watch_timeout_s = next_watch_timeout_s
         self._listener = listener
         self._peers = peers
         self._cursor = 0
@@ -120,16 +120,16 @@
         self._is_fetching = False
         self._is_stopped = False
         self._call_started_s: float | None = None
-        self._call_known_revision = 0
-        self._is_watching: bool | None = None
-        self._reported_return_s = -math.inf
+        self._store_revision_at_call = 0
+        self._was_watching: bool | None = None
+        self._peer_reported_recovery_s = -math.inf
         self.revision = 0
         self.complete_to = 0
         self.value_by_key: dict[str, bytes] = {}
         self.health = StoreHealth()
         self.first_list_delay_s = 0.0
         self._has_state = asyncio.Event()
-        self.last_answer_s = 0.0
+        self.last_refresh_s = 0.0
         self.should_watch: Callable[[], bool] = lambda: True
         self.on_change: Callable[[], None] = lambda: None
         store.availability.on_recovery.append(self._renew)
@@ -142,8 +142,8 @@
             try:
                 if self._cursor == 0:
                     await self._list()
-                if not self._check_duty():
-                    await asyncio.sleep(DUTY_CHECK_S)
+                if not self._check_should_watch():
+                    await asyncio.sleep(WATCHER_CHECK_S)
                     continue
                 self._poll = asyncio.ensure_future(self._poll_once())
                 await asyncio.wait([self._poll])
@@ -172,7 +172,7 @@
         if availability.may_probe(self):
             await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.5))
         else:
-            await availability.wait_for_recovery(MAX_RETURN_WAIT_S)
+            await availability.wait_for_recovery(MAX_RECOVERY_WAIT_S)
 
     def stop(self) -> None:
         """Cancels the pending call; failures after this are not recorded."""
@@ -236,21 +236,21 @@
     def _renew_if_outdated(self, has_changes: bool) -> None:
         """Renews the pending call if the store has advanced since it was sent."""
         least_s = RENEW_AFTER_S if has_changes else 0.0
-        is_behind = self._call_known_revision < self._store.availability.revision
+        is_behind = self._store_revision_at_call < self._store.availability.revision
         if is_behind and self.waiting_s() >= least_s:
             self._renew()
 
     def _is_after_outage(self) -> bool:
-        recovered_s = max(self._reported_return_s, self._store.availability.recovered_s)
+        recovered_s = max(self._peer_reported_recovery_s, self._store.availability.recovered_s)
         return asyncio.get_running_loop().time() - recovered_s <= AFTER_OUTAGE_S
 
-    def _check_duty(self) -> bool:
+    def _check_should_watch(self) -> bool:
         """Returns whether this host should watch, and logs when that changes."""
-        has_duty = self.should_watch()
-        if has_duty is not self._is_watching:
-            self._is_watching = has_duty
-            eliot.log_message("store.watcher", prefix=self.prefix, is_watching=has_duty)
-        return has_duty
+        should_watch = self.should_watch()
+        if should_watch is not self._was_watching:
+            self._was_watching = should_watch
+            eliot.log_message("store.watcher", prefix=self.prefix, is_watching=should_watch)
+        return should_watch
 
     def _is_behind(self, revision: int) -> bool:
         return revision > self.known_revision
@@ -265,10 +265,12 @@
             self._cursor = self.complete_to
             return
         self._cursor = listing.revision
-        newest = max((stored.version for stored in listing.objects), default=0)
+        last_change_revision = max((stored.version for stored in listing.objects), default=0)
         value_by_key = {stored.key: stored.value for stored in listing.objects}
         self._replace_state(
-            KnownObjects(newest, value_by_key, listing.revision, self._is_after_outage())
+            KnownObjects(
+                last_change_revision, value_by_key, listing.revision, self._is_after_outage()
+            )
         )
 
     async def _poll_once(self) -> None:
@@ -276,12 +278,12 @@
         if not is_probe:
             await asyncio.sleep(self._poll_pause_s)
         self._call_started_s = asyncio.get_running_loop().time()
-        self._call_known_revision = self._store.availability.revision
-        wait_s = 0.0 if is_probe else self._watch_timeout_s()
+        self._store_revision_at_call = self._store.availability.revision
+        wait_s = 0.0 if is_probe else self._next_watch_timeout_s()
         page = await self._store.poll(self.prefix, self._cursor, wait_s)
         self._record_success()
         self._store.availability.record_watch_answer(page.revision, has_changes=bool(page.changes))
-        self.last_answer_s = asyncio.get_running_loop().time()
+        self.last_refresh_s = asyncio.get_running_loop().time()
         doubled_s = min(MAX_PAUSE_S, max(MIN_PAUSE_S, 2 * self._poll_pause_s))
         self._poll_pause_s = doubled_s if page.changes else 0.0
         self._cursor = max(self._cursor, page.revision)
@@ -304,12 +306,12 @@
         self.revision = max(self.revision, state.revision)
         self.complete_to = max(self.complete_to, state.complete_to)
         self.value_by_key = dict(state.value_by_key)
-        self.last_answer_s = asyncio.get_running_loop().time()
+        self.last_refresh_s = asyncio.get_running_loop().time()
         self._has_state.set()
         if state.is_after_outage:
             # Passed on to peers that fetch from here, but for half the time, so that it dies out.
-            self._reported_return_s = max(
-                self._reported_return_s, self.last_answer_s - AFTER_OUTAGE_S / 2
+            self._peer_reported_recovery_s = max(
+                self._peer_reported_recovery_s, self.last_refresh_s - AFTER_OUTAGE_S / 2
             )
         self._listener.replace_all(self.value_by_key, bool(state.is_after_outage))
 
--- a/src/bayhinge/_internal/services/program_registry.py
+++ b/src/bayhinge/_internal/services/program_registry.py
@@ -11,7 +11,7 @@
 from bayhinge._internal.models.events import Mechanism
 from bayhinge._internal.models.ids import ProgramId
 from bayhinge._internal.models.programs import ProgramState
-from bayhinge._internal.models.refusals import CallAttempt, Figure, Refusal
+from bayhinge._internal.models.refusals import Figure, Refusal, SendRecord
 from bayhinge._internal.services.owner_parts import (
     OwnedProgram,
     OwnerParts,
@@ -99,7 +99,7 @@
             async with asyncio.timeout(account.patience_seconds):
                 await asyncio.shield(opened.ok.durable)
         except FencedError as error:
-            return Error(refuse_for_store(CallAttempt(), error))
+            return Error(refuse_for_store(SendRecord(), error))
         except TimeoutError:
             # The record may still become durable, so the program's end is recorded after it.
             self._abandon(opened.ok.program)
@@ -130,7 +130,7 @@
         try:
             durable = self._parts.journal.append(encode_opened(state))
         except (FencedError, JournalFullError) as error:
-            return Error(refuse_for_store(CallAttempt(), error))
+            return Error(refuse_for_store(SendRecord(), error))
         self._next_number += 1
         program = OwnedProgram(state)
         self.add(program)
@@ -159,7 +159,7 @@
         try:
             await self._parts.journal.append(encode_ended(state.program_id, reason))
         except (FencedError, JournalFullError) as error:
-            return Error(refuse_for_store(CallAttempt(), error))
+            return Error(refuse_for_store(SendRecord(), error))
         self._evict_oldest_ended(str(state.program_id))
         return Ok(state.program_id)
 
--- a/src/bayhinge/_internal/services/remote_grants.py
+++ b/src/bayhinge/_internal/services/remote_grants.py
@@ -42,13 +42,13 @@
 
     def __init__(self, membership: Membership, dispatcher: QueueDispatcher, peers: Peers) -> None:
         self._membership = membership
-        self._dispatcher = dispatcher
+        self._local_dispatcher = dispatcher
         self._peers = peers
         self._background: set[asyncio.Task[None]] = set()
 
     async def request(self, pool: str, offer: Offer) -> GrantedEndpoint:
         """See :class:`GrantSource`."""
-        cell = self._dispatcher.cell_of(pool, offer.program)
+        cell = self._local_dispatcher.cell_of(pool, offer.program)
         for dispatcher in self._dispatchers(cell)[:MAX_DISPATCHERS_TRIED]:
             try:
                 granted = await self._request_at(dispatcher, cell, offer)
@@ -71,7 +71,7 @@
     def done(self, granted: GrantedEndpoint, done: CallCompletion) -> None:
         """See :class:`GrantSource`."""
         if granted.dispatcher_address == self._membership.me.peer_address:
-            self._dispatcher.done(granted.cell, done)
+            self._local_dispatcher.done(granted.cell, done)
             return
         message = wire.GrantDone(
             done.grant,
@@ -88,12 +88,12 @@
     def program_ended(self, program: str, pools: frozenset[str]) -> None:
         """See :class:`GrantSource`."""
         for pool in sorted(pools):
-            cell = self._dispatcher.cell_of(pool, program)
+            cell = self._local_dispatcher.cell_of(pool, program)
             dispatchers = self._dispatchers(cell)
             if not dispatchers:
                 continue
             if dispatchers[0].incarnation == self._membership.me.incarnation:
-                self._dispatcher.program_ended(cell, program)
+                self._local_dispatcher.program_ended(cell, program)
             else:
                 message = encode_message(wire.ProgramGone(program, cell))
                 self._send(dispatchers[0].peer_address, "gone", message)
@@ -104,7 +104,7 @@
 
     async def _request_at(self, dispatcher: HostInfo, cell: str, offer: Offer) -> DispatcherGrant:
         if dispatcher.incarnation == self._membership.me.incarnation:
-            return await self._dispatcher.request(cell, offer)
+            return await self._local_dispatcher.request(cell, offer)
         payload = encode_message(offer_to_wire(cell, offer))
         try:
             answer = await self._peers.call(dispatcher.peer_address, "grant", payload)
--- a/src/bayhinge/coordination/config_feed.py
+++ b/src/bayhinge/coordination/config_feed.py
@@ -193,7 +193,7 @@
                 accepted = self._find_by_nonce(kind, name, nonce)
                 if accepted is not None:
                     return accepted
-                self._check_base(kind, name, base_revision)
+                self._raise_if_outdated(kind, name, base_revision)
                 await self._append(kind, name, text, author, base_revision, nonce)
             except AlreadyExistsError:
                 continue
@@ -214,7 +214,7 @@
         change = ConfigChange(FORMAT, kind, name, text, author, base, nonce, self._clock.wall_ms())
         await self._store.create(self._key(self._revision + 1), encode(change))
 
-    def _check_base(self, kind: str, name: str, base_revision: int) -> None:
+    def _raise_if_outdated(self, kind: str, name: str, base_revision: int) -> None:
         current = self._objects_by_key.get((kind, name))
         revision = 0 if current is None else current.revision
         # A deleted object may be created again like a new one.
--- a/tests/functional/test_cut_streams.py
+++ b/tests/functional/test_cut_streams.py
@@ -8,7 +8,7 @@
 
 from bayhinge._internal.decisions.endpoint_book import EndpointTable
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
-from bayhinge._internal.models.refusals import CallAttempt, RefusedError
+from bayhinge._internal.models.refusals import RefusedError, SendRecord
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform.call_format import PlatformCallFormat
@@ -80,7 +80,7 @@
     limit_s = asyncio.get_running_loop().time() + 2
     sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
     try:
-        await sender.send("llm", ROUTE, request, None, CallAttempt(), limit_s, delivery)
+        await sender.send("llm", ROUTE, request, None, SendRecord(), limit_s, delivery)
     except RefusedError:
         caller.is_whole = False
     connection_pool.close()
--- a/tests/functional/test_daemon.py
+++ b/tests/functional/test_daemon.py
@@ -133,7 +133,7 @@
         text=True,
         check=False,
     )
-    assert ended.returncode == status_codes.EXIT_BAD_SETTINGS
+    assert ended.returncode == status_codes.EXIT_INVALID_INPUT
     assert f"{path}:2 [host] name: 'Entry One' is not a valid name" in ended.stderr
     assert f"{path}:4 [store] url: 'nowhere' is not an HTTP URL" in ended.stderr
     assert "section is missing" in ended.stderr
--- a/tests/functional/test_left_behind_sends.py
+++ b/tests/functional/test_left_behind_sends.py
@@ -7,7 +7,7 @@
 
 from bayhinge._internal.decisions.endpoint_book import EndpointTable
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
-from bayhinge._internal.models.refusals import CallAttempt, RefusedError, RunState
+from bayhinge._internal.models.refusals import RefusedError, RunState, SendRecord
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform.call_format import PlatformCallFormat
@@ -73,7 +73,7 @@
         for name in ("first", "second"):
             headers = ((b"Host", b"h"), (b"Bayhinge-Attempt-Id", name.encode()))
             request = attrs.evolve(REQUEST, attempt=name, headers=headers)
-            await sender.send("app", ONCE, request, None, CallAttempt(), limit_s, Keep())
+            await sender.send("app", ONCE, request, None, SendRecord(), limit_s, Keep())
         connection_pool.close()
         server.close()
 
@@ -105,7 +105,7 @@
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
         route = attrs.evolve(ROUTE, max_endpoints=3)
         with pytest.raises(RefusedError) as refused:
-            await sender.send("llm", route, request, None, CallAttempt(), limit_s, delivery)
+            await sender.send("llm", route, request, None, SendRecord(), limit_s, delivery)
         assert refused.value.refusal.run_state is RunState.MAY_HAVE_RUN
         connection_pool.close()
         server.close()
--- a/tests/functional/test_platform_programs.py
+++ b/tests/functional/test_platform_programs.py
@@ -37,7 +37,7 @@
     path = tmp_path / "local.toml"
     path.write_text('node_name = "e"\nport_range = [1]\n')
     ended = start("entry", settings=path)
-    assert ended.returncode == status_codes.EXIT_BAD_SETTINGS
+    assert ended.returncode == status_codes.EXIT_INVALID_INPUT
     assert "local.toml port_range" in ended.stderr
     assert "local.toml [platform] address: the field is missing" in ended.stderr
     assert "Traceback" not in ended.stderr
--- a/tests/functional/test_sending.py
+++ b/tests/functional/test_sending.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.decisions.endpoint_book import EndpointTable, EntryChange
 from bayhinge._internal.decisions.endpoint_starts import NewIncarnation
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
-from bayhinge._internal.models.refusals import CallAttempt, RefusedError, RunState
+from bayhinge._internal.models.refusals import RefusedError, RunState, SendRecord
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind, ServiceShare
 from bayhinge._internal.network.endpoint_answer import Answer
@@ -51,14 +51,14 @@
 
 def send(
     wire: Wire, times: int = 1
-) -> tuple[Keep, CallAttempt, EndpointConnectionPool, RefusedError | None]:
-    async def main() -> tuple[Keep, CallAttempt, EndpointConnectionPool, RefusedError | None]:
+) -> tuple[Keep, SendRecord, EndpointConnectionPool, RefusedError | None]:
+    async def main() -> tuple[Keep, SendRecord, EndpointConnectionPool, RefusedError | None]:
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         endpoint_table, connection_pool = EndpointTable("north"), EndpointConnectionPool()
         endpoint_table.put(EndpointEntry("e-1", "app", f"127.0.0.1:{port}", "north", 4, False))
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
-        delivery, attempt, refused = Keep(), CallAttempt(), None
+        delivery, attempt, refused = Keep(), SendRecord(), None
         limit_s = asyncio.get_running_loop().time() + 2
         for _ in range(times):
             refused = None
@@ -146,7 +146,7 @@
 
         return serve
 
-    async def main() -> tuple[Keep, CallAttempt]:
+    async def main() -> tuple[Keep, SendRecord]:
         servers = [
             await asyncio.start_server(wire(name), "127.0.0.1", 0) for name in ("left", "new")
         ]
@@ -154,7 +154,7 @@
         endpoint_table, connection_pool, runs = EndpointTable("north"), SlowLinks(), ActiveRuns()
         endpoint_table.put(EndpointEntry("e-1", "app", addresses[0], "north", 4, False, 1_000))
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat(), runs=runs)
-        delivery, attempt = Keep(), CallAttempt()
+        delivery, attempt = Keep(), SendRecord()
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
             sender.send("app", ROUTE, REQUEST, None, attempt, limit_s, delivery)
@@ -207,7 +207,7 @@
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat(), runs=runs)
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
-            sender.send("app", route, REQUEST, None, CallAttempt(), limit_s, Keep())
+            sender.send("app", route, REQUEST, None, SendRecord(), limit_s, Keep())
         )
         await is_asked.wait()
         endpoint_table.put(EndpointEntry("e-1", "app", address, "north", 4, False, 2_000))
--- a/tests/functional/test_tool.py
+++ b/tests/functional/test_tool.py
@@ -134,14 +134,14 @@
 ) -> None:
     bad = tmp_path / "bad.ini"
     bad.write_text("[account]\ntemplate = gone\n", encoding="utf-8")
-    assert call("accounts", "apply", "x-desk", str(bad)) == status_codes.EXIT_BAD_SETTINGS
+    assert call("accounts", "apply", "x-desk", str(bad)) == status_codes.EXIT_INVALID_INPUT
     assert "template 'gone' does not exist" in capsys.readouterr().err
     bad.write_text("[account]\npriority = 12\n", encoding="utf-8")
-    assert call("accounts", "apply", "x-desk", str(bad)) == status_codes.EXIT_BAD_SETTINGS
+    assert call("accounts", "apply", "x-desk", str(bad)) == status_codes.EXIT_INVALID_INPUT
     shown = capsys.readouterr().err
     assert f"{bad}:2 [account] priority: 12 is not between 0 and 9" in shown
     assert "template: the key is missing" in shown
-    assert call("settings", "check", str(bad)) == status_codes.EXIT_BAD_SETTINGS
+    assert call("settings", "check", str(bad)) == status_codes.EXIT_INVALID_INPUT
     assert call("programs", "show", "entry-1~000000000000.7") != 0
     assert call("templates", "get", "nothing") == status_codes.EXIT_NOT_FOUND
 
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -219,7 +219,7 @@
         (member, *_) = host.directory.disk_set.members
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        with pytest.raises(disk_link.DiskUnreachableError):
+        with pytest.raises(disk_link.DiskCallError):
             await host.link.call(member, "never", b"x")
         assert host.directory.is_suspected(member)
         return loop.time() - began_s
