--- a/idl/hosts.thrift
+++ b/idl/hosts.thrift
@@ -4,7 +4,8 @@
 enum HostRole { ENTRY = 1, DISK = 2 }
 enum HostPhase { STARTING = 1, READY = 2, LEAVING = 3 }
 
-// One disk of the set that counts. `generation` is drawn when its folder is empty.
+// A member of the disk set: its copies count towards write quorums. `generation` is a random number,
+// drawn when the disk's folder is empty.
 struct DiskMember {
   1: required string host,
   2: required i64 generation,
@@ -12,17 +13,17 @@
   4: required string hall,
 }
 
-// Which disks count. Changed by conditional writes to the object store alone. `previous`: the
-// members of the version before.
+// The member disks, over which write quorums are counted. Changed only by conditional writes to the object store.
+// `previous`: the members of the previous version.
 struct DiskSet {
   1: required i64 version,
   2: required list<DiskMember> members,
   3: optional list<DiskMember> previous,
 }
 
-// What a host tells the others a few times a second. `is_cut_off`: it reaches no disk but through
-// others; `requests_per_s`: what callers ask of it. `endpoints_known_to`: the store's revision up to
-// which it knows the endpoints, so that its figures of one that started again later are left out.
+// A heartbeat, sent to other hosts a few times a second. `is_cut_off`: it reaches disks only through
+// relays; `requests_per_s`: the rate of requests that it receives. `endpoints_known_to`: the store's
+// revision up to which it knows the endpoints; figures of endpoints restarted later are ignored.
 struct Hello {
   1: required string host,
   2: required i64 incarnation,
@@ -41,20 +42,20 @@
   15: optional bool is_cut_off = false,
   16: optional i32 requests_per_s = 0,
   17: optional i64 endpoints_known_to,
-  // Hosts of the hall: when somebody last heard each say that it takes callers. By the low 32 bits
-  // of the incarnation, in hundredths of a second before this hello.
+  // Hosts of the hall: age of the newest known heartbeat in which each accepts callers, by the low
+  // 32 bits of the incarnation, in hundredths of a second before this heartbeat.
   18: optional map<i32, i16> age_by_start,
-  // Callers of its own hall are told of it.
+  // Callers of its own hall are given its address.
   19: optional bool is_told = false,
-  // How old its proof of the newest configuration was when this was sent, in milliseconds. A hint
-  // alone: a hello may have waited anywhere, so nobody counts a proof as this young.
+  // Age of its freshness proof when this was sent, in milliseconds. Only a hint: a heartbeat may be
+  // delayed anywhere, so the age of a proof is never derived from it.
   20: optional i32 proof_age_ms,
 }
 
-// RESERVED: tokens set aside before a turn runs. SETTLED: what it used in the end.
-// TURN: a whole turn, which settles its reservation as well. `endpoint_born_ms`: which start of the
-// endpoint has read and said it, absent where that is not known. `account`: whose turn it is, empty
-// where no key was asked for, absent in entries of earlier releases.
+// RESERVED: tokens reserved before a turn runs. SETTLED: the tokens that it used.
+// TURN: a complete turn, which also settles its reservation. `endpoint_born_ms`: the incarnation of
+// the endpoint that processed it, absent if unknown. `account`: the turn's client account, empty if
+// no key was required, absent in entries of earlier releases.
 enum EntryKind { RESERVED = 1, SETTLED = 2, TURN = 3 }
 
 struct TurnEntry {
@@ -70,11 +71,11 @@
   10: optional string account,
 }
 
-// What a disk says to a reservation. The set of disks must be the same at both; a disk whose share
-// of programs has grown takes none of theirs before it has caught up.
+// A disk's answer to a reservation. Host and disk must know the same version of the disk set; a disk
+// accepts reservations of newly assigned programs only after it has caught up.
 enum FenceVerdict { TAKEN = 1, HOST_IS_BEHIND = 2, DISK_IS_BEHIND = 3, NOT_YET = 4 }
 
-// `disk_set_version` is the asking host's.
+// `disk_set_version`: the version that the requesting host knows.
 struct ReserveTurn {
   1: optional TurnEntry reservation,
   2: optional string previous,
@@ -82,7 +83,7 @@
   4: optional i64 disk_set_version,
 }
 
-// The maps hold the program's turns: open ones at their most, settled ones at what they used.
+// The maps hold the program's turns: reserved tokens of open ones, used tokens of settled ones.
 // `account` is that of the chain's last turn, as in its entry.
 struct ReserveReply {
   1: required i64 generation,
@@ -99,8 +100,8 @@
 struct AppendEntries { 1: required list<TurnEntry> entries }
 struct AppendReply { 1: required i64 generation }
 
-// Asks what a disk has written behind a position of its log, of the programs that `asker`
-// keeps. The disk answers by the set that it knows, and says which one that is.
+// Requests the keys that a disk has written after a position of its log, of the programs that
+// `asker` stores. The reply is based on the disk set version that it contains.
 struct KeysQuery { 1: required i64 generation, 2: required i64 after, 3: required DiskMember asker }
 struct KeysReply {
   1: required i64 generation,
@@ -115,9 +116,9 @@
 
 struct LackingReply { 1: required list<string> keys }
 
-// Objects of the platform's store as a host knows them, in revisions of the store: the last
-// change among them, and the revision up to which nothing is missing. `is_after_outage`: it was
-// learned right after the store came back, so what is missing may have lapsed meanwhile.
+// Objects of the platform's store as known to a host. `revision`: the store's revision of their
+// newest change; `complete_to`: the store's revision up to which no change is missing.
+// `is_after_outage`: read shortly after the store's recovery, so missing entries may have expired.
 struct KnownObjects {
   1: required i64 revision,
   2: required map<string, binary> value_by_key,
@@ -126,12 +127,12 @@
 }
 struct ObjectsQuery { 1: required string prefix }
 
-// A call that a host passes on to another, which the sender can't reach itself.
+// A call that the receiver relays to a disk that the sender can't reach.
 struct RelayCall { 1: required string address, 2: required string method, 3: required binary payload }
 
-// What one host has under way at the endpoints of one hall. `beat` orders what a start of the
-// host says; `last_grant` is the newest grant of the hall's home that is counted in here.
-// `endpoints_known_to` is as in a hello, here and below.
+// One host's requests in flight at the endpoints of one hall. `beat` orders the messages of one
+// incarnation of the host; `last_grant`: the newest of the hall coordinator's grants that is counted
+// here. `resting`: ejected endpoints. `endpoints_known_to`, here and below: as in a heartbeat.
 struct HostLoads {
   1: required string host,
   2: required i64 incarnation,
@@ -142,7 +143,7 @@
   7: optional i64 endpoints_known_to,
 }
 
-// What all hosts together have under way at the endpoints of one hall, as its home knows it.
+// All hosts' requests in flight at the endpoints of one hall, as known to the hall coordinator.
 struct HallLoads {
   1: required string hall,
   2: required string host,
@@ -152,13 +153,13 @@
   6: optional i64 endpoints_known_to,
 }
 
-// A datagram between entry hosts: one of the two.
+// A datagram between entry hosts; exactly one field is set.
 struct LoadNews { 1: optional HostLoads host, 2: optional HallLoads hall }
 
-// Asks a hall's home for an endpoint. `wished` holds the request's history, or is empty, and
-// `wished_born_ms` says which start of it, where that is known;
-// `avoid` names endpoints that the asking host will not send to. `kept_tokens` of the prompt
-// were read at `wished`, `shared_tokens` are those of `shared_part`.
+// Requests an endpoint from a hall coordinator. `wished`: the endpoint that has the request's history
+// in cache, or empty; `wished_born_ms`: its incarnation, if known. `avoid`: endpoints that the
+// requesting host will not send to. `kept_tokens`: prompt tokens in the cache of `wished`;
+// `shared_tokens`: tokens of `shared_part`.
 struct PlaceCall {
   1: required HostLoads loads,
   2: required string service_name,
@@ -168,30 +169,29 @@
   6: optional i32 kept_tokens = 0,
   7: optional i32 shared_tokens = 0,
   8: optional i64 wished_born_ms,
-  // Endpoints to which the asking host has a connection that is free.
+  // Endpoints to which the requesting host has an idle connection.
   9: optional list<string> connected,
 }
 
-// `endpoint` is empty where none is left. A host that is not the hall's home says which
-// one is, in `home`, and grants nothing.
+// `endpoint` is empty if none is available. A host that is not the hall coordinator grants nothing
+// and returns the coordinator in `home`.
 struct PlaceReply {
   1: required string endpoint,
   2: required i64 grant,
   3: optional string home,
 }
 
-// Asks a host for its proof of the configuration that was newest at some moment.
+// Requests a host's freshness proof of the configuration.
 struct ProofCall { 1: required string host }
 
-// `revision`: of the newest configuration when the store was asked, absent where the host has no
-// proof. `age_ms`: for how long, when this is said, the store's answer has been on its way or known
-// at most; it begins when the store was asked.
+// `revision`: the newest configuration's when the store was queried, absent without a proof.
+// `age_ms`: the time since the query was sent, an upper bound of the proof's age.
 struct ProofReply { 1: optional i64 revision, 2: optional double age_ms }
 
-// Asks the home of a client account's quota for the right to send one request. `rate_per_s` and
-// `burst` are the asking host's limits, of configuration `version`. `begins_program`: the request is
-// a program's first turn. `unused`: requests that were granted lately and that no endpoint has run.
-// `silent`: hosts that come before this one and did not answer.
+// Requests permission from a client account's quota coordinator to send one request. `rate_per_s` and
+// `burst`: the requesting host's limits, of configuration `version`. `begins_program`: the request is
+// a program's first turn. `unused`: requests granted recently that no endpoint has run.
+// `silent`: higher-ranked hosts that did not answer.
 struct QuotaCall {
   1: required string host,
   2: required string account,
@@ -203,8 +203,8 @@
   8: required list<string> silent,
 }
 
-// `home` is set where the host is not the account's home and grants nothing. `wait_s`: when a
-// request that was not granted should come again.
+// `home` is set if the host is not the quota coordinator, and grants nothing. `wait_s`: the delay
+// after which a request that was not granted should be retried.
 struct QuotaReply {
   1: required bool granted,
   2: optional double wait_s,
--- a/src/bayhinge/_internal/bench/schedules.py
+++ b/src/bayhinge/_internal/bench/schedules.py
@@ -1,7 +1,9 @@
 """Random failure schedules: agents run while hosts, store and endpoints fail.
 
 A schedule is reproducible from its seed. Agents retry a call until they get an answer or a
-final refusal. Then the guarantees are checked on the records of engines and services.
+final refusal. Then :meth:`World.find_violations` checks the guarantees on the records of engines
+and services: calls with side effects run at most once, run states of refusals are true, histories
+and answers are complete, and budgets are kept.
 """
 
 import asyncio
@@ -14,6 +16,7 @@
 from bayhinge._internal.bench.world.world import Outcome, World
 from bayhinge._internal.models.refusals import RefusalCode, RefusedError, RunState
 
+# Times are in seconds of virtual time.
 CALLS_PER_PROGRAM = 8
 MAX_PAUSE_S = 4.0
 FINAL_REFUSAL_CODES = frozenset(
@@ -22,7 +25,7 @@
 RETRY_S = 0.7
 CALLER_TIMEOUT_S = 25.0
 COMPLETION_TIMEOUT_S = 300.0
-"""Virtual seconds within which every program must finish after all faults are cleared."""
+"""Time within which every program must finish after all faults are cleared."""
 
 
 @attrs.frozen
@@ -136,11 +139,11 @@
 
 
 async def _call_until_final(
-    run: _ScheduleRun, program: str, index: int, kind: str, text: str
+    run: _ScheduleRun, program: str, index: int, kind: str, label: str
 ) -> None:
     while True:
         host_name = run.random_host()
-        outcome = await _call(run.world, program, index, kind, text, host_name)
+        outcome = await _call(run.world, program, index, kind, label, host_name)
         if outcome.is_answer:
             run.answers += 1
             return
@@ -154,18 +157,19 @@
 
 
 async def _call(
-    world: World, program: str, index: int, kind: str, text: str, host_name: str
+    world: World, program: str, index: int, kind: str, label: str, host_name: str
 ) -> Outcome:
     if kind == "think":
-        call = world.call_model(program, index, text, host_name)
+        pending = world.call_model(program, index, label, host_name)
     elif kind == "act":
-        call = world.call_unrepeatable(program, index, text, host_name)
+        pending = world.call_unrepeatable(program, index, label, host_name)
     else:
-        call = world.call_repeatable(program, index, text, host_name)
+        pending = world.call_repeatable(program, index, label, host_name)
     try:
-        # A frozen host never answers; on a timeout the caller tries another host.
+        # A frozen host answers only after it is unfrozen; after a timeout the agent retries at a
+        # random host.
         async with asyncio.timeout(CALLER_TIMEOUT_S):
-            return await call
+            return await pending
     except TimeoutError:
         return Outcome(disconnected=True)
 
--- a/src/bayhinge/_internal/cli/tool/config_commands.py
+++ b/src/bayhinge/_internal/cli/tool/config_commands.py
@@ -62,7 +62,7 @@
 
         Args:
             name: the object's name.
-            connection: which host to ask.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
         found = run_with_api(connection, lambda api: self._find(api, name))
@@ -87,9 +87,9 @@
         Args:
             name: the object's name.
             values: the values to set.
-            wait: seconds to wait until every host has applied it.
-            author: who makes the change.
-            connection: which host to ask.
+            wait: seconds to wait until every live host has applied the revision.
+            author: who makes the change; by default the operating system's user.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
         found = run_with_api(connection, lambda api: self._find(api, name))
@@ -107,15 +107,15 @@
         author: str = "",
         connection: Connection | None = None,
     ) -> None:
-        """Applies a file; ``-`` reads standard input.
+        """Replaces an object's text by a file, as a new revision; creates a missing object.
 
         Args:
             name: the object's name.
-            file: the INI text.
-            base: the revision that was edited; by default the newest one is replaced.
-            wait: seconds to wait until every host has applied it.
-            author: who makes the change.
-            connection: which host to ask.
+            file: path of the INI text; ``-`` reads standard input.
+            base: the revision that was edited; without it, a concurrent edit is overwritten.
+            wait: seconds to wait until every live host has applied the revision.
+            author: who makes the change; by default the operating system's user.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
         text = sys.stdin.read() if str(file) == "-" else file.read_text(encoding="utf-8")
@@ -133,7 +133,7 @@
         Args:
             name: the object's name.
             file: the INI text.
-            connection: which host to ask.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
         found = run_with_api(connection, lambda api: self._find(api, name))
@@ -144,7 +144,7 @@
 
         Args:
             name: the object's name.
-            connection: which host to ask.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
         found = run_with_api(connection, lambda api: self._history(api, name))
@@ -167,9 +167,9 @@
         Args:
             name: the object's name.
             revision: the revision to restore.
-            wait: seconds to wait until every host has applied it.
-            author: who makes the change.
-            connection: which host to ask.
+            wait: seconds to wait until every live host has applied the revision.
+            author: who makes the change; by default the operating system's user.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
         found = run_with_api(connection, lambda api: self._history(api, name))
@@ -192,9 +192,9 @@
 
         Args:
             name: the object's name.
-            wait: seconds to wait until every host has applied it.
-            author: who makes the change.
-            connection: which host to ask.
+            wait: seconds to wait until every live host has applied the revision.
+            author: who makes the change; by default the operating system's user.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
         found = run_with_api(connection, lambda api: self._find(api, name))
@@ -291,7 +291,7 @@
 
 def _missing_line(host: dict[str, Any], status: dict[str, Any] | None) -> str:
     if status is None:
-        return f"{host['host']}: does not answer"
+        return f"{host['host']}: no configuration status received"
     why = "" if status["vouches"] else "; no recent confirmation from the store or a peer"
     return f"{host['host']}: still at revision {status['revision']}{why}"
 
@@ -304,6 +304,7 @@
 
 
 def _print_findings(lines: Any) -> None:
+    """Prints lines to standard error: findings, or hosts that have not applied a revision."""
     for line in lines:
         print(line, file=sys.stderr)
 
--- a/src/bayhinge/_internal/commands/accept_call.py
+++ b/src/bayhinge/_internal/commands/accept_call.py
@@ -16,7 +16,7 @@
     Figure,
     Refusal,
     RefusalCode,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 
 MAX_AHEAD = 16
@@ -78,7 +78,7 @@
         return known
     if state.ended is not None:
         why = f"the program has ended: {state.ended}"
-        return RefuseCall(refuse_unaccepted(RefusalCode.PROGRAM_ENDED, why))
+        return RefuseCall(not_run_refusal(RefusalCode.PROGRAM_ENDED, why))
     index = state.next_index if call.index is None else call.index
     if running is not None:
         if call.index is None or index <= running.index + MAX_AHEAD:
@@ -116,25 +116,25 @@
     if digest == call.digest:
         return decision
     why = "another request was made with this index or idempotency key"
-    return RefuseCall(refuse_unaccepted(RefusalCode.INDEX_REUSED, why))
+    return RefuseCall(not_run_refusal(RefusalCode.INDEX_REUSED, why))
 
 
 def _index_gap_refusal(state: ProgramState, index: int) -> Refusal:
     why = f"call index {index} is too far ahead; the next index is {state.next_index}"
-    return refuse_unaccepted(RefusalCode.INDEX_GAP, why, Figure("next_index", state.next_index))
+    return not_run_refusal(RefusalCode.INDEX_GAP, why, Figure("next_index", state.next_index))
 
 
 def check_limits(account: ClientAccount, state: ProgramState, call: Call) -> Iterator[Refusal]:
     """Yields the account limits that a call violates, most severe first."""
     yield from _check_permission(account, call)
     if state.next_index >= account.max_calls:
-        yield refuse_unaccepted(
+        yield not_run_refusal(
             RefusalCode.PROGRAM_LIMIT,
             "the program has made as many calls as its account allows",
             Figure("max_calls", account.max_calls),
         )
     if state.spend >= account.max_program_tokens:
-        yield refuse_unaccepted(
+        yield not_run_refusal(
             RefusalCode.PROGRAM_LIMIT,
             "the program has spent as many tokens as its account allows",
             Figure("spent_tokens", state.spend),
@@ -142,7 +142,7 @@
         )
     repeated = state.count_repeats(call.digest)
     if repeated >= account.max_repeated_calls:
-        yield refuse_unaccepted(
+        yield not_run_refusal(
             RefusalCode.LOOP_DETECTED,
             "the program keeps repeating the same call",
             Figure("repeated_calls", repeated),
@@ -154,10 +154,10 @@
     if isinstance(call.work, ModelCall):
         if call.work.model not in account.models:
             why = f"the client account may not use model '{call.work.model}'"
-            yield refuse_unaccepted(RefusalCode.FORBIDDEN, why)
+            yield not_run_refusal(RefusalCode.FORBIDDEN, why)
     elif call.work.service not in account.services:
         why = f"the client account may not use service '{call.work.service}'"
-        yield refuse_unaccepted(RefusalCode.FORBIDDEN, why)
+        yield not_run_refusal(RefusalCode.FORBIDDEN, why)
 
 
 @attrs.frozen
@@ -195,7 +195,7 @@
         Figure("recorded_messages", count),
         Figure("differs_at_message", _first_difference(state, work.messages)),
     )
-    return Error(refuse_unaccepted(RefusalCode.HISTORY_DIFFERS, why, *figures))
+    return Error(not_run_refusal(RefusalCode.HISTORY_DIFFERS, why, *figures))
 
 
 def _extend_history(state: ProgramState, messages: tuple[bytes, ...]) -> NewMessages:
--- a/src/bayhinge/_internal/commands/parse_call.py
+++ b/src/bayhinge/_internal/commands/parse_call.py
@@ -15,7 +15,7 @@
 )
 from bayhinge._internal.models.ids import parse_program_id
 from bayhinge._internal.models.messages import encode_message
-from bayhinge._internal.models.refusals import Refusal, RefusalCode, refuse_unaccepted
+from bayhinge._internal.models.refusals import Refusal, RefusalCode, not_run_refusal
 
 OWN_FIELDS = frozenset({"model", "messages", "max_tokens", "max_completion_tokens", "stream"})
 FORBIDDEN_FIELDS = frozenset(
@@ -119,4 +119,4 @@
 
 
 def _bad(why: str) -> Refusal:
-    return refuse_unaccepted(RefusalCode.BAD_REQUEST, why)
+    return not_run_refusal(RefusalCode.BAD_REQUEST, why)
--- a/src/bayhinge/_internal/decisions/endpoint_book.py
+++ b/src/bayhinge/_internal/decisions/endpoint_book.py
@@ -43,7 +43,7 @@
     Attributes:
         failures: recent failures; each success reduces the count.
         failure_reports: number of other hosts that reported a recent failure.
-        is_suspected: it is suspected, as its entry has vanished for a reason not known yet.
+        is_suspected: its entry has vanished for a reason not known yet.
         is_replaced: another endpoint has started at its address since.
     """
 
@@ -84,7 +84,7 @@
     """A request's preference for endpoints with its history or its shared part in cache.
 
     Attributes:
-        start: the endpoint incarnation whose cache holds the history.
+        incarnation: the endpoint incarnation whose cache holds the history.
         kept_tokens: prompt tokens in that cache.
         shared_tokens: tokens of ``shared_part``.
         connected: endpoints to which the requesting host has an idle connection.
--- a/src/bayhinge/_internal/decisions/offers.py
+++ b/src/bayhinge/_internal/decisions/offers.py
@@ -12,7 +12,7 @@
     """A call that is offered to the scheduler for placement.
 
     Attributes:
-        grant: identifier of this request, unique over all hosts.
+        grant: identifier of the requested grant, chosen by the owner; unique over all hosts.
         incarnation: incarnation of the owner, which is responsible for the grant.
         prompt_tokens: tokens of the whole prompt, history included.
         max_tokens: the longest answer.
--- a/src/bayhinge/_internal/exceptions.py
+++ b/src/bayhinge/_internal/exceptions.py
@@ -38,11 +38,11 @@
 
 
 class FrameError(BayhingeError):
-    """A peer sent an invalid frame; its connection is closed."""
+    """Data of a peer, a file or the store is invalid, or a peer's request can't be served."""
 
     def __init__(self, why: str) -> None:
         super().__init__(
-            f"A peer sent an invalid frame: {why}. The connection was closed; "
+            f"Invalid data: {why}. If it came from a peer, "
             "check that only bayhinged processes of the same version use the peer port."
         )
 
--- a/src/bayhinge/_internal/models/refusals.py
+++ b/src/bayhinge/_internal/models/refusals.py
@@ -1,7 +1,7 @@
 """Refusals: the typed error for every call that gets no answer.
 
-The run state of a refusal is derived by :class:`SendRecord` from the requests that were sent;
-a refusal without an attempt belongs to a call that was never accepted.
+The run state of a refusal is derived by :class:`SendRecord` from the requests that were sent for
+the call. A call that was refused before any were sent has not run.
 """
 
 from enum import StrEnum
@@ -21,7 +21,18 @@
 
 
 class RefusalCode(StrEnum):
-    """Why a call was refused."""
+    """Why a call was refused.
+
+    Attributes:
+        INDEX_GAP: an earlier call of the program is missing.
+        HISTORY_DIFFERS: the call's messages don't continue the recorded history.
+        NOT_RECORDED: the turn or answer that the call refers to is not stored.
+        PROGRAM_LIMIT: the program has used up the calls or tokens that its account allows.
+        PATIENCE_EXCEEDED: the time that the caller was willing to wait is over.
+        CONFIG_UNKNOWN: the host can't confirm its configuration, or can't read the account.
+        OWNER_UNREACHABLE: the host in charge of the program, its queue or its quota did not
+            answer or has changed.
+    """
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -89,7 +100,9 @@
 class Refusal:
     """The error answer to a call that was not served.
 
-    ``retry_after_s`` is None if retrying the same request is useless.
+    Attributes:
+        figures: the figures that the refusal is based on.
+        retry_after_s: when to retry; None if there is no advice, as when a retry is useless.
     """
 
     code: RefusalCode
@@ -104,7 +117,10 @@
         return STATUS_BY_CODE[self.code]
 
     def to_json(self) -> bytes:
-        """Returns the JSON error document sent to callers."""
+        """Returns the JSON error document; see :func:`refusal_from_json`.
+
+        It is sent to callers and between hosts, and stored in records.
+        """
         error: dict[str, object] = {
             "code": self.code.value,
             "type": "bayhinge_refusal",
@@ -117,7 +133,7 @@
 
 
 def refusal_from_json(data: bytes) -> Refusal:
-    """Parses an error document received from another host."""
+    """Parses an error document received from another host or read from a record."""
     error = orjson.loads(data)["error"]
     figures = tuple(Figure(name, value) for name, value in error["figures"].items())
     return Refusal(
@@ -137,19 +153,19 @@
         self.refusal = refusal
 
 
-def refuse_unaccepted(
+def not_run_refusal(
     code: RefusalCode,
     why: str,
     *figures: Figure,
     retry_after_s: float | None = None,
 ) -> Refusal:
-    """Returns a refusal of a call that was not accepted, so nothing can have run."""
+    """Returns a refusal of a call that can't have run, such as one that was not accepted."""
     return Refusal(code, RunState.NOT_RUN, why, figures, retry_after_s)
 
 
 @attrs.define
 class SendRecord:
-    """Tracks the requests sent for one call, to derive the run state of a refusal.
+    """Counts the requests sent for one call, to derive the run state of a refusal.
 
     Attributes:
         sends: requests that may have reached an endpoint.
@@ -178,7 +194,7 @@
             return RunState.MAY_HAVE_RUN
         return RunState.NOT_RUN
 
-    def refuse(
+    def refusal(
         self,
         code: RefusalCode,
         why: str,
--- a/src/bayhinge/_internal/models/views.py
+++ b/src/bayhinge/_internal/models/views.py
@@ -36,7 +36,13 @@
 
 @attrs.frozen
 class HostView:
-    """A host as seen by the host that answers the query."""
+    """A host as seen by the host that answers the query.
+
+    Attributes:
+        incarnation: identifier of this run of the host's process.
+        revision: the newest configuration revision that the host has applied.
+        load: the number of running calls.
+    """
 
     host: str
     incarnation: str
@@ -50,7 +56,12 @@
 
 @attrs.frozen
 class EndpointStatusView:
-    """An endpoint as seen by its queue dispatcher."""
+    """An endpoint as seen by its queue dispatcher.
+
+    Attributes:
+        pool: the cell, a part of a pool.
+        home: the host that dispatches the cell.
+    """
 
     name: str
     pool: str
@@ -66,7 +77,14 @@
 
 @attrs.frozen
 class ConfigStatusView:
-    """The configuration revision that a host has applied, and whether it confirms it."""
+    """The configuration revision that a host has applied, and whether it is confirmed.
+
+    Attributes:
+        revision: the newest revision that the host has applied.
+        newest_heard: the newest revision that the host has applied or a peer has reported.
+        vouches: whether the store or a peer has confirmed the configuration recently.
+        damaged: keys of configuration objects that can't be read.
+    """
 
     host: str
     incarnation: str
--- a/src/bayhinge/_internal/network/front.py
+++ b/src/bayhinge/_internal/network/front.py
@@ -21,7 +21,7 @@
     Refusal,
     RefusalCode,
     RefusedError,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.models.settings import Settings
 from bayhinge._internal.models.views import to_json
@@ -117,7 +117,7 @@
         limit = self._settings.limits.connections
         if self._connections >= limit:
             why = f"this host is already serving {limit} requests"
-            raise RefusedError(refuse_unaccepted(RefusalCode.OVERLOADED, why, retry_after_s=1.0))
+            raise RefusedError(not_run_refusal(RefusalCode.OVERLOADED, why, retry_after_s=1.0))
         self._connections += 1
         try:
             return await handler(request)
@@ -225,7 +225,7 @@
         settings = self._handler.find_service(name)
         if settings is None:
             why = f"there is no service '{name[:80]}'"
-            raise RefusedError(refuse_unaccepted(RefusalCode.NO_ENDPOINT, why))
+            raise RefusedError(not_run_refusal(RefusalCode.NO_ENDPOINT, why))
         body = await read_body(request)
         program = request.headers.get(PROGRAM_HEADER, "").strip()
         incoming = self._build_incoming_call(
@@ -262,7 +262,7 @@
         parent = fields.ok.get("parent")
         if parent is not None and not isinstance(parent, str):
             why = "field 'parent' must be a program identifier"
-            raise RefusedError(refuse_unaccepted(RefusalCode.BAD_REQUEST, why))
+            raise RefusedError(not_run_refusal(RefusalCode.BAD_REQUEST, why))
         key = read_idempotency_key(request.headers)
         opened = await self._handler.open_program(account, parent, key)
         if opened.is_error():
@@ -288,7 +288,7 @@
         index = request.match_info["index"]
         if not index.isascii() or not index.isdigit():
             why = "the call index must be a whole number"
-            raise RefusedError(refuse_unaccepted(RefusalCode.BAD_REQUEST, why))
+            raise RefusedError(not_run_refusal(RefusalCode.BAD_REQUEST, why))
         program = request.match_info["program"]
         offset = read_offset(request.headers)
         items = self._handler.collect(account.name, program, int(index[:9]), offset)
@@ -335,11 +335,11 @@
         account = self._handler.find_account(read_key(request.headers))
         if account is None:
             why = "the key in the Authorization header belongs to no client account"
-            raise RefusedError(refuse_unaccepted(RefusalCode.UNAUTHORIZED, why))
+            raise RefusedError(not_run_refusal(RefusalCode.UNAUTHORIZED, why))
         named = request.headers.get(ACCOUNT_HEADER)
         if named is not None and named != account.name:
             why = f"the key does not belong to the client account in header {ACCOUNT_HEADER}"
-            raise RefusedError(refuse_unaccepted(RefusalCode.FORBIDDEN, why))
+            raise RefusedError(not_run_refusal(RefusalCode.FORBIDDEN, why))
         return account
 
     def _is_operator(self, request: web.Request) -> bool:
@@ -432,4 +432,4 @@
 
 def _incomplete_answer_refusal() -> Refusal:
     why = "the answer is incomplete; request it again with its call index"
-    return refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.5)
+    return not_run_refusal(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.5)
--- a/src/bayhinge/_internal/network/operator_front.py
+++ b/src/bayhinge/_internal/network/operator_front.py
@@ -2,7 +2,7 @@
 
 from aiohttp import web
 
-from bayhinge._internal.models.refusals import Refusal, RefusalCode, RefusedError, refuse_unaccepted
+from bayhinge._internal.models.refusals import Refusal, RefusalCode, RefusedError, not_run_refusal
 from bayhinge._internal.network.front_handler import ConfigEdit, FrontHandler
 from bayhinge._internal.network.request_reading import read_body, read_key
 
@@ -73,8 +73,8 @@
     def _authenticate(self, request: web.Request) -> None:
         if not self._handler.is_operator(read_key(request.headers)):
             why = "this request needs an operator's key"
-            raise RefusedError(refuse_unaccepted(RefusalCode.UNAUTHORIZED, why))
+            raise RefusedError(not_run_refusal(RefusalCode.UNAUTHORIZED, why))
 
 
 def _bad(why: str) -> Refusal:
-    return refuse_unaccepted(RefusalCode.BAD_REQUEST, why)
+    return not_run_refusal(RefusalCode.BAD_REQUEST, why)
--- a/src/bayhinge/_internal/network/peer_server.py
+++ b/src/bayhinge/_internal/network/peer_server.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from bayhinge._internal.exceptions import FrameError
-from bayhinge._internal.models.refusals import RefusalCode, RefusedError, refuse_unaccepted
+from bayhinge._internal.models.refusals import RefusalCode, RefusedError, not_run_refusal
 from bayhinge._internal.network.addresses import split_address
 from bayhinge._internal.network.peer_link import PeerLink
 from bayhinge._internal.network.peers import PeerHandler, PeerListener, UnaryPeerHandler
@@ -84,5 +84,5 @@
         except RefusedError as error:
             self._send(stream, FrameKind.FAIL, None, error.refusal.to_json())
         except FrameError as error:
-            refusal = refuse_unaccepted(RefusalCode.BAD_REQUEST, str(error))
+            refusal = not_run_refusal(RefusalCode.BAD_REQUEST, str(error))
             self._send(stream, FrameKind.FAIL, None, refusal.to_json())
--- a/src/bayhinge/_internal/network/request_reading.py
+++ b/src/bayhinge/_internal/network/request_reading.py
@@ -10,7 +10,7 @@
     Refusal,
     RefusalCode,
     RefusedError,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 
 ACCOUNT_HEADER = "Bayhinge-Account"
@@ -111,7 +111,7 @@
         return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
         why = f"the body is larger than {request.client_max_size} bytes"
-        raise RefusedError(refuse_unaccepted(RefusalCode.TOO_LARGE, why)) from error
+        raise RefusedError(not_run_refusal(RefusalCode.TOO_LARGE, why)) from error
 
 
 def _parse_whole_number(headers: Headers, name: str) -> int | None:
@@ -125,4 +125,4 @@
 
 
 def _bad(why: str) -> Refusal:
-    return refuse_unaccepted(RefusalCode.BAD_REQUEST, why)
+    return not_run_refusal(RefusalCode.BAD_REQUEST, why)
--- a/src/bayhinge/_internal/platform/objects_api.py
+++ b/src/bayhinge/_internal/platform/objects_api.py
@@ -67,10 +67,9 @@
 
 
 class PlatformObjects(PollingStore):
-    """A client of the platform's store."""
+    """A client of the platform's store at ``address`` (``ip:port``)."""
 
     def __init__(self, address: str) -> None:
-        """Makes a client of the store at ``ip:port``."""
         self._base_url = f"http://{address}/-/objects"
         self._session: aiohttp.ClientSession | None = None
         self._availability = StoreAvailability()
--- a/src/bayhinge/_internal/queries/clock_skew.py
+++ b/src/bayhinge/_internal/queries/clock_skew.py
@@ -23,7 +23,7 @@
 START_TYPES = frozenset({"host.started", "disk.started"})
 
 STARTUP_S = 3.0
-"""After its start a host logs events of its initial sync, which are old; see ``START_WAIT_S``."""
+"""Events that a host logs this soon after its start are old; see ``INITIAL_SYNC_WAIT_S``."""
 
 
 @attrs.frozen
--- a/src/bayhinge/_internal/services/account_directory.py
+++ b/src/bayhinge/_internal/services/account_directory.py
@@ -37,7 +37,6 @@
     """Resolves accounts from the configuration feed and caches them until they change."""
 
     def __init__(self, feed: ConfigFeed) -> None:
-        """Subscribes to the feed, whose changes invalidate the cached accounts."""
         self._feed = feed
         self._resolved_by_name: dict[str, Result[ClientAccount, str]] = {}
         self._name_by_digest: dict[str, str] = {}
--- a/src/bayhinge/_internal/services/adoption.py
+++ b/src/bayhinge/_internal/services/adoption.py
@@ -19,7 +19,7 @@
     RefusalCode,
     RefusedError,
     SendRecord,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.services.call_records import failure_record
 from bayhinge._internal.services.owner_parts import OwnedProgram, OwnerParts
@@ -117,7 +117,7 @@
         elif not tail.next_sequence and self._membership.find(incarnation) is None:
             # The host is not a member and its journal is empty: it never opened a program.
             why = f"no journal '{incarnation}' exists, so it holds no program"
-            raise RefusedError(refuse_unaccepted(RefusalCode.UNKNOWN_PROGRAM, why))
+            raise RefusedError(not_run_refusal(RefusalCode.UNKNOWN_PROGRAM, why))
         return tail.seal is not None
 
 
@@ -260,7 +260,7 @@
             f"call {started.index} was sent to {started.endpoint}, and its owner died before the "
             "outcome was recorded; the call may not be repeated"
         )
-        refusal = SendRecord(started_before=True).refuse(RefusalCode.OUTCOME_UNKNOWN, why)
+        refusal = SendRecord(started_before=True).refusal(RefusalCode.OUTCOME_UNKNOWN, why)
         finished = failure_record(state, started, refusal)
         position = await self._parts.journal.append(encode_finished(finished))
         apply_finished(state, finished, position)
--- a/src/bayhinge/_internal/services/call_runner.py
+++ b/src/bayhinge/_internal/services/call_runner.py
@@ -119,7 +119,7 @@
         progress = _Progress()
         if pool is None:
             why = f"no pool serves model '{work.model}'"
-            raise RefusedError(progress.send_record.refuse(RefusalCode.NO_ENDPOINT, why))
+            raise RefusedError(progress.send_record.refusal(RefusalCode.NO_ENDPOINT, why))
         while True:
             granted = await self._request_endpoint(pool.name, prepared, progress)
             try:
@@ -146,7 +146,7 @@
         progress = _Progress()
         if work.service not in self._settings.services_by_name:
             why = f"service '{work.service}' does not exist"
-            raise RefusedError(progress.send_record.refuse(RefusalCode.NO_ENDPOINT, why))
+            raise RefusedError(progress.send_record.refusal(RefusalCode.NO_ENDPOINT, why))
         while True:
             granted = await self._request_endpoint(work.service, prepared, progress)
             try:
@@ -163,7 +163,7 @@
             why = "the caller's patience ran out before an endpoint answered"
             figures = (Figure("tries", progress.attempts),)
             raise RefusedError(
-                progress.send_record.refuse(
+                progress.send_record.refusal(
                     RefusalCode.PATIENCE_EXCEEDED, why, *figures, retry_after_s=RETRY_AFTER_S
                 )
             )
@@ -351,12 +351,12 @@
                 f"endpoint {error.endpoint} gave no answer ({error.why}); "
                 "the call may not be repeated, and it may have run"
             )
-            raise RefusedError(send_record.refuse(RefusalCode.OUTCOME_UNKNOWN, why)) from error
+            raise RefusedError(send_record.refusal(RefusalCode.OUTCOME_UNKNOWN, why)) from error
         if progress.attempts >= MAX_ATTEMPTS or len(progress.avoid) > MAX_ATTEMPTS:
             why = f"endpoints failed {progress.attempts} times, the last one: {error.why}"
             figures = (Figure("tries", progress.attempts),)
             raise RefusedError(
-                send_record.refuse(
+                send_record.refusal(
                     RefusalCode.ENDPOINT_FAILED, why, *figures, retry_after_s=RETRY_AFTER_S
                 )
             ) from error
--- a/src/bayhinge/_internal/services/disk_sets.py
+++ b/src/bayhinge/_internal/services/disk_sets.py
@@ -32,10 +32,10 @@
 
 
 async def read_disk_set(store: ObjectStore) -> DiskSet | None:
-    """Returns the newest set, or None if there is none yet.
+    """Returns the current set of member disks, or None if there is none yet.
 
     Raises:
-        StoreError: the store did not answer, or its object can't be decoded.
+        StoreError: the store did not answer or rejected the call, or the set is invalid.
     """
     stored = await store.get(DISK_SET_KEY)
     return None if stored is None else _decoded(stored.value)
@@ -44,14 +44,16 @@
 def _decoded(value: bytes) -> DiskSet:
     """Decodes a set that was read from the store.
 
+    An invalid set must not be treated as missing and overwritten: its disks hold turns.
+
     Raises:
-        StoreUnavailableError: it can't be decoded. It must not be treated as missing and
-            overwritten: its disks hold turns.
+        StoreUnavailableError: it can't be decoded, or a member's address is invalid.
     """
     what = f"read {DISK_SET_KEY}"
     try:
         disk_set = decode_message(DiskSet(), value)
     except FrameError as error:
+        # The decoder's own error, since the text of FrameError is about peers.
         raise StoreUnavailableError(what, f"can't decode it: {error.__cause__}") from error
     invalid = [one.address for one in disk_set.members if not is_ipv4_with_port(one.address)]
     if invalid:
@@ -62,17 +64,19 @@
 async def change_disk_set(
     store: ObjectStore, change: Change, settled_version: int | None = None
 ) -> DiskSet:
-    """Applies a change to the newest set and writes it; returns the newest set.
+    """Applies a change to the current set of member disks, and returns the resulting set.
+
+    Retries until the store has accepted the change; errors of the store are logged.
 
     Args:
         store: the store that holds the set.
         change: gets the members and returns the new ones, or None if there is nothing to
             change. May be called again: another disk may have written meanwhile, or the
             answer to an earlier write was lost.
-        settled_version: the version that the calling disk has found settled; None for disks
-            that begin a set. A newer set is left as it is, because its new members may not have
-            caught up: after two changes in a row, turns that only the two removed disks hold
-            would be lost.
+        settled_version: the version of which the calling disk knows that enough members have
+            caught up; None for disks that create the set. A newer set is left unchanged: its new
+            members may not have caught up, and after two changes in a row, turns that only the
+            two removed disks hold would be lost.
     """
     conflicts = 0
     while True:
--- a/src/bayhinge/_internal/services/disks/disk_request_handler.py
+++ b/src/bayhinge/_internal/services/disks/disk_request_handler.py
@@ -7,7 +7,7 @@
 
 from bayhinge._internal.decisions.disk_fence import Verdict
 from bayhinge._internal.exceptions import FrameError
-from bayhinge._internal.models.refusals import RefusalCode, RefusedError, refuse_unaccepted
+from bayhinge._internal.models.refusals import RefusalCode, RefusedError, not_run_refusal
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import UnaryPeerHandler
 from bayhinge._internal.services import methods
@@ -47,7 +47,7 @@
             return await handler(payload)
         except OSError as error:
             eliot.log_message("disk.refused", method=method, why=str(error))
-            refusal = refuse_unaccepted(RefusalCode.STORE_UNAVAILABLE, f"disk I/O failed: {error}")
+            refusal = not_run_refusal(RefusalCode.STORE_UNAVAILABLE, f"disk I/O failed: {error}")
             raise RefusedError(refusal) from error
 
     async def _reserve(self, payload: bytes) -> bytes:
@@ -128,4 +128,4 @@
     def _refuse_if_retired(self) -> None:
         if self._disk.is_retired:
             why = "this disk is retired; use the other disks of the set"
-            raise RefusedError(refuse_unaccepted(RefusalCode.HOST_LEAVING, why))
+            raise RefusedError(not_run_refusal(RefusalCode.HOST_LEAVING, why))
--- a/src/bayhinge/_internal/services/disks/set_fence.py
+++ b/src/bayhinge/_internal/services/disks/set_fence.py
@@ -15,18 +15,15 @@
 class SetFence:
     """One disk host's fence for the newest version of the disk set that it knows.
 
+    ``tolerated`` is the number of disks that may be lost at once, ``folder`` where this disk stores
+    its files.
+
     Attributes:
         has_caught_up: this disk has everything that quorums of the previous version accepted, or
             :data:`CATCH_UP_LIMIT_S` has passed.
     """
 
     def __init__(self, tolerated: int, folder: Path) -> None:
-        """Starts without a disk set.
-
-        Args:
-            tolerated: number of disks that may be lost at once.
-            folder: where this disk stores its files.
-        """
         self._tolerated = tolerated
         self._file = folder / CAUGHT_UP_FILE
         self._own: DiskMember | None = None
--- a/src/bayhinge/_internal/services/gateway/admission.py
+++ b/src/bayhinge/_internal/services/gateway/admission.py
@@ -8,7 +8,7 @@
     Refusal,
     RefusalCode,
     RefusedError,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.models.routing import Route, RoutingTable
@@ -98,13 +98,11 @@
         if account is None:
             shown = "bears no single key" if request.key_sha256 is None else "bears an unknown key"
             raise RefusedError(
-                refuse_unaccepted(
-                    RefusalCode.UNAUTHORIZED, f"the request {shown}", self._proof_age()
-                )
+                not_run_refusal(RefusalCode.UNAUTHORIZED, f"the request {shown}", self._proof_age())
             )
         if isinstance(account, InvalidAccount):
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.CONFIG_UNKNOWN,
                     f"the entry of account '{account.name}' is unreadable: {account.why}",
                     retry_after_s=RETRY_AFTER_S,
@@ -120,7 +118,7 @@
         return table.accounts.find(digest)
 
     def _unproven_refusal(self) -> Refusal:
-        return refuse_unaccepted(
+        return not_run_refusal(
             RefusalCode.CONFIG_UNKNOWN,
             "this host can't verify now that the key is still valid",
             self._proof_age(),
--- a/src/bayhinge/_internal/services/gateway/configuration_proofs.py
+++ b/src/bayhinge/_internal/services/gateway/configuration_proofs.py
@@ -71,7 +71,11 @@
 
 
 class ConfigurationProofs:
-    """The freshness proof of one host's configuration."""
+    """The freshness proof of one host's configuration.
+
+    ``key`` is the store's key of the active configuration. ``bounds`` is None if the deployment
+    does not bound the use of revoked keys.
+    """
 
     def __init__(
         self,
@@ -82,10 +86,6 @@
         peers: Peers,
         bounds: ProofBounds | None,
     ) -> None:
-        """Takes the ``key`` of the active configuration.
-
-        ``bounds`` is None if the deployment does not bound the use of revoked keys.
-        """
         self._store = store
         self._key = key
         self._follower = follower
--- a/src/bayhinge/_internal/services/gateway/disk_client.py
+++ b/src/bayhinge/_internal/services/gateway/disk_client.py
@@ -1,4 +1,4 @@
-"""Calls several disks in parallel, and tolerates those that don't answer."""
+"""Calls several disks in parallel, and tolerates those that fail."""
 
 import asyncio
 from collections.abc import AsyncIterator, Coroutine
@@ -14,7 +14,7 @@
 
 
 class DiskClient:
-    """Calls disks for one entry host, and tracks calls left in the background."""
+    """Calls disks for one entry host; tracks calls that their caller no longer waits for."""
 
     def __init__(self, directory: DiskDirectory, link: DiskLink) -> None:
         self._directory = directory
@@ -33,7 +33,10 @@
         message: bytes,
         kind: type[Reply],
     ) -> AsyncIterator[tuple[wire.DiskMember, Reply]]:
-        """Yields answers as they arrive; unfinished calls continue in the background."""
+        """Calls several disks and yields their replies as they arrive, without failed calls.
+
+        Calls still running when the caller stops iterating continue in the background.
+        """
         member_by_task = {
             self.spawn(self.call(member, method, message, kind())): member for member in members
         }
@@ -48,10 +51,14 @@
     async def call(
         self, member: wire.DiskMember, method: str, message: bytes, empty: Reply
     ) -> Reply | None:
-        """Returns one disk's answer; None if it is missing or malformed."""
+        """Returns one disk's reply, decoded into ``empty``.
+
+        Returns None if the disk did not answer, refused, or sent a reply that can't be decoded.
+        """
         try:
             return decode_message(empty, await self._link.call(member, method, message))
         except DiskCallError:
+            # The link has recorded the failure.
             return None
         except FrameError as error:
             self._directory.record_failure(member, str(error))
--- a/src/bayhinge/_internal/services/gateway/disk_directory.py
+++ b/src/bayhinge/_internal/services/gateway/disk_directory.py
@@ -37,7 +37,10 @@
 
 
 class DiskDirectory:
-    """The disk set and the suspected disks, as known to one host."""
+    """The disk set and the suspected disks, as known to one host.
+
+    ``live_disks`` returns the latest heartbeats of live disk hosts.
+    """
 
     def __init__(
         self,
@@ -46,7 +49,6 @@
         peers: Peers,
         live_disks: Callable[[], list[Hello]],
     ) -> None:
-        """Takes ``live_disks``, which returns the latest heartbeats of live disk hosts."""
         self._live_disks = live_disks
         self._settings = settings
         self._store = store
@@ -151,7 +153,7 @@
         return until_s > asyncio.get_running_loop().time()
 
     def record_failure(self, member: DiskMember, why: str) -> None:
-        """Suspects a disk that did not answer, or only through a relay."""
+        """Suspects a disk that failed a direct call or sent an invalid reply."""
         self.reachability.record_silence(member.host)
         now = asyncio.get_running_loop().time()
         if self._suspected_until_by_host.get(member.host, 0.0) < now:
--- a/src/bayhinge/_internal/services/gateway/disk_link.py
+++ b/src/bayhinge/_internal/services/gateway/disk_link.py
@@ -33,7 +33,7 @@
 
 
 class DiskCallError(Exception):
-    """A disk did not answer, or refused the call."""
+    """A call to a disk failed, directly and through any relay; see :meth:`DiskLink.call`."""
 
 
 class DiskLink:
@@ -49,7 +49,7 @@
         """Returns a disk's first answer, direct or relayed.
 
         Raises:
-            DiskCallError: the disk did not answer, or refused the call.
+            DiskCallError: the disk did not answer in time, or every attempt failed.
         """
         paths = _CallPaths(asyncio.get_running_loop().time())
         paths.direct.append(self._call_direct(member, method, message))
--- a/src/bayhinge/_internal/services/gateway/initial_sync.py
+++ b/src/bayhinge/_internal/services/gateway/initial_sync.py
@@ -14,10 +14,13 @@
 
 
 class InitialSync:
-    """The first load of one kind of state after a host's start."""
+    """The first load of one kind of state after a host's start.
+
+    Attributes:
+        name: the kind of state, for the log.
+    """
 
     def __init__(self, name: str) -> None:
-        """Takes the ``name`` of the state, for the log."""
         self.name = name
         self._completed = asyncio.Event()
 
--- a/src/bayhinge/_internal/services/gateway/peer_requests.py
+++ b/src/bayhinge/_internal/services/gateway/peer_requests.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable, Mapping
 
 from bayhinge._internal.exceptions import FrameError, PeerFailureError, PeerUnreachableError
-from bayhinge._internal.models.refusals import RefusalCode, RefusedError, refuse_unaccepted
+from bayhinge._internal.models.refusals import RefusalCode, RefusedError, not_run_refusal
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers, UnaryPeerHandler
 from bayhinge._internal.services import methods
@@ -77,5 +77,5 @@
         try:
             return await self._peers.call(call.address, call.method, call.payload)
         except (PeerUnreachableError, PeerFailureError) as error:
-            refusal = refuse_unaccepted(RefusalCode.STORE_UNAVAILABLE, str(error))
+            refusal = not_run_refusal(RefusalCode.STORE_UNAVAILABLE, str(error))
             raise RefusedError(refusal) from error
--- a/src/bayhinge/_internal/services/gateway/quotas.py
+++ b/src/bayhinge/_internal/services/gateway/quotas.py
@@ -19,7 +19,7 @@
     Figure,
     RefusalCode,
     RefusedError,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
@@ -112,7 +112,7 @@
         self.counts.refused += 1
         self.counts.refused_first_requests += begins_program
         raise RefusedError(
-            refuse_unaccepted(
+            not_run_refusal(
                 RefusalCode.QUOTA_EXCEEDED,
                 f"account '{account.name}' has reached its quota over all hosts",
                 Figure("rate_per_s", account.quota.rate_per_s),
@@ -159,7 +159,7 @@
                 redirected = reply.home
         self.counts.without_coordinator += 1
         raise RefusedError(
-            refuse_unaccepted(
+            not_run_refusal(
                 RefusalCode.OWNER_UNREACHABLE,
                 f"no coordinator answered for the quota of account '{account}'",
                 retry_after_s=NO_COORDINATOR_RETRY_S,
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -15,7 +15,7 @@
     RefusedError,
     RunState,
     SendRecord,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.models.routed_requests import RequestField, RoutedRequest
 from bayhinge._internal.models.routing import InvalidRoute, Route, RouteKind, RoutingTable
@@ -91,7 +91,7 @@
             request = self._calls.read_request(exchange.method, exchange.target, exchange.headers)
             if request is None:
                 raise RefusedError(
-                    refuse_unaccepted(RefusalCode.BAD_REQUEST, "the request has no attempt id")
+                    not_run_refusal(RefusalCode.BAD_REQUEST, "the request has no attempt id")
                 )
             table = await self._require_table(request, exchange)
             await self._serve(exchange, table, request)
@@ -113,7 +113,7 @@
         table = self._configuration.table
         if table is None:
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.CONFIG_UNKNOWN,
                     "no configuration has arrived yet",
                     retry_after_s=NO_CONFIGURATION_RETRY_S,
@@ -125,14 +125,14 @@
         route = table.find(request.host, request.path)
         if route is None:
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.UNKNOWN_PROGRAM,
                     f"no route leads to {request.host}{request.path}",
                 )
             )
         if isinstance(route, InvalidRoute):
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.CONFIG_UNKNOWN,
                     f"route '{route.name}' is unreadable: {route.why}",
                     retry_after_s=NO_CONFIGURATION_RETRY_S,
@@ -150,7 +150,7 @@
                     await self._forward(exchange, table, route, request, send_record, deadline_s)
         except TimeoutError:
             raise RefusedError(
-                send_record.refuse(
+                send_record.refusal(
                     RefusalCode.PATIENCE_EXCEEDED,
                     f"no answer within {patience_s:.3f} s",
                     retry_after_s=RETRY_AFTER_S,
@@ -181,7 +181,7 @@
         except BodyTooLongError:
             exchange.closes_connection()
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.TOO_LARGE,
                     f"the body is longer than {table.limits.body_bytes} bytes",
                 )
@@ -313,4 +313,4 @@
         # The recorded turn would lack the events that the caller has from an earlier attempt.
         findings.append("a retained turn can't be resumed by its caller; send it again in full")
     if findings:
-        raise RefusedError(refuse_unaccepted(RefusalCode.BAD_REQUEST, "; ".join(findings)))
+        raise RefusedError(not_run_refusal(RefusalCode.BAD_REQUEST, "; ".join(findings)))
--- a/src/bayhinge/_internal/services/gateway/sending.py
+++ b/src/bayhinge/_internal/services/gateway/sending.py
@@ -91,7 +91,10 @@
 
 
 class RequestSender:
-    """Sends requests to the endpoints that a placer chooses."""
+    """Sends requests to the endpoints that a placer chooses.
+
+    ``check_admission`` raises AdmissionRevokedError to stop a send.
+    """
 
     def __init__(
         self,
@@ -102,7 +105,6 @@
         runs: ActiveRuns | None = None,
         check_admission: Callable[[RoutedRequest], None] = lambda request: None,
     ) -> None:
-        """Takes ``check_admission``, which raises AdmissionRevokedError to stop a send."""
         self._check_admission = check_admission
         self._endpoint_table = endpoint_table
         self._placer = placer or LocalPlacer(endpoint_table)
@@ -167,9 +169,9 @@
 
     def _admission_refusal(self, send_state: _SendState, error: AdmissionRevokedError) -> Refusal:
         if send_state.ran:
-            return send_state.send_record.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
+            return send_state.send_record.refusal(RefusalCode.OUTCOME_UNKNOWN, error.why)
         retry_after_s = None if error.code is RefusalCode.UNAUTHORIZED else RETRY_AFTER_S
-        return send_state.send_record.refuse(error.code, error.why, retry_after_s=retry_after_s)
+        return send_state.send_record.refusal(error.code, error.why, retry_after_s=retry_after_s)
 
     async def _next_run(self, send_state: _SendState) -> ActiveRun:
         state = None
@@ -183,7 +185,7 @@
             code = RefusalCode.OUTCOME_UNKNOWN if send_state.ran else RefusalCode.NO_ENDPOINT
             why = f"none of {len(send_state.tried)} endpoint(s) of the service accepted the request"
             raise RefusedError(
-                send_state.send_record.refuse(code, why, retry_after_s=RETRY_AFTER_S)
+                send_state.send_record.refusal(code, why, retry_after_s=RETRY_AFTER_S)
             )
         send_state.send_record.record_send()
         run = self._runs.begin(state)
@@ -338,7 +340,7 @@
             )
             return
         raise RefusedError(
-            send_state.send_record.refuse(RefusalCode.OUTCOME_UNKNOWN, error.why)
+            send_state.send_record.refusal(RefusalCode.OUTCOME_UNKNOWN, error.why)
         ) from error
 
     def _record_failure(
--- a/src/bayhinge/_internal/services/gateway/suspect_hosts.py
+++ b/src/bayhinge/_internal/services/gateway/suspect_hosts.py
@@ -8,10 +8,12 @@
 
 
 class SuspectHosts:
-    """The hosts that this host suspects of having failed."""
+    """The hosts that this host suspects of having failed.
+
+    ``last_seen_s`` returns the time of a host's last heartbeat, on the loop's clock.
+    """
 
     def __init__(self, last_seen_s: Callable[[str], float]) -> None:
-        """Takes ``last_seen_s``, which returns a host's last heartbeat time on the loop's clock."""
         self._last_seen_s = last_seen_s
         self._since_by_host: dict[str, float] = {}
 
--- a/src/bayhinge/_internal/services/gateway/turn_histories.py
+++ b/src/bayhinge/_internal/services/gateway/turn_histories.py
@@ -5,7 +5,7 @@
     Figure,
     RefusalCode,
     RefusedError,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.services import methods
@@ -93,7 +93,7 @@
         # The turn certainly does not exist only if all disks say so, and none knows a newer set.
         if is_first and members and answered == len(members) and newest == version:
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.NOT_RECORDED,
                     f"there is no turn '{attempt}'",
                     Figure("disks_asked", answered),
@@ -112,14 +112,14 @@
         return
     if owner is None:
         raise RefusedError(
-            refuse_unaccepted(
+            not_run_refusal(
                 RefusalCode.STORE_UNAVAILABLE,
                 f"turn '{turn.context.previous}' was recorded without its account",
                 retry_after_s=RETRY_AFTER_S,
             )
         )
     raise RefusedError(
-        refuse_unaccepted(RefusalCode.NOT_RECORDED, f"there is no turn '{turn.context.previous}'")
+        not_run_refusal(RefusalCode.NOT_RECORDED, f"there is no turn '{turn.context.previous}'")
     )
 
 
--- a/src/bayhinge/_internal/services/gateway/turn_recorder.py
+++ b/src/bayhinge/_internal/services/gateway/turn_recorder.py
@@ -30,10 +30,12 @@
 
 
 class TurnRecorder(DiskClient):
-    """Opens and closes turns for one entry host."""
+    """Opens and closes turns for one entry host.
+
+    ``tolerated`` is the number of disks that may be lost at once.
+    """
 
     def __init__(self, directory: DiskDirectory, link: DiskLink, tolerated: int) -> None:
-        """Takes ``tolerated``, the number of disks that may be lost at once."""
         super().__init__(directory, link)
         self._tolerated = tolerated
         self._reservations = TurnReservations(self, directory, tolerated)
--- a/src/bayhinge/_internal/services/gateway/turn_refusals.py
+++ b/src/bayhinge/_internal/services/gateway/turn_refusals.py
@@ -4,7 +4,7 @@
     Figure,
     RefusalCode,
     RefusedError,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 
@@ -18,7 +18,7 @@
 def budget_exceeded(turn: OpenTurn, budget: int, committed: int) -> RefusedError:
     """Returns the refusal of a turn that exceeds the program's budget."""
     return RefusedError(
-        refuse_unaccepted(
+        not_run_refusal(
             RefusalCode.BUDGET_EXCEEDED,
             "the turn exceeds the program's token budget",
             Figure("budget_tokens", budget),
@@ -31,7 +31,7 @@
 def too_few_disks(answered: int, needed: int) -> RefusedError:
     """Returns the refusal of a turn for which too few disks answered."""
     return RefusedError(
-        refuse_unaccepted(
+        not_run_refusal(
             RefusalCode.STORE_UNAVAILABLE,
             "too few disks answered to read or reserve the program's turns",
             Figure("answered", answered),
--- a/src/bayhinge/_internal/services/local_queries.py
+++ b/src/bayhinge/_internal/services/local_queries.py
@@ -4,7 +4,7 @@
 
 from expression import Error, Ok, Result
 
-from bayhinge._internal.models.refusals import Refusal, RefusalCode, refuse_unaccepted
+from bayhinge._internal.models.refusals import Refusal, RefusalCode, not_run_refusal
 from bayhinge._internal.models.views import (
     ConfigObjectView,
     ConfigStatusView,
@@ -47,7 +47,7 @@
         if answer is None:
             known = ", ".join(sorted(self._answer_by_name))
             why = f"query '{name[:40]}' does not exist; known queries: {known}"
-            return Error(refuse_unaccepted(RefusalCode.BAD_REQUEST, why))
+            return Error(not_run_refusal(RefusalCode.BAD_REQUEST, why))
         return Ok(to_json(answer(parameters)))
 
     def _programs(self, parameters: Parameters) -> object:
--- a/src/bayhinge/_internal/services/owner.py
+++ b/src/bayhinge/_internal/services/owner.py
@@ -29,8 +29,8 @@
     RefusedError,
     RunState,
     SendRecord,
+    not_run_refusal,
     refusal_from_json,
-    refuse_unaccepted,
 )
 from bayhinge._internal.services.answers import LiveAnswer, replay
 from bayhinge._internal.services.call_records import failure_record, finished_record
@@ -39,8 +39,8 @@
     OwnedProgram,
     OwnerParts,
     RunningCall,
-    refuse_for_store,
-    refuse_moved,
+    moved_refusal,
+    store_refusal,
 )
 from bayhinge._internal.services.program_registry import ProgramRegistry
 from bayhinge._internal.services.record_codec import (
@@ -109,7 +109,7 @@
         deadline = asyncio.get_running_loop().time() + call.patience_s
         while True:
             if program.has_moved:
-                raise RefusedError(refuse_moved())
+                raise RefusedError(moved_refusal())
             running = program.running
             view = None if running is None else running.view
             decision = decide_call(program.state, call, view)
@@ -153,7 +153,7 @@
             why = (
                 f"call {index} has no recorded answer; the next call is {program.state.next_index}"
             )
-            raise RefusedError(refuse_unaccepted(RefusalCode.NOT_RECORDED, why))
+            raise RefusedError(not_run_refusal(RefusalCode.NOT_RECORDED, why))
         async for item in self._replay(program.state, program.state.calls[index], offset):
             yield item
 
@@ -173,7 +173,7 @@
             async with asyncio.timeout(max(0.0, remaining)):
                 await changed.wait()
         except TimeoutError:
-            refusal = refuse_unaccepted(
+            refusal = not_run_refusal(
                 RefusalCode.INDEX_GAP,
                 f"the patience of call {index} ran out while it waited for the calls before it",
                 Figure("next_index", program.state.next_index),
@@ -202,7 +202,7 @@
             self._record_refusal(program.state, call, error.refusal)
             running.live.refuse(error.refusal)
         except asyncio.CancelledError:
-            moved = attrs.evolve(refuse_moved(), run_state=RunState.MAY_HAVE_RUN)
+            moved = attrs.evolve(moved_refusal(), run_state=RunState.MAY_HAVE_RUN)
             ended = Refusal(RefusalCode.CANCELLED, RunState.MAY_HAVE_RUN, "the program was ended")
             running.live.refuse(moved if program.has_moved else ended)
             raise
@@ -255,7 +255,7 @@
         state = program.state
         found = self._parts.accounts.find(state.account)
         if found.is_error():
-            raise RefusedError(refuse_unaccepted(RefusalCode.FORBIDDEN, found.error))
+            raise RefusedError(not_run_refusal(RefusalCode.FORBIDDEN, found.error))
         account = found.ok
         refusal = next(check_limits(account, state, call), None)
         if refusal is not None:
@@ -285,7 +285,7 @@
         try:
             return (*await self._parts.histories.get(state), *new_messages.messages)
         except CoordinationError as error:
-            raise RefusedError(refuse_for_store(SendRecord(), error)) from error
+            raise RefusedError(store_refusal(SendRecord(), error)) from error
 
     async def _reserve(
         self, account: ClientAccount, work: ModelCall, prompt: tuple[bytes, ...]
@@ -294,7 +294,7 @@
         try:
             return await self._parts.escrow.reserve(account.name, units, account.budget_tokens)
         except CoordinationError as error:
-            raise RefusedError(_refuse_for_budget(account, SendRecord(), error)) from error
+            raise RefusedError(_budget_refusal(account, SendRecord(), error)) from error
 
     async def _extend_reservation(
         self, account: ClientAccount, reservation: Reservation, units: int, send_record: SendRecord
@@ -303,7 +303,7 @@
         try:
             await self._parts.escrow.extend(reservation, units, account.budget_tokens)
         except CoordinationError as error:
-            raise RefusedError(_refuse_for_budget(account, send_record, error)) from error
+            raise RefusedError(_budget_refusal(account, send_record, error)) from error
 
     # ---- calls that may not be repeated ----
 
@@ -312,7 +312,7 @@
             return await self._parts.runner.run_service(prepared, None)
         if not self._parts.journal.store_ok:
             why = "the call may not be repeated, and its start can't be recorded now"
-            refusal = refuse_unaccepted(RefusalCode.STORE_UNAVAILABLE, why, retry_after_s=2.0)
+            refusal = not_run_refusal(RefusalCode.STORE_UNAVAILABLE, why, retry_after_s=2.0)
             raise RefusedError(refusal)
 
         async def record_start(endpoint: str, send_record: SendRecord) -> None:
@@ -337,10 +337,10 @@
                 await asyncio.shield(durable)
         except TimeoutError as error:
             why = "the call's start could not be recorded within the caller's patience"
-            refusal = send_record.refuse(RefusalCode.STORE_UNAVAILABLE, why, retry_after_s=2.0)
+            refusal = send_record.refusal(RefusalCode.STORE_UNAVAILABLE, why, retry_after_s=2.0)
             raise RefusedError(refusal) from error
         except (FencedError, JournalFullError) as error:
-            raise RefusedError(refuse_for_store(send_record, error)) from error
+            raise RefusedError(store_refusal(send_record, error)) from error
 
     async def _record_refused_outcome(
         self, program: OwnedProgram, prepared: PreparedCall, refusal: Refusal
@@ -377,7 +377,7 @@
             position = await self._parts.journal.append(encode_finished(finished))
         except (FencedError, JournalFullError) as error:
             send_record = SendRecord(sends=1, answered=True)
-            raise RefusedError(refuse_for_store(send_record, error)) from error
+            raise RefusedError(store_refusal(send_record, error)) from error
         entry = apply_finished(state, finished, position)
         if admitted.new_messages is not None:
             answer = assistant_message(running.live.text, result.end.tool_calls)
@@ -405,7 +405,7 @@
             record = decode_record(await self._parts.reader.read_record(entry.position))
         except CoordinationError as error:
             send_record = SendRecord(sends=1, answered=True)
-            raise RefusedError(refuse_for_store(send_record, error)) from error
+            raise RefusedError(store_refusal(send_record, error)) from error
         finished = record.finished
         if finished.failure is not None:
             raise RefusedError(refusal_from_json(finished.failure))
@@ -424,12 +424,12 @@
         )
 
 
-def _refuse_for_budget(
+def _budget_refusal(
     account: ClientAccount, send_record: SendRecord, error: CoordinationError
 ) -> Refusal:
     if not isinstance(error, BudgetExceededError):
-        return refuse_for_store(send_record, error)
-    return send_record.refuse(
+        return store_refusal(send_record, error)
+    return send_record.refusal(
         RefusalCode.BUDGET_EXCEEDED,
         "the client account's budget has no room for this call's worst case",
         Figure("needed_tokens", error.wanted),
@@ -441,4 +441,4 @@
 
 def _unknown_program(program: str) -> Refusal:
     why = f"no program '{program}' of this client account is known here"
-    return refuse_unaccepted(RefusalCode.UNKNOWN_PROGRAM, why)
+    return not_run_refusal(RefusalCode.UNKNOWN_PROGRAM, why)
--- a/src/bayhinge/_internal/services/owner_parts.py
+++ b/src/bayhinge/_internal/services/owner_parts.py
@@ -12,7 +12,7 @@
     Refusal,
     RefusalCode,
     SendRecord,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.models.settings import Settings
 from bayhinge._internal.services.account_directory import AccountSource
@@ -78,45 +78,45 @@
     random_unit: Callable[[], float]
 
 
-def refuse_for_store(send_record: SendRecord, error: CoordinationError) -> Refusal:
+def store_refusal(send_record: SendRecord, error: CoordinationError) -> Refusal:
     """Returns the refusal for a failed store or a fenced journal."""
     if isinstance(error, FencedError):
         why = "another host has taken the program over; look up its address again"
-        return send_record.refuse(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
-    return send_record.refuse(
+        return send_record.refusal(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
+    return send_record.refusal(
         RefusalCode.STORE_UNAVAILABLE,
         f"the platform's object store is needed for this call: {error}",
         retry_after_s=STORE_RETRY_AFTER_S,
     )
 
 
-def refuse_moved() -> Refusal:
+def moved_refusal() -> Refusal:
     """Returns the refusal that makes routers look up the program's new owner."""
     why = "this host has handed the program over; look up its address again"
-    return refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
+    return not_run_refusal(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=0.1)
 
 
-def refuse_stale_config() -> Refusal:
+def stale_config_refusal() -> Refusal:
     """Returns the refusal of a host whose configuration may be stale."""
-    return refuse_unaccepted(
+    return not_run_refusal(
         RefusalCode.CONFIG_UNKNOWN,
         "this host's configuration may be stale, so it opens no programs",
         retry_after_s=STORE_RETRY_AFTER_S,
     )
 
 
-def refuse_unrecorded() -> Refusal:
+def unrecorded_refusal() -> Refusal:
     """Returns the refusal of a program whose opening can't be recorded."""
-    return refuse_unaccepted(
+    return not_run_refusal(
         RefusalCode.STORE_UNAVAILABLE,
         "the platform's object store does not answer, so the program's opening can't be recorded",
         retry_after_s=STORE_RETRY_AFTER_S,
     )
 
 
-def refuse_too_many(count: int, limit: int) -> Refusal:
+def too_many_programs_refusal(count: int, limit: int) -> Refusal:
     """Returns the refusal of a program beyond the account's limit."""
-    return refuse_unaccepted(
+    return not_run_refusal(
         RefusalCode.OVERLOADED,
         "the client account has reached its limit of running programs on this host",
         Figure("programs", count),
--- a/src/bayhinge/_internal/services/peer_service.py
+++ b/src/bayhinge/_internal/services/peer_service.py
@@ -11,7 +11,7 @@
     Refusal,
     RefusalCode,
     RefusedError,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import PeerHandler
@@ -63,7 +63,7 @@
         answer = self._answer_by_method.get(method)
         if answer is None:
             why = f"method '{method[:40]}' is unknown; is this host's version older?"
-            raise RefusedError(refuse_unaccepted(RefusalCode.BAD_REQUEST, why))
+            raise RefusedError(not_run_refusal(RefusalCode.BAD_REQUEST, why))
         return await answer(payload)
 
     async def _done(self, payload: bytes) -> bytes:
@@ -107,7 +107,7 @@
         message = decode_message(wire.ProgramRequest(), payload)
         account = self._parts.accounts.find(message.account)
         if account.is_error():
-            raise RefusedError(refuse_unaccepted(RefusalCode.FORBIDDEN, account.error))
+            raise RefusedError(not_run_refusal(RefusalCode.FORBIDDEN, account.error))
         parent = None if parse_program_id(message.program) is None else message.program
         key = message.verb or None
         return orjson.dumps(_unwrap_text(await self._opener.open_here(account.ok, parent, key)))
--- a/src/bayhinge/_internal/services/prefix_follower.py
+++ b/src/bayhinge/_internal/services/prefix_follower.py
@@ -4,9 +4,9 @@
 are served, so a host also observes the revisions that its peers have seen, and fetches the
 objects from a peer if its own watch falls behind.
 
-The store never answers calls that were sent before or during an outage, even after it returns. So
-a failing store is polled with calls that do not wait, and a watch is renewed as soon as any call of
-the process succeeds. If no call failed during an outage, the revision in another watch's answer
+The store never answers calls that were sent before or during an outage, even after its recovery.
+So a failing store is polled with calls that do not wait, and a watch is renewed as soon as any call
+of the process succeeds. If no call failed during an outage, the revision in another watch's answer
 shows that this one is outdated; then it is renewed too.
 """
 
@@ -30,11 +30,11 @@
 from bayhinge.coordination.store import Change, PollingStore, StoredObject, list_all
 
 RETRY_S = 0.5
-"""Mean pause, with 50 % jitter, after a repeated failure of the store. After the first failure
+"""Mean pause, with 50 % jitter, after the second and later failures in a row. After the first one
 there is none: a watch that timed out shows nothing about the store's present state."""
 
 MAX_RECOVERY_WAIT_S = 5.0
-"""Longest wait of a follower for the store's return while another one of the process polls it."""
+"""Longest wait of a follower for the store's recovery while another one of the process polls it."""
 
 MIN_PAUSE_S = 0.2
 MAX_PAUSE_S = 0.8
@@ -56,7 +56,7 @@
 advanced. Younger ones are not: with frequent changes, each would renew every other watch."""
 
 AFTER_OUTAGE_S = 2.0
-"""For so long after the store's return, removed entries may have expired during the outage."""
+"""For so long after the store's recovery, removed entries may have expired during the outage."""
 
 FIRST_LIST_DELAY_S = (0.5, 2.5)
 """Range of the random delay before a host lists the objects at the first start of a site, unless a
@@ -69,7 +69,7 @@
 class ObjectListener(ABC):
     """Receives the objects and their changes.
 
-    ``is_after_outage`` is true shortly after the store's return: entries that others must renew
+    ``is_after_outage`` is true shortly after the store's recovery: entries that others must renew
     may have expired during the outage, and will soon be written again.
     """
 
@@ -84,13 +84,29 @@
 
 @attrs.define
 class StoreHealth:
-    """Since when the store has failed, on the loop's clock in seconds; None while it answers."""
+    """Since when this follower's calls have failed, on the loop's clock; None while they succeed.
+
+    :class:`StoreAvailability` covers the calls of all clients of the process.
+    """
 
     failing_since_s: float | None = None
 
 
 class PrefixFollower:
-    """Keeps a copy of the objects under one prefix up to date."""
+    """Keeps a copy of the objects under one prefix up to date.
+
+    Attributes:
+        prefix: the objects' prefix, which ends in a slash.
+        revision: the store's revision of the newest known change under the prefix.
+        complete_to: the store's revision up to which no change is missing; 0 without any state.
+        value_by_key: the known objects.
+        health: since when the calls have failed.
+        last_refresh_s: when a watch was answered or the whole state was replaced, on the loop's
+            clock.
+        first_list_delay_s: how long :meth:`run` waits for a peer's objects before the first list.
+        should_watch: returns whether this host should watch the prefix; other hosts rely on peers.
+        on_change: called after each single change, not when the whole state is replaced.
+    """
 
     def __init__(
         self,
@@ -100,12 +116,12 @@
         listener: ObjectListener,
         peers: Peers,
     ) -> None:
-        """Creates a follower; :meth:`run` starts it.
+        """Registers with the store's availability; :meth:`run` starts the follower.
 
         Args:
             store: the store to follow.
-            prefix: the objects' prefix.
-            next_watch_timeout_s: returns how long a watch that starts now should wait for changes.
+            prefix: the objects' prefix, which ends in a slash.
+            next_watch_timeout_s: returns how many seconds a watch that starts now should wait.
             listener: receives the objects and their changes.
             peers: the connections to other hosts.
         """
@@ -114,6 +130,7 @@
         self._next_watch_timeout_s = next_watch_timeout_s
         self._listener = listener
         self._peers = peers
+        # Revision after which the next watch starts; 0: the objects must be listed first.
         self._cursor = 0
         self._poll_pause_s = 0.0
         self._poll: asyncio.Task[None] | None = None
@@ -121,6 +138,7 @@
         self._is_stopped = False
         self._call_started_s: float | None = None
         self._store_revision_at_call = 0
+        # Last result of should_watch(); None before the first one.
         self._was_watching: bool | None = None
         self._peer_reported_recovery_s = -math.inf
         self.revision = 0
@@ -175,7 +193,10 @@
             await availability.wait_for_recovery(MAX_RECOVERY_WAIT_S)
 
     def stop(self) -> None:
-        """Cancels the pending call; failures after this are not recorded."""
+        """Cancels a pending watch, and ends :meth:`run` after a pending list.
+
+        Failures after this are not recorded.
+        """
         self._is_stopped = True
         if self._poll is not None:
             self._poll.cancel()
@@ -187,7 +208,7 @@
 
     @property
     def known_revision(self) -> int:
-        """The store's revision up to which this host knows the objects."""
+        """The newest revision that the known state includes; older changes may be missing."""
         return max(self.revision, self.complete_to)
 
     def snapshot(self) -> KnownObjects:
@@ -217,7 +238,7 @@
         return asyncio.get_running_loop().time() - self._call_started_s
 
     def _renew(self) -> None:
-        """Cancels the pending call, so that :meth:`run` sends a new one."""
+        """Cancels a pending watch, so that :meth:`run` sends a new one; a list call continues."""
         poll = self._poll
         if (
             poll is None
@@ -234,7 +255,7 @@
         poll.cancel()
 
     def _renew_if_outdated(self, has_changes: bool) -> None:
-        """Renews the pending call if the store has advanced since it was sent."""
+        """Renews a pending watch if the store has advanced since it was sent."""
         least_s = RENEW_AFTER_S if has_changes else 0.0
         is_behind = self._store_revision_at_call < self._store.availability.revision
         if is_behind and self.waiting_s() >= least_s:
@@ -256,6 +277,13 @@
         return revision > self.known_revision
 
     async def _list(self) -> None:
+        """Lists the objects, sets the cursor, and replaces the state.
+
+        The result is discarded if a peer has sent a newer state meanwhile.
+
+        Raises:
+            StoreError: the store did not answer or rejected a call.
+        """
         self._call_started_s = asyncio.get_running_loop().time()
         complete_before = self.complete_to
         listing = await list_all(self._store, self.prefix)
@@ -309,7 +337,8 @@
         self.last_refresh_s = asyncio.get_running_loop().time()
         self._has_state.set()
         if state.is_after_outage:
-            # Passed on to peers that fetch from here, but for half the time, so that it dies out.
+            # Reported to peers for half of AFTER_OUTAGE_S only, so that hosts do not keep
+            # reporting the recovery to each other.
             self._peer_reported_recovery_s = max(
                 self._peer_reported_recovery_s, self.last_refresh_s - AFTER_OUTAGE_S / 2
             )
--- a/src/bayhinge/_internal/services/program_opener.py
+++ b/src/bayhinge/_internal/services/program_opener.py
@@ -8,8 +8,8 @@
 from bayhinge._internal.models.refusals import (
     Refusal,
     RefusalCode,
+    not_run_refusal,
     refusal_from_json,
-    refuse_unaccepted,
 )
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.services.host_parts import HostParts
@@ -69,4 +69,4 @@
             except PeerFailureError as error:
                 return Error(refusal_from_json(error.problem))
         why = "this host is leaving, and no other host can be reached"
-        return Error(refuse_unaccepted(RefusalCode.HOST_LEAVING, why, retry_after_s=1.0))
+        return Error(not_run_refusal(RefusalCode.HOST_LEAVING, why, retry_after_s=1.0))
--- a/src/bayhinge/_internal/services/program_registry.py
+++ b/src/bayhinge/_internal/services/program_registry.py
@@ -15,10 +15,10 @@
 from bayhinge._internal.services.owner_parts import (
     OwnedProgram,
     OwnerParts,
-    refuse_for_store,
-    refuse_stale_config,
-    refuse_too_many,
-    refuse_unrecorded,
+    stale_config_refusal,
+    store_refusal,
+    too_many_programs_refusal,
+    unrecorded_refusal,
 )
 from bayhinge._internal.services.record_codec import encode_ended, encode_opened
 from bayhinge.coordination.errors import FencedError, JournalFullError
@@ -99,11 +99,11 @@
             async with asyncio.timeout(account.patience_seconds):
                 await asyncio.shield(opened.ok.durable)
         except FencedError as error:
-            return Error(refuse_for_store(SendRecord(), error))
+            return Error(store_refusal(SendRecord(), error))
         except TimeoutError:
             # The record may still become durable, so the program's end is recorded after it.
             self._abandon(opened.ok.program)
-            return Error(refuse_unrecorded())
+            return Error(unrecorded_refusal())
         return Ok(opened.ok.program)
 
     def open_nowait(
@@ -130,7 +130,7 @@
         try:
             durable = self._parts.journal.append(encode_opened(state))
         except (FencedError, JournalFullError) as error:
-            return Error(refuse_for_store(SendRecord(), error))
+            return Error(store_refusal(SendRecord(), error))
         self._next_number += 1
         program = OwnedProgram(state)
         self.add(program)
@@ -159,7 +159,7 @@
         try:
             await self._parts.journal.append(encode_ended(state.program_id, reason))
         except (FencedError, JournalFullError) as error:
-            return Error(refuse_for_store(SendRecord(), error))
+            return Error(store_refusal(SendRecord(), error))
         self._evict_oldest_ended(str(state.program_id))
         return Ok(state.program_id)
 
@@ -180,12 +180,12 @@
 
     def _check_open(self, account: ClientAccount) -> Iterator[Refusal]:
         if not self._parts.accounts.is_current():
-            yield refuse_stale_config()
+            yield stale_config_refusal()
         if not self._parts.journal.store_ok:
-            yield refuse_unrecorded()
+            yield unrecorded_refusal()
         live = self._live_by_account[account.name]
         if live >= account.max_programs:
-            yield refuse_too_many(live, account.max_programs)
+            yield too_many_programs_refusal(live, account.max_programs)
 
     def _evict_oldest_ended(self, program: str) -> None:
         self._ended_ids[program] = None
--- a/src/bayhinge/_internal/services/queue_dispatcher.py
+++ b/src/bayhinge/_internal/services/queue_dispatcher.py
@@ -1,8 +1,8 @@
 """The queue dispatcher: admits, orders and places the calls of the cells hashed to this host.
 
 A pool is split into cells of a few endpoints each; the host that dispatches a cell is chosen
-among the serving hosts by rendezvous hashing. While two hosts dispatch the same cell, only
-the order of calls and the cache hit rate suffer.
+among the serving hosts by rendezvous hashing. While two hosts dispatch the same cell, calls may
+run out of order, with fewer cache hits, and exceed an endpoint's slots.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 )
 from bayhinge._internal.models.endpoints import Endpoint
 from bayhinge._internal.models.events import Mechanism
-from bayhinge._internal.models.refusals import Figure, RefusedError, refuse_unaccepted
+from bayhinge._internal.models.refusals import Figure, RefusedError, not_run_refusal
 from bayhinge._internal.models.settings import Settings
 from bayhinge._internal.network.endpoint_client import EndpointClient
 from bayhinge._internal.services.timeline import Timeline
@@ -45,10 +45,9 @@
 
 
 class QueueDispatcher:
-    """The schedulers of the cells that this host dispatches."""
+    """The schedulers of the cells that this host dispatches, created on first use."""
 
     def __init__(self, settings: Settings, endpoints: EndpointClient, timeline: Timeline) -> None:
-        """Starts without cells; schedulers are created on first use."""
         self._settings = settings
         self._endpoints = endpoints
         self._timeline = timeline
@@ -213,7 +212,7 @@
 
     def _reject(self, reject: Reject) -> None:
         self.rejected += 1
-        refusal = refuse_unaccepted(
+        refusal = not_run_refusal(
             reject.code,
             reject.reason.text,
             *reject.reason.figures,
--- a/src/bayhinge/_internal/services/remote_grants.py
+++ b/src/bayhinge/_internal/services/remote_grants.py
@@ -16,8 +16,8 @@
 from bayhinge._internal.models.refusals import (
     RefusalCode,
     RefusedError,
+    not_run_refusal,
     refusal_from_json,
-    refuse_unaccepted,
 )
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
@@ -33,28 +33,34 @@
 
 NOTIFY_ATTEMPTS = 5
 NOTIFY_MAX_BACKOFF_S = 4.0
-"""Retries last some ten seconds: longer than a reconnection or the detection of a dead dispatcher.
-A dispatcher that misses a call's end counts the call as running until the owner's process ends."""
+"""Waits of 1, 2, 4 and 4 s at most, each with full jitter, to outlast a reconnection. A dispatcher
+that misses a call's end counts the call as running until the owner's process ends."""
 
 
 class RemoteGrants(GrantSource):
     """Asks a cell's dispatcher, chosen by rendezvous hashing over the serving hosts."""
 
-    def __init__(self, membership: Membership, dispatcher: QueueDispatcher, peers: Peers) -> None:
+    def __init__(
+        self, membership: Membership, local_dispatcher: QueueDispatcher, peers: Peers
+    ) -> None:
         self._membership = membership
-        self._local_dispatcher = dispatcher
+        self._local_dispatcher = local_dispatcher
         self._peers = peers
         self._background: set[asyncio.Task[None]] = set()
 
     async def request(self, pool: str, offer: Offer) -> GrantedEndpoint:
-        """See :class:`GrantSource`."""
+        """Asks the dispatchers of the program's cell, in order of rank, until one answers.
+
+        Raises:
+            RefusedError: the call is refused, or none of the dispatchers tried was reachable.
+        """
         cell = self._local_dispatcher.cell_of(pool, offer.program)
         for dispatcher in self._dispatchers(cell)[:MAX_DISPATCHERS_TRIED]:
             try:
                 granted = await self._request_at(dispatcher, cell, offer)
             except PeerUnreachableError as error:
-                # The next in rank becomes dispatcher once membership notices; if it is asked
-                # earlier, only the order of calls and the cache hit rate suffer.
+                # The next in rank becomes dispatcher once the failed host is removed from the
+                # membership. Until then, two dispatchers may each fill an endpoint's slots.
                 logger.info("queue dispatcher %s is unreachable: %s", dispatcher.host, error)
                 continue
             return GrantedEndpoint(
@@ -65,8 +71,8 @@
                 granted.waited_s,
                 dispatcher.peer_address,
             )
-        why = "no queue dispatcher of the call's cell answered"
-        raise RefusedError(refuse_unaccepted(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=1.0))
+        why = "none of the queue dispatchers tried for the call's pool (three at most) answered"
+        raise RefusedError(not_run_refusal(RefusalCode.OWNER_UNREACHABLE, why, retry_after_s=1.0))
 
     def done(self, granted: GrantedEndpoint, done: CallCompletion) -> None:
         """See :class:`GrantSource`."""
@@ -130,9 +136,14 @@
             await retrying(self._peers.call, address, method, payload)
         except RetryError as error:
             why = error.last_attempt.exception()
-            logger.warning("%s was not delivered in %d attempts: %s", method, NOTIFY_ATTEMPTS, why)
+            logger.warning(
+                "notification '%s' was not delivered to the queue dispatcher in %d attempts: %s",
+                method,
+                NOTIFY_ATTEMPTS,
+                why,
+            )
         except PeerFailureError as error:
-            logger.info("%s was rejected: %s", method, error)
+            logger.info("the queue dispatcher rejected notification '%s': %s", method, error)
 
 
 def offer_to_wire(cell: str, offer: Offer) -> wire.GrantRequest:
--- a/src/bayhinge/_internal/services/router.py
+++ b/src/bayhinge/_internal/services/router.py
@@ -15,8 +15,8 @@
     RefusalCode,
     RefusedError,
     RunState,
+    not_run_refusal,
     refusal_from_json,
-    refuse_unaccepted,
 )
 from bayhinge._internal.models.views import ProgramView, to_json
 from bayhinge._internal.network.frames import encode_message
@@ -273,7 +273,7 @@
         program = await self.find_local(program_id, location)
         if program is None or (account and program.state.account != account):
             why = f"no program '{program_id}' is known here"
-            return Error(refuse_unaccepted(RefusalCode.UNKNOWN_PROGRAM, why))
+            return Error(not_run_refusal(RefusalCode.UNKNOWN_PROGRAM, why))
         if verb == "end":
             ended = await self._registry.end(program, "its caller ended it")
         elif verb == "cancel":
@@ -316,11 +316,11 @@
 
 def _invalid_program(program: str) -> Refusal:
     why = f"'{program[:80]}' is not a valid program identifier"
-    return refuse_unaccepted(RefusalCode.BAD_REQUEST, why)
+    return not_run_refusal(RefusalCode.BAD_REQUEST, why)
 
 
 def _owner_unreachable(program: str, why: str) -> Refusal:
-    return refuse_unaccepted(
+    return not_run_refusal(
         RefusalCode.OWNER_UNREACHABLE,
         f"the owner of program '{program}' can't be reached now: {why}",
         retry_after_s=1.0,
--- a/src/bayhinge/coordination/config_feed.py
+++ b/src/bayhinge/coordination/config_feed.py
@@ -155,6 +155,9 @@
     async def step(self) -> None:
         """Reads and applies the changes that follow the applied revision.
 
+        Confirms the configuration afterwards, unless the next change can't be decoded or a peer
+        has reported a newer revision.
+
         Raises:
             StoreError: the store did not answer, or its listing makes no progress.
         """
@@ -181,7 +184,7 @@
         """Appends a change that is based on ``base_revision`` of the object (0: a new object).
 
         Raises:
-            ConfigConflictError: the object has a newer revision.
+            ConfigConflictError: the object is at another revision, or does not exist.
             StoreError: the store did not answer; the change may or may not be accepted.
         """
         nonce = f"{self._random_unit():.17f}"
@@ -215,14 +218,15 @@
         await self._store.create(self._key(self._revision + 1), encode(change))
 
     def _raise_if_outdated(self, kind: str, name: str, base_revision: int) -> None:
+        """Raises ConfigConflictError if an edit is not based on the object's revision."""
         current = self._objects_by_key.get((kind, name))
-        revision = 0 if current is None else current.revision
+        current_revision = 0 if current is None else current.revision
         # A deleted object may be created again like a new one.
         if current is not None and current.text is None and base_revision == 0:
             return
-        if revision != base_revision:
+        if current_revision != base_revision:
             text = "" if current is None or current.text is None else current.text
-            raise ConfigConflictError(kind, name, base_revision, revision, text)
+            raise ConfigConflictError(kind, name, base_revision, current_revision, text)
 
     def _find_by_nonce(self, kind: str, name: str, nonce: str) -> ConfigObject | None:
         for revision in range(self._revision, max(0, self._revision - 50), -1):
--- a/src/bayhinge/coordination/errors.py
+++ b/src/bayhinge/coordination/errors.py
@@ -16,15 +16,12 @@
     """The store did not answer, so a write may or may not have taken effect.
 
     Callers find out by reading the key back; see ``Journal``.
+
+    Attributes:
+        operation: the operation and its key, such as ``create journal/x/1``.
     """
 
     def __init__(self, operation: str, why: str) -> None:
-        """Creates the error.
-
-        Args:
-            operation: the operation and its key, such as ``create journal/x/1``.
-            why: the transport's reason.
-        """
         super().__init__(
             f"The object store did not answer '{operation}': {why}. "
             "A write may have taken effect; read the key back before writing again."
@@ -87,15 +84,15 @@
 
 
 class FencedError(CoordinationError):
-    """Another process has taken over; this one must stop acting in the role."""
+    """Another process has taken over; this one must stop acting in the role.
 
-    def __init__(self, subject: str, by: str) -> None:
-        """Creates the error.
+    ``subject`` starts the message: what was taken over, such as ``Journal 'a~1'``.
+
+    Attributes:
+        by: the incarnation that took it over.
+    """
 
-        Args:
-            subject: what was taken over, such as ``Journal 'a~1'``; starts the message.
-            by: the incarnation that took it over.
-        """
+    def __init__(self, subject: str, by: str) -> None:
         super().__init__(
             f"{subject} was taken over by {by}, so this process may no longer write to it. "
             "No action is needed: the process gives up the role, and callers are redirected."
@@ -126,21 +123,18 @@
 
 
 class ConfigConflictError(CoordinationError):
-    """An edit is based on a revision that is no longer the newest of its object."""
+    """An edit is based on a revision that is not the newest of its object.
+
+    Attributes:
+        base: the revision that was edited.
+        current: the newest revision; 0 if the object never existed.
+        current_text: the text at the newest revision; empty if it is deleted or never existed.
+    """
 
     def __init__(self, kind: str, name: str, base: int, current: int, current_text: str) -> None:
-        """Creates the error.
-
-        Args:
-            kind: the object's kind, such as account.
-            name: the object's name.
-            base: the revision that was edited.
-            current: the newest revision.
-            current_text: the text at the newest revision; empty where it is deleted.
-        """
         super().__init__(
-            f"{kind} '{name}' was changed concurrently: the edit is based on revision {base}, "
-            f"the newest is {current}. Review the difference and apply the edit again."
+            f"{kind} '{name}': the edit is based on revision {base}, but the object is at revision "
+            f"{current} (0: it does not exist). Review the difference and apply the edit again."
         )
         self.base = base
         self.current = current
--- a/src/bayhinge/coordination/escrow.py
+++ b/src/bayhinge/coordination/escrow.py
@@ -104,7 +104,7 @@
         random_unit: Callable[[], float],
         grant_units: int = 20_000,
     ) -> None:
-        """Starts without grants.
+        """Holds no grants at first; :meth:`reserve` acquires them.
 
         Args:
             store: where the ledgers are kept.
--- a/src/bayhinge/coordination/lease.py
+++ b/src/bayhinge/coordination/lease.py
@@ -61,7 +61,7 @@
         random_unit: Callable[[], float],
         duration_s: float = 6.0,
     ) -> None:
-        """Starts without the lease.
+        """Prepares to acquire a lease; :meth:`step` acquires it.
 
         Args:
             store: where the lease is kept.
--- a/src/bayhinge/coordination/membership.py
+++ b/src/bayhinge/coordination/membership.py
@@ -45,7 +45,13 @@
 
 @attrs.frozen
 class HostInfo:
-    """A host as described by its heartbeat object."""
+    """A host as described by its heartbeat object.
+
+    Attributes:
+        incarnation: identifier of this run of the host's process.
+        applied_revision: the newest configuration revision that the host has applied.
+        load: the number of running calls.
+    """
 
     incarnation: str
     host: str
--- a/src/bayhinge/coordination/pacing.py
+++ b/src/bayhinge/coordination/pacing.py
@@ -5,19 +5,13 @@
 
 
 class WritePacer:
-    """A token bucket for writes.
+    """A token bucket for writes, initially full with ``burst`` tokens.
 
     An idle writer writes at once. Under load writes are spaced out, so that each group
     commit collects more records.
     """
 
     def __init__(self, writes_per_second: float, burst: int) -> None:
-        """Creates a full bucket.
-
-        Args:
-            writes_per_second: the sustained rate.
-            burst: how many writes may start back to back.
-        """
         self._burst = burst
         self._interval = 1.0 / writes_per_second
         self._next = float("-inf")
@@ -41,18 +35,14 @@
 
 
 class Backoff:
-    """Exponential backoff with a cap and jitter."""
+    """Exponential backoff from ``first_s`` to ``cap_s`` seconds, with jitter.
+
+    ``random_unit`` returns random numbers in [0, 1).
+    """
 
     def __init__(
         self, random_unit: Callable[[], float], first_s: float = 0.05, cap_s: float = 2.0
     ) -> None:
-        """Starts at the first delay.
-
-        Args:
-            random_unit: returns random numbers in [0, 1).
-            first_s: the first delay before jitter, in seconds.
-            cap_s: the longest delay in seconds.
-        """
         self._random_unit = random_unit
         self._first_s = first_s
         self._cap_s = cap_s
--- a/tests/functional/test_peer_link.py
+++ b/tests/functional/test_peer_link.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bayhinge._internal.exceptions import PeerFailureError, PeerUnreachableError
-from bayhinge._internal.models.refusals import RefusalCode, RefusedError, refuse_unaccepted
+from bayhinge._internal.models.refusals import RefusalCode, RefusedError, not_run_refusal
 from bayhinge._internal.network.peer_client import PeerClient
 from bayhinge._internal.network.peer_server import PeerServer
 from bayhinge._internal.network.peers import PeerHandler
@@ -27,7 +27,7 @@
 
     async def handle(self, method: str, payload: bytes) -> AsyncIterator[bytes]:
         if method == "refuse":
-            raise RefusedError(refuse_unaccepted(RefusalCode.OVERLOADED, "no"))
+            raise RefusedError(not_run_refusal(RefusalCode.OVERLOADED, "no"))
         self.opened += 1
         if self.opened == STREAMS:
             self.all_open.set()
