--- a/idl/hosts.thrift
+++ b/idl/hosts.thrift
@@ -4,8 +4,8 @@
 enum HostRole { ENTRY = 1, DISK = 2 }
 enum HostPhase { STARTING = 1, READY = 2, LEAVING = 3 }
 
-// A member of the disk set: its copies count towards write quorums. `generation` is a random number,
-// drawn when the disk's folder is empty.
+// A member of the disk set: its copies count towards write quorums. `generation` is a random
+// number, drawn when the disk's folder is empty.
 struct DiskMember {
   1: required string host,
   2: required i64 generation,
@@ -13,17 +13,18 @@
   4: required string hall,
 }
 
-// The member disks, over which write quorums are counted. Changed only by conditional writes to the object store.
-// `previous`: the members of the previous version.
+// The member disks, over which write quorums are counted. Changed only by conditional writes to the
+// object store. `previous`: the members of the previous version.
 struct DiskSet {
   1: required i64 version,
   2: required list<DiskMember> members,
   3: optional list<DiskMember> previous,
 }
 
-// A heartbeat, sent to other hosts a few times a second. `is_cut_off`: it reaches disks only through
-// relays; `requests_per_s`: the rate of requests that it receives. `endpoints_known_to`: the store's
-// revision up to which it knows the endpoints; figures of endpoints restarted later are ignored.
+// A heartbeat, sent to other hosts a few times a second. `is_cut_off`: it reaches disks only
+// through relays; `requests_per_s`: the rate of requests that it receives. `endpoints_known_to`:
+// the store's revision up to which it knows the endpoints; figures of endpoints restarted later are
+// ignored.
 struct Hello {
   1: required string host,
   2: required i64 incarnation,
@@ -71,8 +72,8 @@
   10: optional string account,
 }
 
-// A disk's answer to a reservation. Host and disk must know the same version of the disk set; a disk
-// accepts reservations of newly assigned programs only after it has caught up.
+// A disk's answer to a reservation. Host and disk must know the same version of the disk set; a
+// disk accepts reservations of newly assigned programs only after it has caught up.
 enum FenceVerdict { TAKEN = 1, HOST_IS_BEHIND = 2, DISK_IS_BEHIND = 3, NOT_YET = 4 }
 
 // `disk_set_version`: the version that the requesting host knows.
@@ -131,8 +132,9 @@
 struct RelayCall { 1: required string address, 2: required string method, 3: required binary payload }
 
 // One host's requests in flight at the endpoints of one hall. `beat` orders the messages of one
-// incarnation of the host; `last_grant`: the newest of the hall coordinator's grants that is counted
-// here. `resting`: ejected endpoints. `endpoints_known_to`, here and below: as in a heartbeat.
+// incarnation of the host; `last_grant`: the newest of the hall coordinator's grants that is
+// counted here. `resting`: ejected endpoints. `endpoints_known_to`, here and below: as in a
+// heartbeat.
 struct HostLoads {
   1: required string host,
   2: required i64 incarnation,
@@ -156,9 +158,9 @@
 // A datagram between entry hosts; exactly one field is set.
 struct LoadNews { 1: optional HostLoads host, 2: optional HallLoads hall }
 
-// Requests an endpoint from a hall coordinator. `wished`: the endpoint that has the request's history
-// in cache, or empty; `wished_born_ms`: its incarnation, if known. `avoid`: endpoints that the
-// requesting host will not send to. `kept_tokens`: prompt tokens in the cache of `wished`;
+// Requests an endpoint from a hall coordinator. `wished`: the endpoint that has the request's
+// history in cache, or empty; `wished_born_ms`: its incarnation, if known. `avoid`: endpoints that
+// the requesting host will not send to. `kept_tokens`: prompt tokens in the cache of `wished`;
 // `shared_tokens`: tokens of `shared_part`.
 struct PlaceCall {
   1: required HostLoads loads,
@@ -188,9 +190,9 @@
 // `age_ms`: the time since the query was sent, an upper bound of the proof's age.
 struct ProofReply { 1: optional i64 revision, 2: optional double age_ms }
 
-// Requests permission from a client account's quota coordinator to send one request. `rate_per_s` and
-// `burst`: the requesting host's limits, of configuration `version`. `begins_program`: the request is
-// a program's first turn. `unused`: requests granted recently that no endpoint has run.
+// Requests permission from a client account's quota coordinator to send one request. `rate_per_s`
+// and `burst`: the requesting host's limits, of configuration `version`. `begins_program`: the
+// request is a program's first turn. `unused`: requests granted recently that no endpoint has run.
 // `silent`: higher-ranked hosts that did not answer.
 struct QuotaCall {
   1: required string host,
--- a/src/bayhinge/_internal/models/settings.py
+++ b/src/bayhinge/_internal/models/settings.py
@@ -166,7 +166,13 @@
 
 @attrs.frozen
 class ConfigSettings:
-    """Section ``config``, in seconds."""
+    """Section ``config``, in seconds.
+
+    Attributes:
+        poll_seconds: interval at which the store is listed for configuration changes.
+        stale_after_seconds: the host stops confirming its configuration this long after the store
+            or a peer last confirmed it.
+    """
 
     poll_seconds: float = 3.0
     stale_after_seconds: float = 30.0
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -150,7 +150,7 @@
     "unused rights are given back": (
         Edit(
             "services/gateway/request_service.py",
-            "            if attempt.run_state is RunState.NOT_RUN:",
+            "            if send_record.run_state is RunState.NOT_RUN:",
             "            if False:",
         ),
     ),
