--- a/tests/functional/test_schedules.py
+++ b/tests/functional/test_schedules.py
@@ -53,7 +53,7 @@
     async def never_fenced(journal: Journal, key: str, nonce: str) -> bool:
         return True
 
-    monkeypatch.setattr(Journal, "_is_ours", never_fenced)
+    monkeypatch.setattr(Journal, "_is_own_batch", never_fenced)
     monkeypatch.setattr(Journal, "check_seal", lambda journal: _no_seal())
     assert find_broken(range(30)) != []
 
