--- a/src/bayhinge/_internal/cli/tool/config_commands.py
+++ b/src/bayhinge/_internal/cli/tool/config_commands.py
@@ -17,7 +17,7 @@
     Connection,
     print_json,
     print_table,
-    run,
+    run_with_api,
 )
 from bayhinge._internal.exceptions import ApiError
 from bayhinge._internal.models.accounts import ConfigKind, check_config_text
@@ -52,20 +52,20 @@
         """Lists all names with their newest revisions."""
         connection = connection or Connection()
 
-        async def work(api: Api) -> Any:
+        async def query(api: Api) -> Any:
             return await api.query("config", kind=self._kind)
 
-        print_table(connection, run(connection, work), ["name", "revision", "author"])
+        print_table(connection, run_with_api(connection, query), ["name", "revision", "author"])
 
     def get(self, name: str, *, connection: Connection | None = None) -> None:
         """Prints an object as INI, with its revision as a comment.
 
         Args:
             name: the object's name.
-            connection: which host to ask.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._find(api, name))
+        found = run_with_api(connection, lambda api: self._find(api, name))
         if connection.json:
             print_json(found)
             return
@@ -87,12 +87,12 @@
         Args:
             name: the object's name.
             values: the values to set.
-            wait: seconds to wait until every host has applied it.
-            author: who makes the change.
-            connection: which host to ask.
+            wait: seconds to wait until every live host has applied the revision.
+            author: who makes the change; by default the operating system's user.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._find(api, name))
+        found = run_with_api(connection, lambda api: self._find(api, name))
         text = set_values(found["text"], values)
         _print_diff(found["text"], text, "accepted", "yours")
         self.propose(connection, name, text, found["revision"], author, wait)
@@ -107,24 +107,24 @@
         author: str = "",
         connection: Connection | None = None,
     ) -> None:
-        """Applies a file; ``-`` reads standard input.
+        """Replaces an object's text by a file, as a new revision; creates a missing object.
 
         Args:
             name: the object's name.
-            file: the INI text.
-            base: the revision that was edited; by default the newest one is replaced.
-            wait: seconds to wait until every host has applied it.
-            author: who makes the change.
-            connection: which host to ask.
+            file: path of the INI text; ``-`` reads standard input.
+            base: the revision that was edited; without it, a concurrent edit is overwritten.
+            wait: seconds to wait until every live host has applied the revision.
+            author: who makes the change; by default the operating system's user.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
         text = sys.stdin.read() if str(file) == "-" else file.read_text(encoding="utf-8")
         findings = check_config_text(self._kind, text, str(file))
         if findings:
             _print_findings(str(finding) for finding in findings)
-            raise SystemExit(status_codes.EXIT_BAD_SETTINGS)
+            raise SystemExit(status_codes.EXIT_INVALID_INPUT)
         if base is None:
-            base = run(connection, lambda api: self._newest_revision(api, name))
+            base = run_with_api(connection, lambda api: self._newest_revision(api, name))
         self.propose(connection, name, text, base, author, wait)
 
     def diff(self, name: str, file: Path, *, connection: Connection | None = None) -> None:
@@ -133,10 +133,10 @@
         Args:
             name: the object's name.
             file: the INI text.
-            connection: which host to ask.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._find(api, name))
+        found = run_with_api(connection, lambda api: self._find(api, name))
         _print_diff(found["text"], file.read_text(encoding="utf-8"), "accepted", str(file))
 
     def history(self, name: str, *, connection: Connection | None = None) -> None:
@@ -144,10 +144,10 @@
 
         Args:
             name: the object's name.
-            connection: which host to ask.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._history(api, name))
+        found = run_with_api(connection, lambda api: self._history(api, name))
         rows = [
             {**item, "change": "deleted" if item["text"] is None else "written"} for item in found
         ]
@@ -167,12 +167,12 @@
         Args:
             name: the object's name.
             revision: the revision to restore.
-            wait: seconds to wait until every host has applied it.
-            author: who makes the change.
-            connection: which host to ask.
+            wait: seconds to wait until every live host has applied the revision.
+            author: who makes the change; by default the operating system's user.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._history(api, name))
+        found = run_with_api(connection, lambda api: self._history(api, name))
         texts = {item["revision"]: item["text"] for item in found}
         if texts.get(revision) is None:
             print(f"{name} has no text at revision {revision}", file=sys.stderr)
@@ -192,12 +192,12 @@
 
         Args:
             name: the object's name.
-            wait: seconds to wait until every host has applied it.
-            author: who makes the change.
-            connection: which host to ask.
+            wait: seconds to wait until every live host has applied the revision.
+            author: who makes the change; by default the operating system's user.
+            connection: the host to query, and how to print.
         """
         connection = connection or Connection()
-        found = run(connection, lambda api: self._find(api, name))
+        found = run_with_api(connection, lambda api: self._find(api, name))
         self.propose(connection, name, None, found["revision"], author, wait)
 
     async def _find(self, api: Api, name: str) -> Any:
@@ -225,12 +225,12 @@
     ) -> None:
         """Sends an edit, waits up to ``wait`` seconds for all hosts, and prints the result."""
 
-        async def work(api: Api) -> Any:
+        async def edit(api: Api) -> Any:
             return await self._send(api, name, text, base, author or getpass.getuser())
 
-        revision = run(connection, lambda api: _report_rejection(work(api), text))
+        revision = run_with_api(connection, lambda api: _report_rejection(edit(api), text))
         if wait:
-            missing = run(connection, lambda api: _wait_until_applied(api, revision, wait))
+            missing = run_with_api(connection, lambda api: _wait_until_applied(api, revision, wait))
             if missing:
                 _print_findings(missing)
                 raise SystemExit(status_codes.EXIT_FAILURE)
@@ -260,10 +260,10 @@
     return "\n".join(lines) + "\n"
 
 
-async def _report_rejection(work: Any, text: str | None) -> int:
+async def _report_rejection(edit: Any, text: str | None) -> int:
     """Awaits an edit; prints findings, or the diff after a conflict, before it raises."""
     try:
-        return int(await work)
+        return int(await edit)
     except ApiError as error:
         body = orjson.loads(error.body)
         if "findings" in body:
@@ -291,7 +291,7 @@
 
 def _missing_line(host: dict[str, Any], status: dict[str, Any] | None) -> str:
     if status is None:
-        return f"{host['host']}: does not answer"
+        return f"{host['host']}: no configuration status received"
     why = "" if status["vouches"] else "; no recent confirmation from the store or a peer"
     return f"{host['host']}: still at revision {status['revision']}{why}"
 
@@ -304,6 +304,7 @@
 
 
 def _print_findings(lines: Any) -> None:
+    """Prints lines to standard error: findings, or hosts that have not applied a revision."""
     for line in lines:
         print(line, file=sys.stderr)
 
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -10,12 +10,12 @@
 
 from bayhinge._internal import status_codes
 from bayhinge._internal.models.refusals import (
-    CallAttempt,
     Refusal,
     RefusalCode,
     RefusedError,
     RunState,
-    refuse_unaccepted,
+    SendRecord,
+    not_run_refusal,
 )
 from bayhinge._internal.models.routed_requests import RequestField, RoutedRequest
 from bayhinge._internal.models.routing import InvalidRoute, Route, RouteKind, RoutingTable
@@ -91,7 +91,7 @@
             request = self._calls.read_request(exchange.method, exchange.target, exchange.headers)
             if request is None:
                 raise RefusedError(
-                    refuse_unaccepted(RefusalCode.BAD_REQUEST, "the request has no attempt id")
+                    not_run_refusal(RefusalCode.BAD_REQUEST, "the request has no attempt id")
                 )
             table = await self._require_table(request, exchange)
             await self._serve(exchange, table, request)
@@ -113,7 +113,7 @@
         table = self._configuration.table
         if table is None:
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.CONFIG_UNKNOWN,
                     "no configuration has arrived yet",
                     retry_after_s=NO_CONFIGURATION_RETRY_S,
@@ -125,14 +125,14 @@
         route = table.find(request.host, request.path)
         if route is None:
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.UNKNOWN_PROGRAM,
                     f"no route leads to {request.host}{request.path}",
                 )
             )
         if isinstance(route, InvalidRoute):
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.CONFIG_UNKNOWN,
                     f"route '{route.name}' is unreadable: {route.why}",
                     retry_after_s=NO_CONFIGURATION_RETRY_S,
@@ -140,17 +140,17 @@
             )
         patience_s = min(request.patience_s or route.timeout_s, route.timeout_s)
         deadline_s = exchange.began_s + patience_s
-        attempt = CallAttempt()
+        send_record = SendRecord()
         try:
             async with asyncio.timeout_at(deadline_s):
                 request = await self._admission.admit(table, route, request)
                 _validate_head(route, request)
-                async with self._within_quota(route, request, attempt):
+                async with self._within_quota(route, request, send_record):
                     request = await self._read_body(exchange, table, request)
-                    await self._forward(exchange, table, route, request, attempt, deadline_s)
+                    await self._forward(exchange, table, route, request, send_record, deadline_s)
         except TimeoutError:
             raise RefusedError(
-                attempt.refuse(
+                send_record.refusal(
                     RefusalCode.PATIENCE_EXCEEDED,
                     f"no answer within {patience_s:.3f} s",
                     retry_after_s=RETRY_AFTER_S,
@@ -159,7 +159,7 @@
 
     @asynccontextmanager
     async def _within_quota(
-        self, route: Route, request: RoutedRequest, attempt: CallAttempt
+        self, route: Route, request: RoutedRequest, send_record: SendRecord
     ) -> AsyncIterator[None]:
         """Acquires a quota token of the account, and returns it if the request did not run."""
         account = request.account
@@ -170,7 +170,7 @@
         try:
             yield
         finally:
-            if attempt.run_state is RunState.NOT_RUN:
+            if send_record.run_state is RunState.NOT_RUN:
                 self._quotas.return_unused(account)
 
     async def _read_body(
@@ -181,7 +181,7 @@
         except BodyTooLongError:
             exchange.closes_connection()
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.TOO_LARGE,
                     f"the body is longer than {table.limits.body_bytes} bytes",
                 )
@@ -194,7 +194,7 @@
         table: RoutingTable,
         route: Route,
         request: RoutedRequest,
-        attempt: CallAttempt,
+        send_record: SendRecord,
         deadline_s: float,
     ) -> None:
         sync_deadline_s = initial_sync_deadline(exchange.began_s, request.patience_s)
@@ -203,7 +203,9 @@
         service = route.choose_service(self._random)
         delivery = self._delivery(exchange, table, route, service, request, turn)
         try:
-            await self._sender.send(service, route, request, turn, attempt, deadline_s, delivery)
+            await self._sender.send(
+                service, route, request, turn, send_record, deadline_s, delivery
+            )
         finally:
             if turn is not None and not delivery.is_recorded:
                 self._turn_recorder.settle(turn, delivery.tokens_delivered)
@@ -311,4 +313,4 @@
         # The recorded turn would lack the events that the caller has from an earlier attempt.
         findings.append("a retained turn can't be resumed by its caller; send it again in full")
     if findings:
-        raise RefusedError(refuse_unaccepted(RefusalCode.BAD_REQUEST, "; ".join(findings)))
+        raise RefusedError(not_run_refusal(RefusalCode.BAD_REQUEST, "; ".join(findings)))
--- a/src/bayhinge/_internal/services/gateway/turn_histories.py
+++ b/src/bayhinge/_internal/services/gateway/turn_histories.py
@@ -5,7 +5,7 @@
     Figure,
     RefusalCode,
     RefusedError,
-    refuse_unaccepted,
+    not_run_refusal,
 )
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.services import methods
@@ -47,7 +47,7 @@
             self._directory.replicas(turn.context.program)[1:],
             self._directory.nearest_first(),
         ):
-            async for _, reply in self._disk_client.ask(
+            async for _, reply in self._disk_client.call_all(
                 disks, methods.RESERVE, message, wire.ReserveReply
             ):
                 if reply.missing is None and reply.chain is not None:
@@ -80,7 +80,7 @@
         newest = version
         try:
             async with stall_tolerant_timeout(DISK_ANSWER_S):
-                async for _, reply in self._disk_client.ask(
+                async for _, reply in self._disk_client.call_all(
                     members, methods.ENTRIES, message, wire.EntriesReply
                 ):
                     answered += 1
@@ -93,7 +93,7 @@
         # The turn certainly does not exist only if all disks say so, and none knows a newer set.
         if is_first and members and answered == len(members) and newest == version:
             raise RefusedError(
-                refuse_unaccepted(
+                not_run_refusal(
                     RefusalCode.NOT_RECORDED,
                     f"there is no turn '{attempt}'",
                     Figure("disks_asked", answered),
@@ -112,14 +112,14 @@
         return
     if owner is None:
         raise RefusedError(
-            refuse_unaccepted(
+            not_run_refusal(
                 RefusalCode.STORE_UNAVAILABLE,
                 f"turn '{turn.context.previous}' was recorded without its account",
                 retry_after_s=RETRY_AFTER_S,
             )
         )
     raise RefusedError(
-        refuse_unaccepted(RefusalCode.NOT_RECORDED, f"there is no turn '{turn.context.previous}'")
+        not_run_refusal(RefusalCode.NOT_RECORDED, f"there is no turn '{turn.context.previous}'")
     )
 
 
--- a/src/bayhinge/_internal/services/gateway/turn_recorder.py
+++ b/src/bayhinge/_internal/services/gateway/turn_recorder.py
@@ -30,10 +30,12 @@
 
 
 class TurnRecorder(DiskClient):
-    """Opens and closes turns for one entry host."""
+    """Opens and closes turns for one entry host.
+
+    ``tolerated`` is the number of disks that may be lost at once.
+    """
 
     def __init__(self, directory: DiskDirectory, link: DiskLink, tolerated: int) -> None:
-        """Takes ``tolerated``, the number of disks that may be lost at once."""
         super().__init__(directory, link)
         self._tolerated = tolerated
         self._reservations = TurnReservations(self, directory, tolerated)
@@ -96,7 +98,9 @@
                 else self._directory.replicas(turn.context.program)
             )
             disks = [disk for disk in disks if disk.host not in generation_by_host]
-            async for disk, reply in self.ask(disks, methods.APPEND, message, wire.AppendReply):
+            async for disk, reply in self.call_all(
+                disks, methods.APPEND, message, wire.AppendReply
+            ):
                 generation_by_host[disk.host] = reply.generation
                 if len(set(generation_by_host.values())) >= copies_needed(self._tolerated):
                     return
--- a/src/bayhinge/_internal/services/prefix_follower.py
+++ b/src/bayhinge/_internal/services/prefix_follower.py
@@ -4,9 +4,9 @@
 are served, so a host also observes the revisions that its peers have seen, and fetches the
 objects from a peer if its own watch falls behind.
 
-The store never answers calls that were sent before or during an outage, even after it returns. So
-a failing store is polled with calls that do not wait, and a watch is renewed as soon as any call of
-the process succeeds. If no call failed during an outage, the revision in another watch's answer
+The store never answers calls that were sent before or during an outage, even after its recovery.
+So a failing store is polled with calls that do not wait, and a watch is renewed as soon as any call
+of the process succeeds. If no call failed during an outage, the revision in another watch's answer
 shows that this one is outdated; then it is renewed too.
 """
 
@@ -30,11 +30,11 @@
 from bayhinge.coordination.store import Change, PollingStore, StoredObject, list_all
 
 RETRY_S = 0.5
-"""Mean pause, with 50 % jitter, after a repeated failure of the store. After the first failure
+"""Mean pause, with 50 % jitter, after the second and later failures in a row. After the first one
 there is none: a watch that timed out shows nothing about the store's present state."""
 
-MAX_RETURN_WAIT_S = 5.0
-"""Longest wait of a follower for the store's return while another one of the process polls it."""
+MAX_RECOVERY_WAIT_S = 5.0
+"""Longest wait of a follower for the store's recovery while another one of the process polls it."""
 
 MIN_PAUSE_S = 0.2
 MAX_PAUSE_S = 0.8
@@ -48,7 +48,7 @@
 """The same for a host without a watch or without any state; changes that come together need only
 one fetch."""
 
-DUTY_CHECK_S = 0.6
+WATCHER_CHECK_S = 0.6
 """How often a host without a watch checks whether it should watch."""
 
 RENEW_AFTER_S = 2.0
@@ -56,7 +56,7 @@
 advanced. Younger ones are not: with frequent changes, each would renew every other watch."""
 
 AFTER_OUTAGE_S = 2.0
-"""For so long after the store's return, removed entries may have expired during the outage."""
+"""For so long after the store's recovery, removed entries may have expired during the outage."""
 
 FIRST_LIST_DELAY_S = (0.5, 2.5)
 """Range of the random delay before a host lists the objects at the first start of a site, unless a
@@ -69,7 +69,7 @@
 class ObjectListener(ABC):
     """Receives the objects and their changes.
 
-    ``is_after_outage`` is true shortly after the store's return: entries that others must renew
+    ``is_after_outage`` is true shortly after the store's recovery: entries that others must renew
     may have expired during the outage, and will soon be written again.
     """
 
@@ -84,52 +84,70 @@
 
 @attrs.define
 class StoreHealth:
-    """Since when the store has failed, on the loop's clock in seconds; None while it answers."""
+    """Since when this follower's calls have failed, on the loop's clock; None while they succeed.
+
+    :class:`StoreAvailability` covers the calls of all clients of the process.
+    """
 
     failing_since_s: float | None = None
 
 
 class PrefixFollower:
-    """Keeps a copy of the objects under one prefix up to date."""
+    """Keeps a copy of the objects under one prefix up to date.
+
+    Attributes:
+        prefix: the objects' prefix, which ends in a slash.
+        revision: the store's revision of the newest known change under the prefix.
+        complete_to: the store's revision up to which no change is missing; 0 without any state.
+        value_by_key: the known objects.
+        health: since when the calls have failed.
+        last_refresh_s: when a watch was answered or the whole state was replaced, on the loop's
+            clock.
+        first_list_delay_s: how long :meth:`run` waits for a peer's objects before the first list.
+        should_watch: returns whether this host should watch the prefix; other hosts rely on peers.
+        on_change: called after each single change, not when the whole state is replaced.
+    """
 
     def __init__(
         self,
         store: PollingStore,
         prefix: str,
-        watch_timeout_s: Callable[[], float],
+        next_watch_timeout_s: Callable[[], float],
         listener: ObjectListener,
         peers: Peers,
     ) -> None:
-        """Creates a follower; :meth:`run` starts it.
+        """Registers with the store's availability; :meth:`run` starts the follower.
 
         Args:
             store: the store to follow.
-            prefix: the objects' prefix.
-            watch_timeout_s: returns how long a watch that starts now should wait for changes.
+            prefix: the objects' prefix, which ends in a slash.
+            next_watch_timeout_s: returns how many seconds a watch that starts now should wait.
             listener: receives the objects and their changes.
             peers: the connections to other hosts.
         """
         self._store = store
         self.prefix = prefix
-        self._watch_timeout_s = watch_timeout_s
+        self._next_watch_timeout_s = next_watch_timeout_s
         self._listener = listener
         self._peers = peers
+        # Revision after which the next watch starts; 0: the objects must be listed first.
         self._cursor = 0
         self._poll_pause_s = 0.0
         self._poll: asyncio.Task[None] | None = None
         self._is_fetching = False
         self._is_stopped = False
         self._call_started_s: float | None = None
-        self._call_known_revision = 0
-        self._is_watching: bool | None = None
-        self._reported_return_s = -math.inf
+        self._store_revision_at_call = 0
+        # Last result of should_watch(); None before the first one.
+        self._was_watching: bool | None = None
+        self._peer_reported_recovery_s = -math.inf
         self.revision = 0
         self.complete_to = 0
         self.value_by_key: dict[str, bytes] = {}
         self.health = StoreHealth()
         self.first_list_delay_s = 0.0
         self._has_state = asyncio.Event()
-        self.last_answer_s = 0.0
+        self.last_refresh_s = 0.0
         self.should_watch: Callable[[], bool] = lambda: True
         self.on_change: Callable[[], None] = lambda: None
         store.availability.on_recovery.append(self._renew)
@@ -142,8 +160,8 @@
             try:
                 if self._cursor == 0:
                     await self._list()
-                if not self._check_duty():
-                    await asyncio.sleep(DUTY_CHECK_S)
+                if not self._check_should_watch():
+                    await asyncio.sleep(WATCHER_CHECK_S)
                     continue
                 self._poll = asyncio.ensure_future(self._poll_once())
                 await asyncio.wait([self._poll])
@@ -172,10 +190,13 @@
         if availability.may_probe(self):
             await asyncio.sleep(RETRY_S * random.uniform(0.5, 1.5))
         else:
-            await availability.wait_for_recovery(MAX_RETURN_WAIT_S)
+            await availability.wait_for_recovery(MAX_RECOVERY_WAIT_S)
 
     def stop(self) -> None:
-        """Cancels the pending call; failures after this are not recorded."""
+        """Cancels a pending watch, and ends :meth:`run` after a pending list.
+
+        Failures after this are not recorded.
+        """
         self._is_stopped = True
         if self._poll is not None:
             self._poll.cancel()
@@ -187,7 +208,7 @@
 
     @property
     def known_revision(self) -> int:
-        """The store's revision up to which this host knows the objects."""
+        """The newest revision that the known state includes; older changes may be missing."""
         return max(self.revision, self.complete_to)
 
     def snapshot(self) -> KnownObjects:
@@ -217,7 +238,7 @@
         return asyncio.get_running_loop().time() - self._call_started_s
 
     def _renew(self) -> None:
-        """Cancels the pending call, so that :meth:`run` sends a new one."""
+        """Cancels a pending watch, so that :meth:`run` sends a new one; a list call continues."""
         poll = self._poll
         if (
             poll is None
@@ -234,28 +255,35 @@
         poll.cancel()
 
     def _renew_if_outdated(self, has_changes: bool) -> None:
-        """Renews the pending call if the store has advanced since it was sent."""
+        """Renews a pending watch if the store has advanced since it was sent."""
         least_s = RENEW_AFTER_S if has_changes else 0.0
-        is_behind = self._call_known_revision < self._store.availability.revision
+        is_behind = self._store_revision_at_call < self._store.availability.revision
         if is_behind and self.waiting_s() >= least_s:
             self._renew()
 
     def _is_after_outage(self) -> bool:
-        recovered_s = max(self._reported_return_s, self._store.availability.recovered_s)
+        recovered_s = max(self._peer_reported_recovery_s, self._store.availability.recovered_s)
         return asyncio.get_running_loop().time() - recovered_s <= AFTER_OUTAGE_S
 
-    def _check_duty(self) -> bool:
+    def _check_should_watch(self) -> bool:
         """Returns whether this host should watch, and logs when that changes."""
-        has_duty = self.should_watch()
-        if has_duty is not self._is_watching:
-            self._is_watching = has_duty
-            eliot.log_message("store.watcher", prefix=self.prefix, is_watching=has_duty)
-        return has_duty
+        should_watch = self.should_watch()
+        if should_watch is not self._was_watching:
+            self._was_watching = should_watch
+            eliot.log_message("store.watcher", prefix=self.prefix, is_watching=should_watch)
+        return should_watch
 
     def _is_behind(self, revision: int) -> bool:
         return revision > self.known_revision
 
     async def _list(self) -> None:
+        """Lists the objects, sets the cursor, and replaces the state.
+
+        The result is discarded if a peer has sent a newer state meanwhile.
+
+        Raises:
+            StoreError: the store did not answer or rejected a call.
+        """
         self._call_started_s = asyncio.get_running_loop().time()
         complete_before = self.complete_to
         listing = await list_all(self._store, self.prefix)
@@ -265,10 +293,12 @@
             self._cursor = self.complete_to
             return
         self._cursor = listing.revision
-        newest = max((stored.version for stored in listing.objects), default=0)
+        last_change_revision = max((stored.version for stored in listing.objects), default=0)
         value_by_key = {stored.key: stored.value for stored in listing.objects}
         self._replace_state(
-            KnownObjects(newest, value_by_key, listing.revision, self._is_after_outage())
+            KnownObjects(
+                last_change_revision, value_by_key, listing.revision, self._is_after_outage()
+            )
         )
 
     async def _poll_once(self) -> None:
@@ -276,12 +306,12 @@
         if not is_probe:
             await asyncio.sleep(self._poll_pause_s)
         self._call_started_s = asyncio.get_running_loop().time()
-        self._call_known_revision = self._store.availability.revision
-        wait_s = 0.0 if is_probe else self._watch_timeout_s()
+        self._store_revision_at_call = self._store.availability.revision
+        wait_s = 0.0 if is_probe else self._next_watch_timeout_s()
         page = await self._store.poll(self.prefix, self._cursor, wait_s)
         self._record_success()
         self._store.availability.record_watch_answer(page.revision, has_changes=bool(page.changes))
-        self.last_answer_s = asyncio.get_running_loop().time()
+        self.last_refresh_s = asyncio.get_running_loop().time()
         doubled_s = min(MAX_PAUSE_S, max(MIN_PAUSE_S, 2 * self._poll_pause_s))
         self._poll_pause_s = doubled_s if page.changes else 0.0
         self._cursor = max(self._cursor, page.revision)
@@ -304,12 +334,13 @@
         self.revision = max(self.revision, state.revision)
         self.complete_to = max(self.complete_to, state.complete_to)
         self.value_by_key = dict(state.value_by_key)
-        self.last_answer_s = asyncio.get_running_loop().time()
+        self.last_refresh_s = asyncio.get_running_loop().time()
         self._has_state.set()
         if state.is_after_outage:
-            # Passed on to peers that fetch from here, but for half the time, so that it dies out.
-            self._reported_return_s = max(
-                self._reported_return_s, self.last_answer_s - AFTER_OUTAGE_S / 2
+            # Reported to peers for half of AFTER_OUTAGE_S only, so that hosts do not keep
+            # reporting the recovery to each other.
+            self._peer_reported_recovery_s = max(
+                self._peer_reported_recovery_s, self.last_refresh_s - AFTER_OUTAGE_S / 2
             )
         self._listener.replace_all(self.value_by_key, bool(state.is_after_outage))
 
--- a/tests/functional/test_daemon.py
+++ b/tests/functional/test_daemon.py
@@ -133,7 +133,7 @@
         text=True,
         check=False,
     )
-    assert result.returncode == status_codes.EXIT_BAD_SETTINGS
+    assert result.returncode == status_codes.EXIT_INVALID_INPUT
     assert f"{path}:2 [host] name: 'Entry One' is not a valid name" in result.stderr
     assert f"{path}:4 [store] url: 'nowhere' is not an HTTP URL" in result.stderr
     assert "section is missing" in result.stderr
--- a/tests/functional/test_leftover_answers.py
+++ b/tests/functional/test_leftover_answers.py
@@ -7,7 +7,7 @@
 
 from bayhinge._internal.decisions.endpoint_book import EndpointTable
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
-from bayhinge._internal.models.refusals import CallAttempt, RefusedError, RunState
+from bayhinge._internal.models.refusals import RefusedError, RunState, SendRecord
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform.call_format import PlatformCallFormat
@@ -71,7 +71,7 @@
             headers = ((b"Host", b"h"), (b"Bayhinge-Attempt-Id", name.encode()))
             request = attrs.evolve(REQUEST, attempt=name, headers=headers)
             await sender.send(
-                "app", AT_MOST_ONCE_ROUTE, request, None, CallAttempt(), limit_s, BodyCollector()
+                "app", AT_MOST_ONCE_ROUTE, request, None, SendRecord(), limit_s, BodyCollector()
             )
         connection_pool.close()
         server.close()
@@ -104,7 +104,7 @@
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
         route = attrs.evolve(ROUTE, max_endpoints=3)
         with pytest.raises(RefusedError) as refused:
-            await sender.send("llm", route, request, None, CallAttempt(), limit_s, delivery)
+            await sender.send("llm", route, request, None, SendRecord(), limit_s, delivery)
         assert refused.value.refusal.run_state is RunState.MAY_HAVE_RUN
         connection_pool.close()
         server.close()
--- a/tests/functional/test_platform_programs.py
+++ b/tests/functional/test_platform_programs.py
@@ -37,7 +37,7 @@
     path = tmp_path / "local.toml"
     path.write_text('node_name = "e"\nport_range = [1]\n')
     result = run_program("entry", settings=path)
-    assert result.returncode == status_codes.EXIT_BAD_SETTINGS
+    assert result.returncode == status_codes.EXIT_INVALID_INPUT
     assert "local.toml port_range" in result.stderr
     assert "local.toml [platform] address: the field is missing" in result.stderr
     assert "Traceback" not in result.stderr
--- a/tests/functional/test_sending.py
+++ b/tests/functional/test_sending.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.decisions.endpoint_book import EndpointTable, EntryChange
 from bayhinge._internal.decisions.endpoint_starts import NewIncarnation
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
-from bayhinge._internal.models.refusals import CallAttempt, RefusedError, RunState
+from bayhinge._internal.models.refusals import RefusedError, RunState, SendRecord
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind, ServiceShare
 from bayhinge._internal.network.endpoint_answer import Answer
@@ -51,16 +51,16 @@
 
 def send(
     wire: Wire, times: int = 1
-) -> tuple[BodyCollector, CallAttempt, EndpointConnectionPool, RefusedError | None]:
+) -> tuple[BodyCollector, SendRecord, EndpointConnectionPool, RefusedError | None]:
     async def main() -> tuple[
-        BodyCollector, CallAttempt, EndpointConnectionPool, RefusedError | None
+        BodyCollector, SendRecord, EndpointConnectionPool, RefusedError | None
     ]:
         server = await asyncio.start_server(wire, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         endpoint_table, connection_pool = EndpointTable("north"), EndpointConnectionPool()
         endpoint_table.put(EndpointEntry("e-1", "app", f"127.0.0.1:{port}", "north", 4, False))
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat())
-        delivery, attempt, refused = BodyCollector(), CallAttempt(), None
+        delivery, attempt, refused = BodyCollector(), SendRecord(), None
         limit_s = asyncio.get_running_loop().time() + 2
         for _ in range(times):
             refused = None
@@ -148,7 +148,7 @@
 
         return serve
 
-    async def main() -> tuple[BodyCollector, CallAttempt]:
+    async def main() -> tuple[BodyCollector, SendRecord]:
         servers = [
             await asyncio.start_server(wire(name), "127.0.0.1", 0) for name in ("left", "new")
         ]
@@ -160,7 +160,7 @@
         )
         endpoint_table.put(EndpointEntry("e-1", "app", addresses[0], "north", 4, False, 1_000))
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat(), runs=runs)
-        delivery, attempt = BodyCollector(), CallAttempt()
+        delivery, attempt = BodyCollector(), SendRecord()
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
             sender.send("app", ROUTE, REQUEST, None, attempt, limit_s, delivery)
@@ -213,7 +213,7 @@
         sender = RequestSender(endpoint_table, connection_pool, PlatformCallFormat(), runs=runs)
         limit_s = asyncio.get_running_loop().time() + 2
         sending = asyncio.create_task(
-            sender.send("app", route, REQUEST, None, CallAttempt(), limit_s, BodyCollector())
+            sender.send("app", route, REQUEST, None, SendRecord(), limit_s, BodyCollector())
         )
         await is_asked.wait()
         endpoint_table.put(EndpointEntry("e-1", "app", address, "north", 4, False, 2_000))
