--- a/src/bayhinge/_internal/bench/decisions/placing.py
+++ b/src/bayhinge/_internal/bench/decisions/placing.py
@@ -12,7 +12,7 @@
 
 import attrs
 
-from bayhinge._internal.decisions.endpoint_book import (
+from bayhinge._internal.decisions.endpoint_table import (
     EndpointState,
     EndpointTable,
     PlacementPreference,
--- a/src/bayhinge/_internal/network/endpoint_connections.py
+++ b/src/bayhinge/_internal/network/endpoint_connections.py
@@ -14,7 +14,7 @@
 from aiohttp.http_parser import HttpResponseParser
 from aiohttp.streams import StreamReader
 
-from bayhinge._internal.decisions.endpoint_starts import (
+from bayhinge._internal.decisions.endpoint_incarnations import (
     ConnectionTimes,
     NewIncarnation,
     belongs_to,
@@ -26,8 +26,8 @@
     IncompleteAnswerError,
     SilentEndpointError,
 )
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
 from bayhinge._internal.utils.silence import set_tcp_timeouts
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 
 READ_BUFFER_BYTES = 65_536
 """Buffer size of a body; beyond it reading from the endpoint is paused."""
--- a/src/bayhinge/_internal/network/peer_client.py
+++ b/src/bayhinge/_internal/network/peer_client.py
@@ -9,7 +9,7 @@
 from bayhinge._internal.network.addresses import split_address
 from bayhinge._internal.network.peer_link import PeerLink
 from bayhinge._internal.network.peers import Peers
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.frames.ttypes import Frame, FrameKind
 from bayhinge.coordination.clock import HybridClock
 
--- a/src/bayhinge/_internal/platform/objects_api.py
+++ b/src/bayhinge/_internal/platform/objects_api.py
@@ -35,7 +35,7 @@
     PollingStore,
     StoredObject,
 )
-from bayhinge.coordination.store_contact import StoreAvailability
+from bayhinge.coordination.store_availability import StoreAvailability
 
 CALL_TIMEOUT_S = 1.0
 """Timeout of one call; a healthy store answers within milliseconds."""
--- a/src/bayhinge/_internal/services/disks/disk_state.py
+++ b/src/bayhinge/_internal/services/disks/disk_state.py
@@ -21,7 +21,7 @@
 from bayhinge._internal.services.disks.turn_log import TurnLog
 from bayhinge._internal.services.gossip import Gossip
 from bayhinge._internal.utils.durable_files import replace_synced
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 DISK_SET_FILE = "disk-set"
--- a/src/bayhinge/_internal/services/gateway/runs_under_way.py
+++ b/src/bayhinge/_internal/services/gateway/active_runs.py
@@ -2,8 +2,8 @@
 
 import attrs
 
-from bayhinge._internal.decisions.endpoint_book import EndpointState
-from bayhinge._internal.decisions.endpoint_starts import NewIncarnation, is_stale
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation, is_stale
+from bayhinge._internal.decisions.endpoint_table import EndpointState
 from bayhinge._internal.network.endpoint_connections import EndpointConnection
 
 ENDED_REASON = "the endpoint has restarted"
--- a/src/bayhinge/_internal/services/gateway/buffered_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/buffered_delivery.py
@@ -1,7 +1,7 @@
 """Delivers answers that are buffered whole before they are sent."""
 
 from bayhinge._internal import status_codes
-from bayhinge._internal.decisions.answer_bounds import AnswerTimeouts
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
 from bayhinge._internal.models.routed_requests import AnswerMetadata
 from bayhinge._internal.network.endpoint_answer import Answer, IncompleteAnswerError
 from bayhinge._internal.network.routed_front import Exchange
--- a/src/bayhinge/_internal/services/gateway/configuration_proofs.py
+++ b/src/bayhinge/_internal/services/gateway/configuration_proofs.py
@@ -14,7 +14,7 @@
 import attrs
 import eliot
 
-from bayhinge._internal.decisions.proof_age import (
+from bayhinge._internal.decisions.freshness_proofs import (
     FreshnessProof,
     FreshnessProofs,
     ProofBounds,
@@ -28,7 +28,7 @@
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gossip import Gossip
 from bayhinge._internal.services.prefix_follower import PrefixFollower
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.errors import StoreError
 from bayhinge.coordination.store import PollingStore
--- a/src/bayhinge/_internal/services/gateway/delivery.py
+++ b/src/bayhinge/_internal/services/gateway/delivery.py
@@ -3,11 +3,11 @@
 from abc import ABC, abstractmethod
 
 from bayhinge._internal import status_codes
-from bayhinge._internal.decisions.answer_bounds import AnswerTimeouts
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
 from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.models.routed_requests import AnswerMetadata
 from bayhinge._internal.network.endpoint_answer import Answer
-from bayhinge._internal.services.gateway.runs_under_way import ActiveRun
+from bayhinge._internal.services.gateway.active_runs import ActiveRun
 
 
 class Delivery(ABC):
--- a/src/bayhinge/_internal/services/gateway/disk_directory.py
+++ b/src/bayhinge/_internal/services/gateway/disk_directory.py
@@ -8,7 +8,7 @@
 import eliot
 
 from bayhinge._internal.decisions.disk_placement import replicas_of
-from bayhinge._internal.decisions.disk_reach import DiskReachability
+from bayhinge._internal.decisions.disk_reachability import DiskReachability
 from bayhinge._internal.exceptions import FrameError, PeerFailureError, PeerUnreachableError
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.frames import decode_message
@@ -16,7 +16,7 @@
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.disk_sets import read_disk_set
 from bayhinge._internal.services.gateway.initial_sync import InitialSync
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts.ttypes import DiskMember, DiskSet, Hello
 from bayhinge.coordination.errors import StoreError
 from bayhinge.coordination.store import ObjectStore
--- a/src/bayhinge/_internal/services/gateway/disk_link.py
+++ b/src/bayhinge/_internal/services/gateway/disk_link.py
@@ -16,7 +16,7 @@
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gossip import Gossip
-from bayhinge._internal.utils.running_time import StallTolerantDeadline
+from bayhinge._internal.utils.stall_tolerant_timeouts import StallTolerantDeadline
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 ANSWER_S = 1.2
--- a/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
+++ b/src/bayhinge/_internal/services/gateway/endpoint_restarts.py
@@ -10,11 +10,11 @@
 
 import eliot
 
-from bayhinge._internal.decisions.endpoint_book import EndpointState, EndpointTable
-from bayhinge._internal.decisions.endpoint_starts import NewIncarnation, began_s
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation, began_s
+from bayhinge._internal.decisions.endpoint_table import EndpointState, EndpointTable
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
-from bayhinge._internal.services.gateway.runs_under_way import ActiveRuns
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 
 
 class EndpointRestarts:
--- a/src/bayhinge/_internal/services/gateway/gateway.py
+++ b/src/bayhinge/_internal/services/gateway/gateway.py
@@ -13,8 +13,8 @@
     addresses_for,
     hosts_to_advertise,
 )
-from bayhinge._internal.decisions.endpoint_book import EndpointTable
-from bayhinge._internal.decisions.proof_age import proof_bounds
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
+from bayhinge._internal.decisions.freshness_proofs import proof_bounds
 from bayhinge._internal.decisions.quota_bucket import QuotaMargin
 from bayhinge._internal.decisions.request_rate import RequestRate
 from bayhinge._internal.decisions.watchers import (
@@ -27,20 +27,20 @@
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.routed_front import RoutedFront
 from bayhinge._internal.network.tcp_peers import TcpPeerNetwork
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.admission import Admission
 from bayhinge._internal.services.gateway.configuration_proofs import ConfigurationProofs
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.disk_link import DiskLink
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.hall_homes import HallCoordinators
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange, sum_loads
 from bayhinge._internal.services.gateway.peer_requests import PeerRequestHandler
 from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
 from bayhinge._internal.services.gateway.platform_interface import Platform
 from bayhinge._internal.services.gateway.quotas import Quotas
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 from bayhinge._internal.services.gateway.request_service import RequestService
-from bayhinge._internal.services.gateway.runs_under_way import ActiveRuns
-from bayhinge._internal.services.gateway.sending import RequestSender
 from bayhinge._internal.services.gateway.store_listeners import (
     ConfigurationState,
     EndpointTableUpdater,
--- a/src/bayhinge/_internal/services/gateway/load_exchange.py
+++ b/src/bayhinge/_internal/services/gateway/load_exchange.py
@@ -8,14 +8,14 @@
 
 from mode import Service
 
-from bayhinge._internal.decisions.endpoint_book import EndpointState, EndpointTable
+from bayhinge._internal.decisions.endpoint_table import EndpointState, EndpointTable
 from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
 from bayhinge._internal.decisions.load_table import HostLoadReport, LoadTable
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.network.addresses import split_address
 from bayhinge._internal.network.datagrams import DatagramReceiver
 from bayhinge._internal.network.frames import decode_message, encode_message
-from bayhinge._internal.services.gateway.hall_homes import HallCoordinators
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.keep_running import keep_running
 from bayhinge._internal.wire.hosts import ttypes as wire
 
--- a/src/bayhinge/_internal/services/gateway/placement.py
+++ b/src/bayhinge/_internal/services/gateway/placement.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from bayhinge._internal.decisions.endpoint_book import (
+from bayhinge._internal.decisions.endpoint_table import (
     EndpointState,
     EndpointTable,
     PlacementPreference,
@@ -21,9 +21,9 @@
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.services import methods
-from bayhinge._internal.services.gateway.hall_homes import HallCoordinator, HallCoordinators
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinator, HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 ANSWER_S = 0.04
--- a/src/bayhinge/_internal/services/gateway/placement_preferences.py
+++ b/src/bayhinge/_internal/services/gateway/placement_preferences.py
@@ -1,6 +1,6 @@
 """Derives a request's placement preference."""
 
-from bayhinge._internal.decisions.endpoint_book import PlacementPreference
+from bayhinge._internal.decisions.endpoint_table import PlacementPreference
 from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
--- a/src/bayhinge/_internal/services/gateway/quotas.py
+++ b/src/bayhinge/_internal/services/gateway/quotas.py
@@ -26,7 +26,7 @@
 from bayhinge._internal.services import methods
 from bayhinge._internal.services.gateway.suspect_hosts import SuspectHosts
 from bayhinge._internal.services.gossip import Gossip
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.rendezvous import choose
 
--- a/src/bayhinge/_internal/services/gateway/sending.py
+++ b/src/bayhinge/_internal/services/gateway/request_sender.py
@@ -6,13 +6,13 @@
 import attrs
 import eliot
 
-from bayhinge._internal.decisions.answer_bounds import (
+from bayhinge._internal.decisions.answer_timeouts import (
     MAX_SILENCE_PERIODS,
     AnswerTimeouts,
     answer_timeouts_for,
     smoothed_answer_s,
 )
-from bayhinge._internal.decisions.endpoint_book import EndpointTable, PlacementPreference
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
 from bayhinge._internal.models.refusals import Refusal, RefusalCode, RefusedError, SendRecord
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind
@@ -26,18 +26,18 @@
     EndpointConnection,
     EndpointConnectionPool,
 )
+from bayhinge._internal.services.gateway.active_runs import (
+    ENDED_REASON,
+    ActiveRun,
+    ActiveRuns,
+)
 from bayhinge._internal.services.gateway.admission import AdmissionRevokedError
 from bayhinge._internal.services.gateway.delivery import Delivery
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.placement import LocalPlacer, Placer
 from bayhinge._internal.services.gateway.placement_preferences import preference_of
 from bayhinge._internal.services.gateway.platform_interface import CallFormat
-from bayhinge._internal.services.gateway.runs_under_way import (
-    ENDED_REASON,
-    ActiveRun,
-    ActiveRuns,
-)
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 
 MAX_REJECTED_SENDS = 4
 """Maximum sends of a request that endpoints reject; each costs a round trip."""
--- a/src/bayhinge/_internal/services/gateway/request_service.py
+++ b/src/bayhinge/_internal/services/gateway/request_service.py
@@ -27,7 +27,7 @@
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.platform_interface import CallFormat
 from bayhinge._internal.services.gateway.quotas import Quotas
-from bayhinge._internal.services.gateway.sending import RETRY_AFTER_S, RequestSender
+from bayhinge._internal.services.gateway.request_sender import RETRY_AFTER_S, RequestSender
 from bayhinge._internal.services.gateway.store_listeners import ConfigurationState
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
 from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
--- a/src/bayhinge/_internal/services/gateway/store_listeners.py
+++ b/src/bayhinge/_internal/services/gateway/store_listeners.py
@@ -5,7 +5,7 @@
 
 import eliot
 
-from bayhinge._internal.decisions.endpoint_book import EndpointTable, EntryChange
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, EntryChange
 from bayhinge._internal.exceptions import UnreadableObjectError
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.routing import RoutingTable
--- a/src/bayhinge/_internal/services/gateway/stream_delivery.py
+++ b/src/bayhinge/_internal/services/gateway/stream_delivery.py
@@ -7,7 +7,7 @@
 from collections.abc import AsyncIterator
 
 from bayhinge._internal import status_codes
-from bayhinge._internal.decisions.answer_bounds import AnswerTimeouts
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
 from bayhinge._internal.models.routing import Route
 from bayhinge._internal.network.endpoint_answer import (
@@ -22,7 +22,7 @@
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.platform_interface import CallFormat
 from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 
 
 class StreamDelivery(Delivery):
--- a/src/bayhinge/_internal/services/gateway/turn_histories.py
+++ b/src/bayhinge/_internal/services/gateway/turn_histories.py
@@ -17,7 +17,7 @@
     RETRY_AFTER_S,
     too_few_disks,
 )
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 
--- a/src/bayhinge/_internal/services/gateway/turn_reservations.py
+++ b/src/bayhinge/_internal/services/gateway/turn_reservations.py
@@ -17,7 +17,7 @@
 from bayhinge._internal.services.gateway.disk_directory import DiskDirectory
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
 from bayhinge._internal.services.gateway.turn_refusals import DISK_ANSWER_S, too_few_disks
-from bayhinge._internal.utils.running_time import StallTolerantDeadline
+from bayhinge._internal.utils.stall_tolerant_timeouts import StallTolerantDeadline
 from bayhinge._internal.wire.hosts import ttypes as wire
 
 HISTORY_HEDGE_S = 0.06
--- a/src/bayhinge/_internal/services/gossip.py
+++ b/src/bayhinge/_internal/services/gossip.py
@@ -14,7 +14,7 @@
 import eliot
 from mode import Service
 
-from bayhinge._internal.decisions.sightings import LastSeen, advertised_s, short_incarnation
+from bayhinge._internal.decisions.last_seen import LastSeen, advertised_s, short_incarnation
 from bayhinge._internal.exceptions import FrameError
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.addresses import split_address
--- a/src/bayhinge/_internal/services/prefix_follower.py
+++ b/src/bayhinge/_internal/services/prefix_follower.py
@@ -24,7 +24,7 @@
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.services import methods
-from bayhinge._internal.utils.running_time import stall_tolerant_timeout
+from bayhinge._internal.utils.stall_tolerant_timeouts import stall_tolerant_timeout
 from bayhinge._internal.wire.hosts.ttypes import KnownObjects, ObjectsQuery
 from bayhinge.coordination.errors import HistoryLostError, StoreError
 from bayhinge.coordination.store import Change, PollingStore, StoredObject, list_all
--- a/src/bayhinge/coordination/store.py
+++ b/src/bayhinge/coordination/store.py
@@ -12,7 +12,7 @@
 import attrs
 
 from bayhinge.coordination.errors import StoreUnavailableError
-from bayhinge.coordination.store_contact import StoreAvailability
+from bayhinge.coordination.store_availability import StoreAvailability
 
 MAX_VALUE_BYTES = 1_000_000
 """Maximum size of a value in the store."""
--- a/tests/dense/ablation.py
+++ b/tests/dense/ablation.py
@@ -60,11 +60,11 @@
         Edit(WEIGHTS, "MIN_FAILURE_REPORTS = 2", "MIN_FAILURE_REPORTS = 1000"),
     ),
     "ejection": (
-        Edit("decisions/endpoint_book.py", "FIRST_EJECTION_S = 1.0", "FIRST_EJECTION_S = 0.0"),
+        Edit("decisions/endpoint_table.py", "FIRST_EJECTION_S = 1.0", "FIRST_EJECTION_S = 0.0"),
     ),
     "doubt": (
-        Edit("decisions/answer_bounds.py", "TYPICAL_LATENCIES = 4.0", "TYPICAL_LATENCIES = 1e9"),
-        Edit("decisions/answer_bounds.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),
+        Edit("decisions/answer_timeouts.py", "TYPICAL_LATENCIES = 4.0", "TYPICAL_LATENCIES = 1e9"),
+        Edit("decisions/answer_timeouts.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),
     ),
     "own cache": (
         Edit(WEIGHTS, "OWN_CACHE_SHARE = 0.3", "OWN_CACHE_SHARE = 0.0"),
@@ -76,7 +76,7 @@
     ),
     "shared parts": (
         Edit(
-            "decisions/endpoint_book.py", "        if preference.shared_part:", "        if False:"
+            "decisions/endpoint_table.py", "        if preference.shared_part:", "        if False:"
         ),
     ),
     "whole requests": (
@@ -92,7 +92,7 @@
     ),
     "cut hosts not told": (
         Edit(
-            "decisions/disk_reach.py",
+            "decisions/disk_reachability.py",
             "return len(self._silent_since_answer) >",
             "return 0 >",
         ),
--- a/tests/functional/test_cut_streams.py
+++ b/tests/functional/test_cut_streams.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from bayhinge._internal.decisions.endpoint_book import EndpointTable
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.refusals import RefusedError, SendRecord
 from bayhinge._internal.models.routed_requests import RoutedRequest
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform.call_format import PlatformCallFormat
-from bayhinge._internal.services.gateway.sending import RequestSender
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
 from tests.lib.cut_answers import ROUTE, Caller, delivery_to
 
--- a/tests/functional/test_endpoint_restarts.py
+++ b/tests/functional/test_endpoint_restarts.py
@@ -11,7 +11,7 @@
 import orjson
 import pytest
 
-from bayhinge._internal.decisions.endpoint_starts import CLOCK_SKEW_S
+from bayhinge._internal.decisions.endpoint_incarnations import CLOCK_SKEW_S
 from bayhinge._internal.models.endpoint_entries import EndpointIncarnation
 from tests.lib.asked_endpoints import keep_one_service, wait_for_called_endpoint
 from tests.lib.log_lines import collected_lines, lines_of_type
--- a/tests/functional/test_hall_coordinators.py
+++ b/tests/functional/test_hall_coordinators.py
@@ -6,7 +6,7 @@
 import eliot
 import pytest
 
-from bayhinge._internal.decisions.sightings import MIN_ADVERTISED_S
+from bayhinge._internal.decisions.last_seen import MIN_ADVERTISED_S
 from bayhinge._internal.services import gossip
 from bayhinge._internal.wire.hosts.ttypes import HostRole
 from bayhinge.coordination.rendezvous import choose
--- a/tests/functional/test_many_addresses.py
+++ b/tests/functional/test_many_addresses.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.sightings import MIN_ADVERTISED_S
+from bayhinge._internal.decisions.last_seen import MIN_ADVERTISED_S
 from bayhinge._internal.services.gossip import MAX_KNOWN_ADDRESSES, PERIOD_S
 from tests.lib.platform_site import PlatformSite, run_site
 
--- a/tests/functional/test_odd_sites.py
+++ b/tests/functional/test_odd_sites.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from bayhinge._internal.services.gateway import hall_homes
+from bayhinge._internal.services.gateway import hall_coordinators
 from tests.lib.log_lines import Line, lines_of_type
 from tests.lib.platform_engine import PlatformEngine
 from tests.lib.platform_site import PlatformSite, run_site
@@ -16,7 +16,7 @@
 def test_a_hall_without_hosts_is_logged_once_and_its_endpoints_are_used(
     tmp_path: Path, lines: list[Line], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(hall_homes, "EMPTY_HALL_AFTER_S", 1.0)
+    monkeypatch.setattr(hall_coordinators, "EMPTY_HALL_AFTER_S", 1.0)
 
     async def scenario(site: PlatformSite) -> None:
         # The settings name a hall that has an endpoint and no host; another one has neither.
@@ -41,7 +41,7 @@
 def test_a_hall_that_loses_its_hosts_is_logged_and_so_is_their_return(
     tmp_path: Path, lines: list[Line], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(hall_homes, "EMPTY_HALL_AFTER_S", 1.0)
+    monkeypatch.setattr(hall_coordinators, "EMPTY_HALL_AFTER_S", 1.0)
 
     async def scenario(site: PlatformSite) -> None:
         await asyncio.sleep(1.5)
--- a/tests/functional/test_sending.py
+++ b/tests/functional/test_sending.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from bayhinge._internal.decisions.answer_bounds import AnswerTimeouts
-from bayhinge._internal.decisions.endpoint_book import EndpointTable, EntryChange
-from bayhinge._internal.decisions.endpoint_starts import NewIncarnation
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, EntryChange
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.models.refusals import RefusedError, RunState, SendRecord
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest
@@ -18,9 +18,9 @@
     EndpointConnectionPool,
 )
 from bayhinge._internal.platform.call_format import PlatformCallFormat
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.delivery import Delivery
-from bayhinge._internal.services.gateway.runs_under_way import ActiveRuns
-from bayhinge._internal.services.gateway.sending import RequestSender
+from bayhinge._internal.services.gateway.request_sender import RequestSender
 
 pytestmark = pytest.mark.functional
 Wire = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
--- a/tests/functional/test_silent_endpoints.py
+++ b/tests/functional/test_silent_endpoints.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.answer_bounds import SILENCE_OBJECTIVES
+from bayhinge._internal.decisions.answer_timeouts import SILENCE_OBJECTIVES
 from tests.lib.asked_endpoints import keep_one_service, wait_for_called_endpoint
 from tests.lib.platform_engine import EngineFaults
 from tests.lib.platform_site import PlatformSite, run_site
--- a/tests/lib/asked_endpoints.py
+++ b/tests/lib/asked_endpoints.py
@@ -3,7 +3,7 @@
 import asyncio
 from functools import partial
 
-from bayhinge._internal.decisions.endpoint_book import EndpointTable
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
 from tests.lib.platform_engine import EngineFaults, PlatformEngine
 from tests.lib.platform_site import PlatformSite
 
--- a/tests/lib/cut_answers.py
+++ b/tests/lib/cut_answers.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from bayhinge._internal.decisions.answer_bounds import AnswerTimeouts
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RawHeaders, RoutedRequest
 from bayhinge._internal.models.routing import Route, RouteKind, ServiceShare
 from bayhinge._internal.network.endpoint_answer import IncompleteAnswerError
--- a/tests/lib/proof_model.py
+++ b/tests/lib/proof_model.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from bayhinge._internal.decisions.proof_age import (
+from bayhinge._internal.decisions.freshness_proofs import (
     FreshnessProof,
     FreshnessProofs,
     confirmed_by_peer,
--- a/tests/lib/proof_mutants.py
+++ b/tests/lib/proof_mutants.py
@@ -1,6 +1,6 @@
 """Mutants of the proof model, each without one guard."""
 
-from bayhinge._internal.decisions.proof_age import FreshnessProof
+from bayhinge._internal.decisions.freshness_proofs import FreshnessProof
 from tests.lib.proof_model import BOUND_S, Host, ProofModel
 
 
--- a/tests/lib/silent_store.py
+++ b/tests/lib/silent_store.py
@@ -14,7 +14,7 @@
     PollingStore,
     StoredObject,
 )
-from bayhinge.coordination.store_contact import StoreAvailability
+from bayhinge.coordination.store_availability import StoreAvailability
 from tests.lib.read_only_store import ReadOnlyStore
 
 Answer = TypeVar("Answer")
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -26,7 +26,7 @@
 SOAK_TIMEOUT_S = 120.0
 """Above the 50 to 60 s that a soak with 40 s of faults takes; a mutant may hang its hosts."""
 
-TABLE = "decisions/endpoint_book.py"
+TABLE = "decisions/endpoint_table.py"
 QUORUM = "decisions/disk_quorum.py"
 
 EDITS_BY_GUARD: dict[str, tuple[Edit, ...]] = {
@@ -91,7 +91,7 @@
         Edit(TABLE, "FIRST_EJECTION_S = 1.0", "FIRST_EJECTION_S = 0.0"),
         Edit(TABLE, "MAX_EJECTION_S = 8.0", "MAX_EJECTION_S = 0.0"),
     ),
-    "doubt": (Edit("decisions/answer_bounds.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),),
+    "doubt": (Edit("decisions/answer_timeouts.py", "MIN_SILENCE_S = 0.1", "MIN_SILENCE_S = 1e9"),),
     "lapsed entries": (
         Edit(
             "services/gateway/store_listeners.py",
@@ -113,7 +113,9 @@
             "        if True:",
         ),
     ),
-    "proofs grow old": (Edit("decisions/proof_age.py", "ADMIT_SHARE = 0.94", "ADMIT_SHARE = 1e9"),),
+    "proofs grow old": (
+        Edit("decisions/freshness_proofs.py", "ADMIT_SHARE = 0.94", "ADMIT_SHARE = 1e9"),
+    ),
     "proofs count from the question": (
         Edit(
             "services/gateway/configuration_proofs.py",
@@ -123,7 +125,7 @@
     ),
     "keys are looked at again before a send": (
         Edit(
-            "services/gateway/sending.py",
+            "services/gateway/request_sender.py",
             "        self._check_admission(request)",
             "        pass",
         ),
@@ -203,11 +205,11 @@
         *_PLATFORM,
     ),
     "ejection": (
-        "tests/unit/test_endpoint_book.py",
+        "tests/unit/test_endpoint_table.py",
         f"{_FUNCTIONAL}sending.py",
         f"{_FUNCTIONAL}silent_endpoints.py",
     ),
-    "doubt": ("tests/unit/test_answer_bounds.py", f"{_FUNCTIONAL}silent_endpoints.py"),
+    "doubt": ("tests/unit/test_answer_timeouts.py", f"{_FUNCTIONAL}silent_endpoints.py"),
     "lapsed entries": (
         *_PLATFORM,
         f"{_FAILED_ATTEMPTS}elsewhere.py",
--- a/tests/unit/test_ablation.py
+++ b/tests/unit/test_ablation.py
@@ -19,4 +19,4 @@
 def test_missing_source_text_raises_an_error(tmp_path: Path) -> None:
     copy_without("", tmp_path)
     with pytest.raises(EditTargetError, match="stands 0 times"):
-        Edit("decisions/endpoint_book.py", "no such text", "").apply(tmp_path)
+        Edit("decisions/endpoint_table.py", "no such text", "").apply(tmp_path)
--- a/tests/unit/test_answer_bounds.py
+++ b/tests/unit/test_answer_timeouts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.answer_bounds import (
+from bayhinge._internal.decisions.answer_timeouts import (
     MIN_SILENCE_S,
     SILENCE_OBJECTIVES,
     TYPICAL_LATENCIES,
--- a/tests/unit/test_configuration_proofs.py
+++ b/tests/unit/test_configuration_proofs.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.proof_age import ProofBounds, proof_bounds
+from bayhinge._internal.decisions.freshness_proofs import ProofBounds, proof_bounds
 from bayhinge._internal.models.site_settings import SiteSettings
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
--- a/tests/unit/test_connecting_play.py
+++ b/tests/unit/test_connecting_play.py
@@ -12,7 +12,7 @@
 
 from bayhinge._internal.decisions import caller_addresses
 from bayhinge._internal.decisions.caller_addresses import ReadyHost, addresses_for
-from bayhinge._internal.decisions.endpoint_book import EndpointTable, PlacementPreference
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
 from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 
 HALL_HOSTS = 35
--- a/tests/unit/test_disk_reach.py
+++ b/tests/unit/test_disk_reachability.py
@@ -1,6 +1,6 @@
 """When a host treats itself as partitioned from the disks."""
 
-from bayhinge._internal.decisions.disk_reach import DiskReachability
+from bayhinge._internal.decisions.disk_reachability import DiskReachability
 
 
 def test_more_silent_disks_than_tolerated_mean_a_partition_until_one_answers() -> None:
--- a/tests/unit/test_endpoint_starts.py
+++ b/tests/unit/test_endpoint_incarnations.py
@@ -8,13 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.endpoint_book import (
-    EndpointState,
-    EndpointTable,
-    EntryChange,
-    PlacementPreference,
-)
-from bayhinge._internal.decisions.endpoint_starts import (
+from bayhinge._internal.decisions.endpoint_incarnations import (
     CLOCK_SKEW_S,
     ConnectionTimes,
     NewIncarnation,
@@ -22,6 +16,12 @@
     belongs_to,
     is_stale,
 )
+from bayhinge._internal.decisions.endpoint_table import (
+    EndpointState,
+    EndpointTable,
+    EntryChange,
+    PlacementPreference,
+)
 from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
 from bayhinge._internal.decisions.load_table import HostLoadReport, LoadTable
 from bayhinge._internal.exceptions import UnreadableObjectError
--- a/tests/unit/test_endpoint_book.py
+++ b/tests/unit/test_endpoint_table.py
@@ -1,6 +1,6 @@
 """The choice of an endpoint for a request."""
 
-from bayhinge._internal.decisions.endpoint_book import (
+from bayhinge._internal.decisions.endpoint_table import (
     FIRST_EJECTION_S,
     EndpointState,
     EndpointTable,
--- a/tests/unit/test_endpoint_updates.py
+++ b/tests/unit/test_endpoint_updates.py
@@ -6,19 +6,19 @@
 import orjson
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.endpoint_book import EndpointState, EndpointTable
-from bayhinge._internal.decisions.endpoint_starts import NewIncarnation
+from bayhinge._internal.decisions.endpoint_incarnations import NewIncarnation
+from bayhinge._internal.decisions.endpoint_table import EndpointState, EndpointTable
 from bayhinge._internal.decisions.incarnation_revisions import IncarnationRevisions
 from bayhinge._internal.models.endpoint_entries import EndpointEntry
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.network.frames import encode_message
 from bayhinge._internal.network.peers import Peers
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.hall_homes import HallCoordinators
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange, sum_loads
 from bayhinge._internal.services.gateway.placement import CoordinatorPlacer
-from bayhinge._internal.services.gateway.runs_under_way import ActiveRuns
 from bayhinge._internal.services.gateway.store_listeners import (
     MISSING_AFTER_OUTAGE_GRACE_S,
     MISSING_ENTRY_GRACE_S,
--- a/tests/unit/test_failed_attempts_elsewhere.py
+++ b/tests/unit/test_failed_attempts_elsewhere.py
@@ -26,7 +26,7 @@
 from bayhinge.coordination.config_feed import ConfigFeed, FeedTimes
 from bayhinge.coordination.membership import Membership
 from bayhinge.coordination.store import Change, ChangePage, Listing, PollingStore, StoredObject
-from bayhinge.coordination.store_contact import StoreAvailability
+from bayhinge.coordination.store_availability import StoreAvailability
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 from tests.functional.test_endpoint_connections import Wire, answer, ask, read_request, run
 from tests.lib.read_only_store import ReadOnlyStore
--- a/tests/unit/test_heartbeats.py
+++ b/tests/unit/test_heartbeats.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bayhinge._internal.decisions.sightings import AGE_UNITS_PER_S, short_incarnation
+from bayhinge._internal.decisions.last_seen import AGE_UNITS_PER_S, short_incarnation
 from bayhinge._internal.network.frames import decode_message, encode_message
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services import gossip
--- a/tests/unit/test_jumping_clocks.py
+++ b/tests/unit/test_jumping_clocks.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from bayhinge._internal.bench.world.virtual_time import run_virtual
-from bayhinge._internal.decisions.endpoint_book import EndpointTable
+from bayhinge._internal.decisions.endpoint_table import EndpointTable
 from bayhinge._internal.decisions.watchers import (
     MIN_WATCH_S,
     WatchSlot,
@@ -23,7 +23,7 @@
 from bayhinge._internal.platform.settings_file import read_settings
 from bayhinge._internal.services import prefix_follower
 from bayhinge._internal.services.gateway.disk_directory import SUSPECT_S, DiskDirectory
-from bayhinge._internal.services.gateway.hall_homes import HallCoordinators
+from bayhinge._internal.services.gateway.hall_coordinators import HallCoordinators
 from bayhinge._internal.services.gateway.load_exchange import LoadExchange
 from bayhinge._internal.services.gateway.suspect_hosts import SUSPECT_S as COORDINATOR_SUSPECT_S
 from bayhinge._internal.services.gossip import MIN_SILENCE_S, Gossip
@@ -33,7 +33,7 @@
 from bayhinge.coordination.config_feed import ConfigFeed, FeedTimes
 from bayhinge.coordination.lease import Lease
 from bayhinge.coordination.store import PollingStore
-from bayhinge.coordination.store_contact import StoreAvailability
+from bayhinge.coordination.store_availability import StoreAvailability
 from bayhinge_standins.object_store import MemoryObjects, MemoryObjectStore
 from tests.lib.jumping_clock import JUMPS_S, jump
 from tests.lib.platform_data import settings_text
--- a/tests/unit/test_sightings.py
+++ b/tests/unit/test_last_seen.py
@@ -7,7 +7,7 @@
     ReadyHost,
     addresses_for,
 )
-from bayhinge._internal.decisions.sightings import (
+from bayhinge._internal.decisions.last_seen import (
     AGE_UNITS_PER_S,
     MAX_ADVERTISED_S,
     MAX_AGE_S,
--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -13,7 +13,7 @@
     MIN_PAUSE_S,
     PEER_FETCH_DELAY_S,
 )
-from bayhinge.coordination.store_contact import StoreAvailability
+from bayhinge.coordination.store_availability import StoreAvailability
 from tests.lib.silent_store import ANSWER_S, CALL_S, WAIT_MARGIN_S
 from tests.lib.watching_site import PREFIXES, WatchingSite
 
--- a/tests/unit/test_odd_objects.py
+++ b/tests/unit/test_odd_objects.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.endpoint_book import EndpointTable, PlacementPreference
+from bayhinge._internal.decisions.endpoint_table import EndpointTable, PlacementPreference
 from bayhinge._internal.exceptions import UnreadableObjectError
 from bayhinge._internal.models.routing import InvalidRoute, RequestLimits, Route, RouteKind
 from bayhinge._internal.network.endpoint_connections import EndpointConnectionPool
 from bayhinge._internal.platform import objects_api
 from bayhinge._internal.platform.object_reader import PlatformObjectReader
 from bayhinge._internal.services.gateway import unreadable_objects
+from bayhinge._internal.services.gateway.active_runs import ActiveRuns
 from bayhinge._internal.services.gateway.endpoint_restarts import EndpointRestarts
-from bayhinge._internal.services.gateway.runs_under_way import ActiveRuns
 from bayhinge._internal.services.gateway.store_listeners import (
     ConfigurationState,
     EndpointTableUpdater,
--- a/tests/unit/test_runs_of_every_kind.py
+++ b/tests/unit/test_runs_of_every_kind.py
@@ -8,15 +8,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bayhinge._internal.decisions.answer_bounds import AnswerTimeouts
-from bayhinge._internal.decisions.endpoint_book import EndpointState
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
+from bayhinge._internal.decisions.endpoint_table import EndpointState
 from bayhinge._internal.models.endpoint_entries import EndpointEntry, EndpointIncarnation
 from bayhinge._internal.models.routed_requests import AnswerMetadata, RoutedRequest, TurnContext
 from bayhinge._internal.network.endpoint_answer import Answer, IncompleteAnswerError
 from bayhinge._internal.network.routed_front import Exchange
 from bayhinge._internal.platform.call_format import PlatformCallFormat
+from bayhinge._internal.services.gateway.active_runs import ActiveRun
 from bayhinge._internal.services.gateway.open_turn import OpenTurn
-from bayhinge._internal.services.gateway.runs_under_way import ActiveRun
 from bayhinge._internal.services.gateway.stream_delivery import StreamDelivery
 from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 from tests.lib.cut_answers import ROUTE, SIGNED, Caller, TruncatedAnswer
--- a/tests/unit/test_running_time.py
+++ b/tests/unit/test_stall_tolerant_timeouts.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from bayhinge._internal.utils.running_time import (
+from bayhinge._internal.utils.stall_tolerant_timeouts import (
     SLICES,
     StallTolerantDeadline,
     stall_tolerant_timeout,
--- a/tests/unit/test_stalls_endpoints.py
+++ b/tests/unit/test_stalls_endpoints.py
@@ -9,7 +9,7 @@
 import attrs
 import pytest
 
-from bayhinge._internal.decisions.answer_bounds import AnswerTimeouts
+from bayhinge._internal.decisions.answer_timeouts import AnswerTimeouts
 from bayhinge._internal.network.endpoint_answer import Answer, SilentEndpointError
 from bayhinge._internal.network.endpoint_connections import (
     CONNECT_TIMEOUT_S,
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -33,7 +33,7 @@
 from bayhinge._internal.wire.hosts import ttypes as wire
 from bayhinge.coordination.clock import HybridClock, SystemClock
 from bayhinge.coordination.store import Change, ObjectStore, PollingStore
-from bayhinge.coordination.store_contact import StoreAvailability
+from bayhinge.coordination.store_availability import StoreAvailability
 from tests.lib.remote_disks import TEXT, Disk, remote_disks
 
 STALLS_AFTER_S = (0.0, 0.005)
