--- a/tests/functional/test_changes_after_outages.py
+++ b/tests/functional/test_changes_after_outages.py
@@ -1,10 +1,4 @@
-"""Configuration changes and endpoint replacements shortly after a silent store outage.
-
-The store answers nobody for some seconds and drops the calls in progress. Then a route is added, a
-share of the endpoints is replaced (the new one starts before the old one drains), and another route
-is added, while callers keep sending requests. The first schedule is that of the day `darkened`; the
-others vary its times and share. All of them run concurrently.
-"""
+"""Guards against late changes and failed requests shortly after a silent outage of the store."""
 
 import asyncio
 import random
--- a/tests/functional/test_cut_hosts.py
+++ b/tests/functional/test_cut_hosts.py
@@ -1,7 +1,4 @@
-"""Hosts that are partitioned from the disks, with real sockets.
-
-Callers must be sent to other hosts, and a relay must itself reach the disks.
-"""
+"""Guards against callers or relayed calls being sent to hosts that can't reach the disks."""
 
 import asyncio
 from collections.abc import Callable
--- a/tests/functional/test_early_listening.py
+++ b/tests/functional/test_early_listening.py
@@ -1,7 +1,4 @@
-"""Callers that connect while a host is still loading wait for it instead of being refused.
-
-Otherwise callers run out of hosts to try when all hosts start at the same time.
-"""
+"""Guards against refusing callers while hosts load: if all start at once, none is left to try."""
 
 import asyncio
 import socket
--- a/tests/functional/test_endpoint_restarts.py
+++ b/tests/functional/test_endpoint_restarts.py
@@ -1,7 +1,4 @@
-"""Endpoints that restart under the same id, with real sockets.
-
-Connections to the former incarnation stay open and are acknowledged, but never deliver anything.
-"""
+"""Guards against calls that wait on still open connections to an endpoint's former incarnation."""
 
 import asyncio
 import time
--- a/tests/functional/test_many_addresses.py
+++ b/tests/functional/test_many_addresses.py
@@ -1,7 +1,4 @@
-"""Thousands of addresses of removed hosts in the store must not keep a host from joining.
-
-The address of a hall's watcher is not deleted from the store when its host is replaced.
-"""
+"""Guards against a host that can't join if the store lists thousands of removed hosts."""
 
 import asyncio
 import base64
--- a/tests/functional/test_retirement.py
+++ b/tests/functional/test_retirement.py
@@ -1,7 +1,4 @@
-"""Retirement of disk hosts, with real sockets.
-
-A retiring disk must not leave the set while turns, which need two disks, depend on it.
-"""
+"""Guards against a retiring disk that leaves while turns, which need two disks, depend on it."""
 
 import asyncio
 from pathlib import Path
--- a/tests/functional/test_store_outages.py
+++ b/tests/functional/test_store_outages.py
@@ -1,8 +1,4 @@
-"""Store outages: how soon a change after one is in force at every host.
-
-A watch sent during an outage is never answered, so it may outlast the outage by the rest of its
-wait. Guards against all hosts waiting in such a watch when the store is available again.
-"""
+"""Guards against late changes after an outage: a watch sent during it is never answered."""
 
 import asyncio
 from pathlib import Path
--- a/tests/unit/test_connecting_play.py
+++ b/tests/unit/test_connecting_play.py
@@ -1,8 +1,4 @@
-"""Simulates how many connections to endpoints a large hall opens, by the hosts it advertises.
-
-The real choices of addresses and endpoints: callers pick a host for each request, the hall
-coordinator chooses the endpoint, and each host keeps idle connections for eight seconds.
-"""
+"""Guards against a large hall that opens too many connections to endpoints (simulated)."""
 
 import heapq
 import random
--- a/tests/unit/test_disk_fence.py
+++ b/tests/unit/test_disk_fence.py
@@ -1,8 +1,4 @@
-"""Budgets hold while the set of disks changes: five event orders that each need one rule.
-
-The model has no clock: an event that is not delivered is lost or delayed. Random orders are in
-``test_disk_fence_drawn.py``.
-"""
+"""Guards against exceeding a budget while the set of disks changes, in five orders of events."""
 
 import itertools
 from collections.abc import Callable
--- a/tests/unit/test_disk_fence_drawn.py
+++ b/tests/unit/test_disk_fence_drawn.py
@@ -1,8 +1,5 @@
-"""Budgets hold and acknowledged turns are found while the set of disks changes, in random orders.
-
-Few steps lead to rare states: partitions of any hosts, concurrent turns, single changes of the
-set. Rules that heal the site make the next rare state reachable.
-"""
+"""Guards against exceeded budgets and lost turns while the set of disks changes at random."""
+# Rules that heal the site make the next rare state reachable; few steps lead to each.
 
 import itertools
 from collections.abc import Collection
--- a/tests/unit/test_failed_attempts_disks.py
+++ b/tests/unit/test_failed_attempts_disks.py
@@ -29,10 +29,7 @@
 def test_a_failed_sync_of_a_settlement_keeps_the_turn(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A failed sync of a settlement must not roll back the turn, which was synced before.
-
-    The order arises if a caller disconnects while its turn is being stored.
-    """
+    """Guards against losing a synced turn when the sync of its settlement fails."""
     log = TurnLog(tmp_path)
     log.append([turn("a", None, b"said")])
     log.sync()
@@ -102,11 +99,7 @@
 def test_a_change_of_the_set_during_a_copy_restarts_reading_the_other_log(
     tmp_path: Path,
 ) -> None:
-    """A change of the set restarts reading the logs of other disks, as more may belong here.
-
-    An answer to a request from before the change must not advance the position: it lacks the
-    entries that belong here only since the change.
-    """
+    """Guards against skipping entries that belong here only since the change of the set."""
     other = wire.DiskMember("disk-2", 7, "127.0.0.2:5", "north")
     before = [wire.DiskMember(f"disk-{n}", n, f"127.0.0.{n}:5", "north") for n in (3, 4)]
 
--- a/tests/unit/test_failed_attempts_elsewhere.py
+++ b/tests/unit/test_failed_attempts_elsewhere.py
@@ -123,10 +123,7 @@
 
 
 def test_a_late_list_does_not_undo_an_update_from_a_peer() -> None:
-    """A list of revision 1 must not replace the objects of revision 5, received from a peer.
-
-    The follower does not watch the store itself, so nothing would deliver revision 5 again.
-    """
+    """Guards against a late list that replaces newer objects, which no watch delivers again."""
 
     async def main() -> None:
         store, listener = SlowList(), RecordingListener()
@@ -206,10 +203,7 @@
 
 
 def test_an_object_is_no_longer_corrupt_once_it_can_be_read() -> None:
-    """A damaged read followed by a good one must not leave the configuration outdated.
-
-    Otherwise the host would not report it as current until its restart.
-    """
+    """Guards against a damaged read that leaves the configuration outdated until a restart."""
 
     async def scenario() -> None:
         objects = MemoryObjects()
--- a/tests/unit/test_failed_attempts_streams.py
+++ b/tests/unit/test_failed_attempts_streams.py
@@ -35,10 +35,7 @@
 
 @pytest.mark.parametrize("in_one_piece", [False, True])
 def test_events_before_a_gap_are_delivered(in_one_piece: bool) -> None:
-    """A resumed run sends event 2, and then 4; it is abandoned at the gap.
-
-    Guards against dropping event 2 with a piece that holds both, while counting it as passed on.
-    """
+    """Guards against dropping the event before a gap while counting it as delivered."""
     gapped_events = [event(2, 2), event(4, 2)]
     pieces = [b"".join(gapped_events)] if in_one_piece else gapped_events
 
--- a/tests/unit/test_news_after_outages.py
+++ b/tests/unit/test_news_after_outages.py
@@ -160,10 +160,8 @@
 
 
 def test_a_watch_that_is_sent_anew_is_sent_at_once() -> None:
-    """Guards against a needless pause, in which requests still go to a leaving endpoint.
-
-    The pause after the site's last change has ended by then.
-    """
+    """Guards against a needless pause, in which requests still go to a leaving endpoint."""
+    # The pause after the site's last change has ended by then.
 
     async def scenario(start_delay_s: float) -> float:
         site = WatchingSite(1, 1)
--- a/tests/unit/test_placing_play.py
+++ b/tests/unit/test_placing_play.py
@@ -1,8 +1,4 @@
-"""Simulated programs on a site with few slots and little memory.
-
-Guards against a burst that moves turns away from the engines that hold their history: prompts are
-recomputed there, which delays all other requests on these engines.
-"""
+"""Guards against a burst that moves turns to engines that must recompute their prompts."""
 
 import pytest
 
--- a/tests/unit/test_quota_ways.py
+++ b/tests/unit/test_quota_ways.py
@@ -1,7 +1,4 @@
-"""Compares three ways to enforce account limits over 58 hosts under the same loads.
-
-The quota coordinator never exceeds a limit, and completes at least as many programs as the others.
-"""
+"""Guards against a quota coordinator that exceeds limits or completes fewer programs."""
 
 from statistics import mean
 
--- a/tests/unit/test_recorded_log.py
+++ b/tests/unit/test_recorded_log.py
@@ -1,7 +1,5 @@
-"""Guards against a tool that no longer reads logs which hosts of an earlier version wrote.
-
-The log is a record: where a test fails, mend the reader or the writer, and not the log.
-"""
+"""Guards against a tool that no longer reads logs which hosts of an earlier version wrote."""
+# Where a test fails, mend the reader or the writer, not the recorded log.
 
 import ast
 import asyncio
--- a/tests/unit/test_stall_tolerant_timeouts.py
+++ b/tests/unit/test_stall_tolerant_timeouts.py
@@ -1,7 +1,4 @@
-"""Timeouts in a process whose event loop stalls, on a real loop.
-
-Guards against taking a peer for silent although its answer arrived while the loop was stalled.
-"""
+"""Guards against timing out a peer whose answer arrived while the event loop was stalled."""
 
 import asyncio
 import socket
--- a/tests/unit/test_stalls_peers.py
+++ b/tests/unit/test_stalls_peers.py
@@ -1,7 +1,4 @@
-"""A host whose event loop stalled reads the answers that arrived, and suspects no peer for it.
-
-Peers answer from a thread of their own, over real sockets, while the host's loop is stalled.
-"""
+"""Guards against a stalled host that ignores answers which arrived, or suspects its peers."""
 
 import asyncio
 import time
--- a/tests/unit/test_stream_delivery.py
+++ b/tests/unit/test_stream_delivery.py
@@ -27,10 +27,7 @@
 
 @pytest.mark.parametrize("is_truncated", [True, False])
 def test_an_event_that_went_out_in_part_counts(is_truncated: bool) -> None:
-    """A stream that may not be resumed is forwarded as it arrives, also a partial event.
-
-    One that ends regularly but within an event is incomplete all the same.
-    """
+    """Guards against ignoring a partial event: its tokens count, and the answer is incomplete."""
 
     async def scenario() -> None:
         request = RoutedRequest("POST", "/x", "host", (), "a")
--- a/tests/unit/test_time_of_day.py
+++ b/tests/unit/test_time_of_day.py
@@ -1,7 +1,5 @@
-"""No decision reads the wall clock: it may jump, on one host and not on another.
-
-Checks the source itself, so it also finds a reading whose effect no simulation shows.
-"""
+"""Guards against decisions that read the wall clock, which may jump on a single host."""
+# Reads the source, to find also a reading whose effect no simulation shows.
 
 import ast
 from collections.abc import Iterator
--- a/tests/unit/test_unheard_sets.py
+++ b/tests/unit/test_unheard_sets.py
@@ -1,8 +1,4 @@
-"""A disk changes only a set of disks that it knows, and that has settled.
-
-Guards against granting a budget twice: if two disks that hold a reservation leave one after the
-other, and the second doesn't know of the first's change, no remaining disk has the reservation.
-"""
+"""Guards against granting a budget twice after a disk changed an unknown or unsettled set."""
 
 import asyncio
 import contextlib
