--- a/src/bayhinge/_internal/bench/recovery.py
+++ b/src/bayhinge/_internal/bench/recovery.py
@@ -36,7 +36,7 @@
 DEFAULT_BURST = 4
 RECORD_BYTES = 2_000
 MEASURED_S = 60.0
-LONGEST_TURNS = 71
+LONGEST_PROGRAM_CALLS = 71
 LONGEST_HISTORY_TOKENS = 660_000
 BYTES_PER_TOKEN = 4
 QUICK_SCHEDULES = 40
@@ -61,7 +61,7 @@
         schedules: number of random failure schedules that were run.
         violations: number of schedules that violated a guarantee.
         first_violation: seed and first violation of the first such schedule, or empty.
-        idle_bytes_per_program: memory of an evicted program of 71 calls.
+        idle_bytes_per_program: memory of a program of 71 calls whose messages are evicted.
         rebuild_ms_per_mb: time to rebuild a history.
         cpu_us_per_record: time to encode, write and acknowledge a record.
     """
@@ -171,18 +171,19 @@
 
 
 def idle_bytes_per_program() -> int:
-    """Measures the memory of a program whose messages are evicted."""
+    """Measures the memory of a program of 71 calls whose messages are evicted."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    programs = [_program(number) for number in range(MEASURED_PROGRAMS)]
+    programs = [_longest_program_state(number) for number in range(MEASURED_PROGRAMS)]
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return (after - before) // len(programs)
 
 
-def _program(number: int) -> ProgramState:
+def _longest_program_state(number: int) -> ProgramState:
+    """Returns the state of a program of 71 calls whose messages are evicted."""
     state = ProgramState(ProgramId("bench~000000000001", number), "desk", None, 0)
-    for index in range(LONGEST_TURNS):
+    for index in range(LONGEST_PROGRAM_CALLS):
         position = RecordPosition("bench~000000000001", number * 100 + index, index)
         digest = f"{number:016x}{index:016x}"
         entry = CallEntry(index, position, digest, None, 2 * index + 2, digest[::-1], True)
@@ -197,9 +198,9 @@
     journal = Journal(store, PREFIX, "bench~1", WritePacer(1e6, 100), random.random)
     writer = asyncio.create_task(journal.run())
     state = ProgramState(ProgramId("bench~1", 0), "desk", None, 0)
-    turn_bytes = LONGEST_HISTORY_TOKENS * BYTES_PER_TOKEN // LONGEST_TURNS
-    for index in range(LONGEST_TURNS):
-        finished = _finished_record(state, index, turn_bytes)
+    message_bytes = LONGEST_HISTORY_TOKENS * BYTES_PER_TOKEN // LONGEST_PROGRAM_CALLS
+    for index in range(LONGEST_PROGRAM_CALLS):
+        finished = _finished_record(state, index, message_bytes)
         apply_finished(state, finished, await journal.append(encode_finished(finished)))
     writer.cancel()
     cache = HistoryCache(JournalReader(store, PREFIX), 10**9)
--- a/src/bayhinge/_internal/bench/world/world.py
+++ b/src/bayhinge/_internal/bench/world/world.py
@@ -166,7 +166,7 @@
     # ---- setup ----
 
     async def start(self, hosts: int, engines: int = 2) -> None:
-        """Starts hosts and endpoints, and waits until the hosts have discovered each other."""
+        """Starts hosts and endpoints, then sleeps for a fixed time to let hosts find each other."""
         for number in range(engines):
             self.endpoints.add(f"engine-{number + 1}", MODEL, HALLS[number % len(HALLS)])
         for service in ("prices", "submissions"):
@@ -306,7 +306,7 @@
         patience_s: float = 30.0,
         max_tokens: int = ANSWER_TOKENS,
     ) -> Outcome:
-        """Makes a model call that sends only the new message."""
+        """Makes a model call that sends only the new message; records the turn if answered."""
         body = orjson.dumps(
             {
                 "model": MODEL,
@@ -318,6 +318,7 @@
         incoming = attrs.evolve(incoming, patience_s=patience_s)
         outcome = await self.send(incoming, host_name)
         turns = self.turns_by_program[program]
+        # A retry is answered with the same turn's recorded answer.
         if outcome.is_answer and not any(turn.text == text for turn in turns):
             turns.append(CallerTurn(text, outcome.text))
         return outcome
--- a/src/bayhinge/_internal/decisions/cell.py
+++ b/src/bayhinge/_internal/decisions/cell.py
@@ -163,7 +163,7 @@
         if program.last_call_end is not None:
             self.estimates.pause_s.add(now - program.last_call_end)
             program.last_call_end = None
-        refused = self._refuse_retry(offer) or self._refuse_early(offer, now)
+        refused = self._check_retry_budget(offer) or self._refuse_early(offer, now)
         if refused is not None:
             return [refused]
         waiting = Waiting(offer, now, program.since, now + offer.patience_s)
@@ -278,14 +278,17 @@
 
     # ---- decisions ----
 
-    def _refuse_retry(self, offer: Offer) -> Reject | None:
-        """Rejects a retry that exceeds the retry budget; ``avoid`` marks a retry."""
+    def _check_retry_budget(self, offer: Offer) -> Reject | None:
+        """Credits a first attempt to the retry budget; rejects a retry that exceeds it.
+
+        A call with ``avoid`` is a retry.
+        """
         if not offer.avoid:
             self._retries.record_first_attempt()
             return None
         if self._retries.try_spend():
             return None
-        figures = (Figure("fresh_calls_per_retry", self._retries.fresh_per_retry),)
+        figures = (Figure("fresh_calls_per_retry", self._retries.first_attempts_per_retry),)
         reason = Reason("endpoints are failing, and the retry budget is used up", figures)
         return Reject(offer, RefusalCode.ENDPOINT_FAILED, reason, RETRY_AFTER_FAILURES_S)
 
--- a/src/bayhinge/_internal/decisions/estimates.py
+++ b/src/bayhinge/_internal/decisions/estimates.py
@@ -109,9 +109,13 @@
 
 @attrs.define
 class RetryBudget:
-    """Limits retries to a share of first attempts, to prevent retry storms."""
+    """Limits retries to a share of first attempts, to prevent retry storms.
 
-    fresh_per_retry: int = 5
+    ``balance`` and ``maximum`` count first attempts; a retry spends
+    ``first_attempts_per_retry`` of them.
+    """
+
+    first_attempts_per_retry: int = 5
     maximum: int = 100
     balance: int = 100
 
@@ -121,9 +125,9 @@
 
     def try_spend(self) -> bool:
         """Spends the budget of one retry; returns False if it is used up."""
-        if self.balance < self.fresh_per_retry:
+        if self.balance < self.first_attempts_per_retry:
             return False
-        self.balance -= self.fresh_per_retry
+        self.balance -= self.first_attempts_per_retry
         return True
 
 
--- a/src/bayhinge/_internal/network/front.py
+++ b/src/bayhinge/_internal/network/front.py
@@ -291,7 +291,7 @@
             raise RefusedError(not_run_refusal(RefusalCode.BAD_REQUEST, why))
         program = request.match_info["program"]
         offset = read_offset(request.headers)
-        items = self._handler.collect(account.name, program, int(index[:9]), offset)
+        items = self._handler.read_answer(account.name, program, int(index[:9]), offset)
         incoming = self._build_incoming_call(request, account, program, CallKind.MODEL, "", b"")
         wants_stream = EVENT_STREAM in request.headers.get("Accept", "")
         if wants_stream:
--- a/src/bayhinge/_internal/network/front_handler.py
+++ b/src/bayhinge/_internal/network/front_handler.py
@@ -88,7 +88,7 @@
         """
 
     @abstractmethod
-    def collect(
+    def read_answer(
         self, account: str, program: str, index: int, offset: int
     ) -> AsyncIterator[AnswerItem]:
         """Yields the answer to an earlier call, from an offset in characters.
--- a/src/bayhinge/_internal/platform/call_format.py
+++ b/src/bayhinge/_internal/platform/call_format.py
@@ -46,7 +46,7 @@
         ACCOUNT,
     }
 )
-"""Headers that are removed from callers' requests because they are set here for endpoints."""
+"""Headers that callers can't pass on to endpoints; `request_head` sets five of them itself."""
 
 HOP_BY_HOP_HEADERS = frozenset(
     {
@@ -109,7 +109,7 @@
         self,
         request: RoutedRequest,
         body_bytes: int,
-        instance: str,
+        endpoint: str,
         time_left_s: float,
         urgency: int,
         resume_after: int | None = None,
@@ -119,7 +119,7 @@
         lines += [name + b": " + value for name, value in request.headers]
         lines += [
             f"Bayhinge-Deadline-Ms: {max(1, int(time_left_s * 1000))}".encode(),
-            f"Bayhinge-Expect-Instance: {instance}".encode(),
+            f"Bayhinge-Expect-Instance: {endpoint}".encode(),
         ]
         if request.account is not None:
             lines.append(f"Bayhinge-Tenant: {request.account.name}".encode("latin-1"))
@@ -128,6 +128,7 @@
             lines.append(f"Bayhinge-Request-Priority: {level}".encode())
         if resume_after is not None:
             lines.append(f"Last-Event-Id: {resume_after}".encode())
+        # RFC 9110: methods that usually have a body state its length even if it is 0.
         if body_bytes or request.method not in {"GET", "HEAD", "DELETE"}:
             lines.append(f"Content-Length: {body_bytes}".encode())
         return b"\r\n".join(lines) + b"\r\n\r\n"
--- a/src/bayhinge/_internal/services/front_service.py
+++ b/src/bayhinge/_internal/services/front_service.py
@@ -99,11 +99,11 @@
         """See :class:`FrontHandler`."""
         return self._parts.router.call(incoming)
 
-    def collect(
+    def read_answer(
         self, account: str, program: str, index: int, offset: int
     ) -> AsyncIterator[AnswerItem]:
         """See :class:`FrontHandler`."""
-        return self._parts.router.collect(account, program, index, offset)
+        return self._parts.router.read_answer(account, program, index, offset)
 
     async def addresses(self, program: str | None) -> AddressView:
         """See :class:`FrontHandler`."""
--- a/src/bayhinge/_internal/services/gateway/platform_interface.py
+++ b/src/bayhinge/_internal/services/gateway/platform_interface.py
@@ -22,14 +22,21 @@
         self,
         request: RoutedRequest,
         body_bytes: int,
-        instance: str,
+        endpoint: str,
         time_left_s: float,
         urgency: int,
         resume_after: int | None = None,
     ) -> bytes:
         """Encodes the head of a request to an endpoint.
 
-        ``resume_after`` is the number of the last event that the caller already has.
+        Args:
+            request: the caller's request, without the headers that are set here.
+            body_bytes: length of the body.
+            endpoint: the endpoint that the request is meant for; another one rejects it.
+            time_left_s: time until the deadline, in seconds.
+            urgency: 0 is the most urgent; sent only for turns of programs and for requests
+                that name prompt parts.
+            resume_after: number of the last event that the caller already has.
         """
 
     @abstractmethod
--- a/src/bayhinge/_internal/services/owner.py
+++ b/src/bayhinge/_internal/services/owner.py
@@ -133,13 +133,14 @@
                 yield item
             return
 
-    async def collect(
+    async def read_answer(
         self, account: str, program_id: str, index: int, offset: int
     ) -> AsyncGenerator[AnswerItem, None]:
-        """Yields the answer to an earlier call, running or recorded.
+        """Yields the answer to an earlier call, running or recorded, from ``offset`` characters.
 
         Raises:
-            RefusedError: there is no such call.
+            RefusedError: there is no such program or call, the call failed, or its record
+                can't be read.
         """
         program = self._registry.find(program_id)
         if program is None or program.state.account != account:
--- a/src/bayhinge/_internal/services/peer_service.py
+++ b/src/bayhinge/_internal/services/peer_service.py
@@ -52,7 +52,7 @@
                 yield encode_item(item)
         elif method == "collect":
             message = decode_message(wire.CollectRequest(), payload)
-            async for item in self._parts.router.collect(
+            async for item in self._parts.router.read_answer(
                 message.account, message.program, message.index, message.offset, message.hops
             ):
                 yield encode_item(item)
--- a/src/bayhinge/_internal/services/router.py
+++ b/src/bayhinge/_internal/services/router.py
@@ -57,7 +57,7 @@
     def __init__(
         self,
         registry: ProgramRegistry,
-        owner: ProgramOwner,
+        local_owner: ProgramOwner,
         adopter: Adopter,
         locator: OwnerLocator,
         membership: Membership,
@@ -65,7 +65,7 @@
         default_max_tokens: int,
     ) -> None:
         self._registry = registry
-        self._owner = owner
+        self._local_owner = local_owner
         self._adopter = adopter
         self._locator = locator
         self._membership = membership
@@ -100,13 +100,13 @@
         except RefusedError as error:
             raise RefusedError(_correct_run_state(error.refusal, incoming, progress)) from error
 
-    async def collect(
+    async def read_answer(
         self, account: str, program: str, index: int, offset: int, hops: int = 0
     ) -> AsyncGenerator[AnswerItem, None]:
         """Yields an earlier answer, wherever the owner is.
 
         Raises:
-            RefusedError: there is none.
+            RefusedError: the answer is not available.
         """
         progress = _ForwardingState(offset)
 
@@ -118,7 +118,7 @@
             program,
             OWNER_PATIENCE_S,
             progress,
-            lambda: self._owner.collect(account, program, index, progress.offset),
+            lambda: self._local_owner.read_answer(account, program, index, progress.offset),
             forward,
             hops,
         ):
@@ -230,7 +230,7 @@
         if parsed.is_error():
             raise RefusedError(parsed.error)
         try:
-            async for item in self._owner.call(parsed.ok):
+            async for item in self._local_owner.call(parsed.ok):
                 if isinstance(item, AnswerPart):
                     progress.offset = item.offset + len(item.text)
                 yield item
--- a/src/bayhinge/_internal/utils/log_output.py
+++ b/src/bayhinge/_internal/utils/log_output.py
@@ -18,7 +18,7 @@
 
 
 ORDINARY_PER_SECOND = 100
-"""Rate limit for log lines of ordinary successes; further lines are dropped and counted."""
+"""Rate limit for ``request.served`` lines; further ones are suppressed and counted."""
 
 ORDINARY_TYPES = frozenset({"request.served"})
 
@@ -51,25 +51,25 @@
 class LogOutput:
     """An eliot destination on a file descriptor.
 
-    Lines of ordinary successes are rate limited and dropped first; other lines are dropped only if
-    the buffer is full.
+    ``request.served`` lines are suppressed above a rate, or once the buffer is half full. Other
+    lines are dropped only if it is full.
     """
 
     def __init__(self, descriptor: int, host: str = "") -> None:
-        """Makes the descriptor non-blocking; ``host`` is added to each line unless empty."""
+        """Makes the descriptor non-blocking; ``host`` is added to all lines but log.dropped."""
         self._descriptor = descriptor
         self._host = {"host": host} if host else {}
         self.ordinary = LineBudget(ORDINARY_PER_SECOND)
         self._buffer: deque[bytes] = deque()
         self._buffered_bytes = 0
-        self._watching: asyncio.AbstractEventLoop | None = None
+        self._writer_loop: asyncio.AbstractEventLoop | None = None
         self._is_within_line = False
         self.dropped = 0
         self._unreported = 0
         os.set_blocking(descriptor, False)
 
     def __call__(self, message: Mapping[str, Any]) -> None:
-        """Writes or buffers one eliot message."""
+        """Writes, buffers, suppresses or drops one eliot message."""
         if message.get("message_type") in ORDINARY_TYPES and not self._admits_ordinary():
             return
         fields = {name: value for name, value in message.items() if name not in _EXCLUDED_FIELDS}
@@ -83,7 +83,7 @@
             self._unreported = 0
             self._enqueue(orjson.dumps(report, option=orjson.OPT_APPEND_NEWLINE))
         self._enqueue(line)
-        if not self._is_watched():
+        if not self._has_writer_callback():
             self.flush()
 
     def _admits_ordinary(self) -> bool:
@@ -102,7 +102,7 @@
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
-                self._watch()
+                self._add_writer_callback()
                 return
             except OSError:
                 # The reader has closed the pipe.
@@ -114,7 +114,7 @@
                 self._buffer[0] = line[written:]
             else:
                 self._buffer.popleft()
-        self._unwatch()
+        self._remove_writer_callback()
 
     def _drop_buffer(self) -> None:
         self.dropped += len(self._buffer)
@@ -128,21 +128,21 @@
         self._buffer.append(line)
         self._buffered_bytes += len(line)
 
-    def _watch(self) -> None:
+    def _add_writer_callback(self) -> None:
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             # No loop is running; writing is retried with the next line.
             return
-        if not self._is_watched():
+        if not self._has_writer_callback():
             loop.add_writer(self._descriptor, self.flush)
-            self._watching = loop
+            self._writer_loop = loop
 
-    def _unwatch(self) -> None:
-        if self._is_watched() and self._watching is not None:
-            self._watching.remove_writer(self._descriptor)
-        self._watching = None
+    def _remove_writer_callback(self) -> None:
+        if self._has_writer_callback() and self._writer_loop is not None:
+            self._writer_loop.remove_writer(self._descriptor)
+        self._writer_loop = None
 
-    def _is_watched(self) -> bool:
+    def _has_writer_callback(self) -> bool:
         """Whether an open event loop will flush once the descriptor is writable."""
-        return self._watching is not None and not self._watching.is_closed()
+        return self._writer_loop is not None and not self._writer_loop.is_closed()
--- a/src/bayhinge/coordination/config_feed.py
+++ b/src/bayhinge/coordination/config_feed.py
@@ -61,8 +61,8 @@
     """Follows the log of changes, and appends to it.
 
     Attributes:
-        corrupt_by_key: objects under the prefix that can't be read, also those whose name is
-            no revision; the latter don't block later changes.
+        corrupt_by_key: objects under the prefix that can't be read. An undecodable change
+            blocks all later ones; an object whose key has no revision number blocks none.
         on_change: called after each change is applied.
     """
 
@@ -237,11 +237,16 @@
         return None
 
     def _apply_stored(self, stored: StoredObject) -> None:
-        text = stored.key.rpartition("/")[2]
+        """Applies an object of a listing, or records in `corrupt_by_key` why it can't be read."""
+        revision_text = stored.key.rpartition("/")[2]
         try:
-            if len(text) != REVISION_DIGITS or not (text.isascii() and text.isdigit()):
-                raise CorruptObjectError(stored.key, "its name is not a revision number")
-            self._apply(int(text), stored.value)
+            if len(revision_text) != REVISION_DIGITS or not (
+                revision_text.isascii() and revision_text.isdigit()
+            ):
+                raise CorruptObjectError(
+                    stored.key, "the last part of its key is not a revision number"
+                )
+            self._apply(int(revision_text), stored.value)
             self.corrupt_by_key.pop(stored.key, None)
         except CorruptObjectError as error:
             if stored.key not in self.corrupt_by_key:
@@ -250,9 +255,11 @@
 
     def _apply(self, revision: int, data: bytes) -> None:
         if revision != self._revision + 1:
-            # Already applied, or a gap, which the next step fills from the store.
+            # Already applied, or after a gap. A gap is filled from the store or by a peer, but
+            # not from a corrupt object until that is repaired.
             return
         changed = self._decode(revision, data)
+        # A peer may supply a change whose stored object is corrupt.
         self.corrupt_by_key.pop(self._key(revision), None)
         self._objects_by_key[(changed.kind, changed.name)] = changed
         self._changes_by_revision[revision] = data
--- a/src/bayhinge/coordination/journal.py
+++ b/src/bayhinge/coordination/journal.py
@@ -95,15 +95,16 @@
         random_unit: Callable[[], float],
         spool_bytes: int = 16_000_000,
     ) -> None:
-        """Opens a new journal; ``incarnation`` must never have been used before.
+        """Creates the writer; nothing is written until :meth:`run`.
 
         Args:
-            store: where the journal lives.
+            store: holds the journal's objects.
             prefix: the prefix of its keys.
-            incarnation: this run of the process.
+            incarnation: this run of the process; must never have been used before.
             pacer: limits the rate of writes.
             random_unit: returns random numbers in [0, 1), for nonces and jitter.
-            spool_bytes: maximum size of the records that are not durable yet.
+            spool_bytes: maximum size of the records that are not durable yet;
+                :meth:`append` raises JournalFullError beyond it.
         """
         self._store = store
         self._prefix = prefix
@@ -119,7 +120,7 @@
         self._next_sequence = 0
         self._fenced: FencedError | None = None
         self._store_ok = True
-        self._announced_successors: list[str] | None = None
+        self._successors_to_announce: list[str] | None = None
         self._pending_batch: _PendingBatch | None = None
         self.on_fenced: Callable[[FencedError], None] = lambda error: None
         self.statistics = JournalStatistics()
@@ -166,7 +167,7 @@
             await self._wake.wait()
             if (
                 not self._queue
-                and self._announced_successors is None
+                and self._successors_to_announce is None
                 and self._pending_batch is None
             ):
                 self._wake.clear()
@@ -201,7 +202,7 @@
         """
         if self._fenced is not None:
             raise self._fenced
-        self._announced_successors = list(successors)
+        self._successors_to_announce = list(successors)
         self._idle.clear()
         self._wake.set()
         await self.flush()
@@ -234,7 +235,7 @@
     def _build_batch(self) -> _PendingBatch:
         entries, finished = self._dequeue_entries(self._next_sequence)
         nonce = f"{self._random_unit():.17f}"
-        announced, self._announced_successors = self._announced_successors, None
+        announced, self._successors_to_announce = self._successors_to_announce, None
         value = encode(Batch(FORMAT, self.incarnation, nonce, entries, None, announced))
         key = object_key(self._prefix, self.incarnation, self._next_sequence)
         return _PendingBatch(key, value, nonce, finished)
