--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,12 +1,12 @@
-"""Tests that are known to fail: listed in KNOWN-RED.txt at the root, run and printed each time."""
+"""Marks the tests listed in KNOWN-RED.txt at the root as expected failures, and prints them."""
 
 from pathlib import Path
 
 import eliot
 import pytest
 
-# eliot keeps what is logged before anybody listens, and hands it to the first who does: a test that
-# listens would read the lines of those before it.
+# eliot buffers messages until the first destination is added. Without this one, a test that adds a
+# destination would receive the messages of earlier tests.
 eliot.add_destinations(lambda message: None)
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
@@ -15,7 +15,7 @@
 
 
 def _known_red() -> dict[str, str]:
-    """Returns the reason by the test's id; a line is ``test: cause, issue``."""
+    """Returns the reasons by test id; a line is ``test: cause, issue``."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -26,7 +26,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Marks the listed tests. One that passes fails the run: it must leave the list."""
+    """Marks the listed tests as strict xfail: one that passes must be removed from the list."""
     reason_by_test = _known_red()
     for item in items:
         reason = reason_by_test.get(item.nodeid)
@@ -35,6 +35,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints the list, so that nobody takes the run for all green."""
+    """Prints the list, so that expected failures are visible in the summary."""
     for test, reason in _known_red().items():
         terminalreporter.write_line(f"KNOWN RED: {test}: {reason}")
--- a/tests/dense/__init__.py
+++ b/tests/dense/__init__.py
@@ -1,1 +1,1 @@
-"""Days whose faults overlap operations: see :mod:`tests.dense.days`."""
+"""Randomly drawn days whose faults overlap operations; see :mod:`tests.dense.days`."""
--- a/tests/dense/ablation.py
+++ b/tests/dense/ablation.py
@@ -1,8 +1,8 @@
-"""``python -m tests.dense.ablation --help``: what each mechanism is worth on one day.
+"""``python -m tests.dense.ablation --help``: ablation study of the mechanisms on one day.
 
-Plays one day with all mechanisms, and with each of them off in turn, on a copy of the repository
-that this makes and changes: the repository itself is left alone. Prints one row a play; a mechanism
-whose row is no worse than the spread of the first rows is a candidate for removal.
+Runs one day with all mechanisms, then with each of them disabled in turn, in the clone given by
+``--copy``, whose sources are replaced. Prints one row for each run; a mechanism whose row is no
+worse than the spread of the first rows is a candidate for removal.
 """
 
 import argparse
@@ -20,22 +20,22 @@
 
 
 class PieceMissingError(Exception):
-    """What a mechanism is taken out by is not in the code any more; mend the table."""
+    """The text of an edit is not in the sources exactly once; the table must be updated."""
 
 
 @attrs.frozen
 class Edit:
-    """One change of one file: the text ``old``, which must be there, becomes ``new``."""
+    """Replaces the text ``old``, which must occur exactly once in a file, by ``new``."""
 
     path: str
     old: str
     new: str
 
     def apply(self, root: Path) -> None:
-        """Changes the file in a copy.
+        """Edits the file in a copy of the repository.
 
         Raises:
-            PieceMissingError: the text is not there, or more than once.
+            PieceMissingError: the text does not occur, or more than once.
         """
         path = root / INTERNAL / self.path
         text = path.read_text()
@@ -114,21 +114,21 @@
 
 @attrs.frozen
 class Play:
-    """What one play came to."""
+    """Result of one run of the day."""
 
     mechanism: str
     worth: float | None
     served: float | None
 
     def __str__(self) -> str:
-        """Returns a row."""
+        """Returns a table row."""
         if self.worth is None:
             return f"{self.mechanism:20} did not end"
         return f"{self.mechanism:20} worth {self.worth:.3f}  served {self.served:.3f}"
 
 
 def copy_without(mechanism: str, folder: Path) -> None:
-    """Makes the copy's sources those of the repository, without one mechanism ('' for none)."""
+    """Copies the repository's sources to ``folder`` and disables one mechanism ('' for none)."""
     shutil.rmtree(folder / "src", ignore_errors=True)
     shutil.copytree(ROOT / "src", folder / "src")
     for edit in EDITS_BY_MECHANISM.get(mechanism, ()):
@@ -136,7 +136,7 @@
 
 
 def plays(options: argparse.Namespace) -> Iterator[Play]:
-    """Plays the day, once or more as it is, then once without each mechanism."""
+    """Runs the day ``--spread`` times with all mechanisms, then once without each."""
     names = options.only or list(EDITS_BY_MECHANISM)
     for mechanism in [""] * options.spread + names:
         copy_without(mechanism, options.copy)
@@ -159,17 +159,24 @@
 
 
 def main() -> int:
-    """Plays and prints."""
+    """Prints the rows."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--bench", required=True, help="the users' bench")
+    parser.add_argument("--bench", required=True, help="program of the users' bench")
     parser.add_argument("--site", required=True)
-    parser.add_argument("--day", required=True, help="a day's name, or a file")
+    parser.add_argument("--day", required=True, help="name or file of the day")
     parser.add_argument("--seed", default="")
-    parser.add_argument("--copy", type=Path, required=True, help="a clone that may be changed")
-    parser.add_argument("--spread", type=int, default=2, help="plays with all mechanisms")
-    parser.add_argument("--uncharged", action="store_true", help="processor time is not counted")
+    parser.add_argument(
+        "--copy",
+        type=Path,
+        required=True,
+        help="a clone of the repository; its sources are overwritten",
+    )
+    parser.add_argument("--spread", type=int, default=2, help="number of runs with all mechanisms")
+    parser.add_argument("--uncharged", action="store_true", help="don't charge processor time")
     parser.add_argument("--jobs", type=int, default=2)
-    parser.add_argument("--only", nargs="*", default=[], help="mechanisms; all where none is named")
+    parser.add_argument(
+        "--only", nargs="*", default=[], help="mechanisms to disable; all if none is given"
+    )
     for play in plays(parser.parse_args()):
         print(play, flush=True)
     return 0
--- a/tests/dense/bench.py
+++ b/tests/dense/bench.py
@@ -1,4 +1,4 @@
-"""Plays day files on the users' bench, and reads what a play came to from its journal entry."""
+"""Runs day files on the users' bench and reads the results from its journal entries."""
 
 import re
 import subprocess
@@ -12,17 +12,17 @@
 
 
 class BenchError(Exception):
-    """The bench ended without a play, and not because the day does not fit the site."""
+    """The bench neither ran the day nor rejected it as unsuitable for the site."""
 
 
 @attrs.frozen
 class Played:
-    """What one play of a day came to.
+    """Result of one run of a day.
 
     Attributes:
-        broken_by_rule: how often each rule was broken; empty where all held.
-        refusal: why the bench left the day out; empty where it was played.
-        lacking: the kind of fault that the site does not know, if that is why.
+        broken_by_rule: number of violations of each violated rule.
+        refusal: why the bench rejected the day; empty if it was run.
+        lacking: the kind of fault that the site does not support, if that is the reason.
     """
 
     broken_by_rule: dict[str, int]
@@ -32,7 +32,7 @@
     lacking: str = ""
 
     def __str__(self) -> str:
-        """Returns a row."""
+        """Returns a table row."""
         if self.refusal:
             return f"left out: {self.refusal}"
         rules = ", ".join(f"{rule} {times}" for rule, times in sorted(self.broken_by_rule.items()))
@@ -40,10 +40,10 @@
 
 
 def read_entry(entry: bytes) -> Played:
-    """Returns what the journal's entry of a run says.
+    """Parses the journal entry of a run.
 
     Raises:
-        BenchError: the entry holds no day that was played.
+        BenchError: the entry contains no day.
     """
     days = orjson.loads(entry)["days"]
     if not days:
@@ -53,7 +53,7 @@
 
 
 def read_refusal(said: str) -> Played | None:
-    """Returns a play that was left out, if what the bench said is why a day does not fit."""
+    """Returns the rejection of a day that the bench's output reports; None if there is none."""
     refused = _REFUSAL.search(said)
     if refused is None:
         return None
@@ -63,9 +63,9 @@
 
 @attrs.frozen
 class Bench:
-    """The bench's program, a site, and the repository's copy that is played.
+    """The bench's program, a site, and the copy of the repository under test.
 
-    A play builds anew in the copy's folder, under the hosts of any other play there: one at a time.
+    A run rebuilds the copy, so there must be only one run at a time in it.
     """
 
     program: str
@@ -74,10 +74,10 @@
     jobs: int = 2
 
     def play(self, day: Path, why: str, luck: int = 0) -> Played:
-        """Plays a day file once, with its own seed or with ``luck`` in place of it.
+        """Runs a day file once, with its own seed or with ``luck`` instead.
 
         Raises:
-            BenchError: it ended otherwise than by a play or a refusal of the day.
+            BenchError: the bench neither ran the day nor rejected it.
         """
         before = self._entries()
         command = [self.program, "run", self.site, str(day), "--jobs", str(self.jobs)]
--- a/tests/dense/cut_down.py
+++ b/tests/dense/cut_down.py
@@ -1,21 +1,21 @@
-"""Cuts a failing day down, by itself, to the shortest one that still fails."""
+"""Shrinks a failing day to a smaller one that still fails (delta debugging)."""
 
 from collections.abc import Callable, Iterator
 
 from tests.dense.days import DenseDay
 
 MOST_PLAYS = 40
-"""Days have up to some 20 entries: halves, quarters, then each alone need about so many plays."""
+"""Enough to try halves, quarters and single entries of a day of about 20 entries."""
 
 
 def cut_down(
     day: DenseDay, still_fails: Callable[[DenseDay], bool], most_plays: int = MOST_PLAYS
 ) -> DenseDay:
-    """Returns the day less every entry that the failure does not need.
+    """Returns the day without the entries that the failure does not need.
 
-    Pieces are left out from halves down to single entries, and again from the start wherever a
-    piece could go, so that no single entry of the result can be left out. The result is as short
-    as ``most_plays`` allowed: a failure that needs luck may keep more.
+    Removes blocks of entries, from halves down to single entries, and starts over after each
+    successful removal, until no single entry can be removed. Stops early after ``most_plays`` runs;
+    an intermittent failure may also keep more entries than it needs.
     """
     plays = 0
     length = max(1, day.size // 2)
--- a/tests/dense/days.py
+++ b/tests/dense/days.py
@@ -1,9 +1,8 @@
 """``python -m tests.dense.days --into FOLDER``: draws days whose faults overlap operations.
 
-Faults that come alone are found soon. What fell through were faults in the middle of something: a
-change that is on its way, a disk that is leaving or joining, a host that starts. Each day draws a
-few such operations, and for each one faults that begin just before it, in it, or as it ends. The
-files are of the form that the users' bench plays on any of their sites.
+Targets faults during an operation: a configuration change in progress, a disk that leaves or joins,
+a host that starts. Each day has a few operations, and for each of them faults that begin shortly
+before it, during it or at its end. The files have the format of the users' bench.
 """
 
 import argparse
@@ -14,17 +13,17 @@
 import attrs
 
 LENGTH_S = 30.0
-"""Operations begin within so many seconds of traffic; the users' days last a little longer."""
+"""Latest start of an operation; the users' days last a little longer."""
 
 FIRST_S = 2.0
 
 NEARNESS_S = (-0.6, -0.1, 0.0, 0.05, 0.4, 1.5)
-"""When a fault begins, against its operation's beginning: from just before it to its middle."""
+"""Start of a fault relative to its operation: from shortly before it to its middle."""
 
 
 @attrs.frozen
 class Entry:
-    """One thing that happens: its moment, and the fields that the bench knows."""
+    """One event of a day: its time in seconds, and its fields in the bench's format."""
 
     at: float
     fields: dict[str, str | float | int]
@@ -37,7 +36,7 @@
 
 @attrs.frozen
 class DenseDay:
-    """One day."""
+    """A day of operations (``plan``) and faults."""
 
     seed: int
     plan: tuple[Entry, ...]
@@ -45,23 +44,23 @@
 
     @property
     def name(self) -> str:
-        """The day's name, and its file's."""
+        """The name of the day and of its file."""
         return f"dense-{self.seed}"
 
     @property
     def size(self) -> int:
-        """How many things happen."""
+        """Number of entries."""
         return len(self.plan) + len(self.faults)
 
     def without(self, numbers: frozenset[int]) -> "DenseDay":
-        """Returns the day less some entries, which are counted over ``plan``, then ``faults``."""
+        """Returns the day without the entries with these indices into ``plan + faults``."""
         plan = tuple(entry for at, entry in enumerate(self.plan) if at not in numbers)
         first = len(self.plan)
         faults = tuple(entry for at, entry in enumerate(self.faults, first) if at not in numbers)
         return DenseDay(self.seed, plan, faults)
 
     def toml(self) -> str:
-        """Returns the file's text."""
+        """Returns the day as TOML."""
         lines = [f'[[day]]\nname = "{self.name}"\nslot = "trouble"\nseed = {self.seed}']
         for name, entries in (("plan", self.plan), ("faults", self.faults)):
             shown = "".join(f"  {entry.toml()},\n" for entry in entries)
@@ -108,9 +107,9 @@
 
 
 def dense_day(seed: int, without: frozenset[str] = frozenset()) -> DenseDay:
-    """Draws one day; the same seed draws the same day.
+    """Draws a day from a seed.
 
-    ``without`` names kinds that a site does not know: its contracts leave some out.
+    ``without`` names kinds of faults that the site does not support.
     """
     draw = random.Random(seed)
     plan: list[Entry] = []
@@ -124,7 +123,7 @@
 
 
 def _faults_about(at: float, draw: random.Random, without: frozenset[str]) -> Iterator[Entry]:
-    """Draws faults that meet an operation; now and then the same one strikes twice."""
+    """Draws faults around an operation; some of them occur twice."""
     known = [kind for kind in FAULTS if kind not in without]
     for kind in draw.sample(known, draw.randint(1, 3)):
         fields = {"kind": kind, **FAULTS[kind](draw)}
@@ -139,7 +138,7 @@
 
 
 def _span(draw: random.Random) -> float:
-    """Draws how long a fault lasts: shorter and longer than the spans that decisions wait."""
+    """Draws the duration of a fault, shorter or longer than the timeouts of decisions."""
     return draw.choice((0.4, 1.5, 4.0, 8.0))
 
 
@@ -152,8 +151,10 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--days", type=int, default=20, help="how many days to draw")
     parser.add_argument("--first", type=int, default=1, help="the first seed")
-    parser.add_argument("--into", type=Path, required=True, help="the folder to write them into")
-    parser.add_argument("--without", nargs="*", default=[], help="kinds that the site lacks")
+    parser.add_argument("--into", type=Path, required=True, help="the output folder")
+    parser.add_argument(
+        "--without", nargs="*", default=[], help="kinds of faults that the site does not support"
+    )
     options = parser.parse_args()
     options.into.mkdir(parents=True, exist_ok=True)
     for seed in range(options.first, options.first + options.days):
--- a/tests/dense/hunt.py
+++ b/tests/dense/hunt.py
@@ -1,7 +1,7 @@
-"""``python -m tests.dense.hunt --help``: plays drawn days, and keeps what breaks a rule.
+"""``python -m tests.dense.hunt --help``: runs drawn days and keeps those that violate a rule.
 
-A day that breaks a rule is cut down to the shortest that still breaks one of the same rules, and
-written with its seed and a line for the cause into ``deploy/days``, where every hunt plays it.
+A day that violates a rule is shrunk to one that still violates one of the same rules, and written
+to ``deploy/days`` with its seed and a line for the cause; ``tests.dense.play`` runs it there.
 """
 
 import argparse
@@ -17,12 +17,12 @@
 DRAWN = Path("build/dense")
 
 LUCKS = (0, 1, 2)
-"""Seeds that a shorter day is played with: its own, and others. What is left out moves all that
-is drawn behind it: nine plays of nine shorter days, once each, did not show what the day had."""
+"""Seeds to run a smaller day with; 0 is its own. Removing an entry changes all later draws, so that
+one seed alone often misses the failure."""
 
 
 def case_text(day: DenseDay, found: Played, site: str, drawn_size: int) -> str:
-    """Returns a kept case: what it broke, where, from what it was cut down, and the day."""
+    """Returns the file of a kept day, with the violated rules and the site in its head."""
     rules = ", ".join(f"{rule} ({times})" for rule, times in sorted(found.broken_by_rule.items()))
     return (
         f"# Breaks {rules} on {Path(site).stem}. Drawn with seed {day.seed}, and cut down from\n"
@@ -32,9 +32,9 @@
 
 
 def hunt_one(bench: Bench, seed: int, without: set[str], most_plays: int = MOST_PLAYS) -> str:
-    """Plays one drawn day; returns a row, and keeps a case if it broke a rule.
+    """Runs one drawn day, keeps it if it violates a rule, and returns a table row.
 
-    Kinds that the site turns out to lack are added to ``without``.
+    Kinds of faults that the site does not support are added to ``without``.
     """
     day, found = _drawn_and_played(bench, seed, without)
     if not found.broken_by_rule:
@@ -71,15 +71,21 @@
 
 
 def main() -> int:
-    """Plays and prints; 0 if no rule was broken."""
+    """Prints the rows; returns 0 if no rule was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--bench", default=os.environ.get("FLEETBENCH", ""), help="its program")
+    parser.add_argument(
+        "--bench", default=os.environ.get("FLEETBENCH", ""), help="program of the bench"
+    )
     parser.add_argument("--site", default=os.environ.get("SITE", ""), help="a site file")
     parser.add_argument("--days", type=int, default=20, help="how many days to draw")
     parser.add_argument("--first", type=int, default=1, help="the first seed")
     parser.add_argument("--jobs", type=int, default=2)
-    parser.add_argument("--root", type=Path, default=ROOT, help="the copy that is played")
-    parser.add_argument("--most-plays", type=int, default=MOST_PLAYS, help="shorter days to try")
+    parser.add_argument(
+        "--root", type=Path, default=ROOT, help="the copy of the repository under test"
+    )
+    parser.add_argument(
+        "--most-plays", type=int, default=MOST_PLAYS, help="most runs for shrinking a day"
+    )
     options = parser.parse_args()
     if not options.bench or not options.site:
         print("dense: not played; set FLEETBENCH to the bench's program and SITE to a site file")
--- a/tests/dense/play.py
+++ b/tests/dense/play.py
@@ -1,6 +1,6 @@
-"""``python -m tests.dense.play``: plays the days in ``deploy/days`` on a site of the users' bench.
+"""``python -m tests.dense.play``: runs the days in ``deploy/days`` on a site of the users' bench.
 
-Days that do not fit the site are left out and named, as the bench's own hunts do.
+Days that the bench rejects as unsuitable for the site are printed and skipped.
 """
 
 import argparse
@@ -12,12 +12,16 @@
 
 
 def main() -> int:
-    """Plays and prints; 0 if no rule was broken."""
+    """Prints the rows; returns 0 if no rule was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--bench", default=os.environ.get("FLEETBENCH", ""), help="its program")
+    parser.add_argument(
+        "--bench", default=os.environ.get("FLEETBENCH", ""), help="program of the bench"
+    )
     parser.add_argument("--site", default=os.environ.get("SITE", ""), help="a site file")
     parser.add_argument("--jobs", type=int, default=2)
-    parser.add_argument("--root", type=Path, default=ROOT, help="the copy that is played")
+    parser.add_argument(
+        "--root", type=Path, default=ROOT, help="the copy of the repository under test"
+    )
     options = parser.parse_args()
     if not options.bench or not options.site:
         print("days: not run; set FLEETBENCH to the bench's program and SITE to a site file")
--- a/tests/lib/__init__.py
+++ b/tests/lib/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests."""
+"""Test helpers."""
--- a/tests/lib/accounts.py
+++ b/tests/lib/accounts.py
@@ -1,4 +1,4 @@
-"""Configurations with client accounts, and calls that bear their keys."""
+"""Configurations with client accounts, and the header that carries their keys."""
 
 from typing import Any
 
@@ -29,7 +29,7 @@
 
 
 def with_accounts(version: int, *accounts: dict[str, Any]) -> dict[str, Any]:
-    """Returns the usual configuration with accounts and a public route."""
+    """Returns the default configuration with these accounts and a public route."""
     return CONFIGURATION | {
         "version": version,
         "routes": [*CONFIGURATION["routes"], OPEN_ROUTE],
@@ -38,5 +38,5 @@
 
 
 def bearing(key: str) -> str:
-    """Returns the value of the header that bears a key."""
+    """Returns the value of the ``Authorization`` header for a key."""
     return f"Bearer {key}"
--- a/tests/lib/asked_endpoints.py
+++ b/tests/lib/asked_endpoints.py
@@ -1,4 +1,4 @@
-"""Which endpoint of a site is asked: all but one leave, or the one that was asked is found."""
+"""Finds the endpoint that received a request, or leaves only one endpoint to send to."""
 
 import asyncio
 from functools import partial
@@ -9,7 +9,7 @@
 
 
 async def asked(endpoints: list[PlatformEngine], limit_s: float = 2.0) -> PlatformEngine:
-    """Returns the endpoint that was asked; the others are well from now on."""
+    """Waits for the endpoint that receives a request; clears the faults of the others."""
     async with asyncio.timeout(limit_s):
         while not any(endpoint.runs for endpoint in endpoints):  # noqa: ASYNC110
             await asyncio.sleep(0.01)
@@ -21,7 +21,7 @@
 
 
 async def only_one_service(site: PlatformSite) -> None:
-    """Takes all plain services away but the first."""
+    """Removes all endpoints of plain services but the first."""
     while len(site.services) > 1:
         other = site.services.pop()
         site.store.remove("servers", other.instance)
--- a/tests/lib/cut_answers.py
+++ b/tests/lib/cut_answers.py
@@ -1,4 +1,4 @@
-"""Answers of endpoints that break off, a caller, and the delivery between them."""
+"""Fakes for the delivery of streams: truncated answers of endpoints, and a caller."""
 
 from collections.abc import AsyncIterator
 from typing import cast
@@ -15,7 +15,7 @@
 from bayhinge._internal.services.gateway.turn_recorder import TurnRecorder
 
 TOKENS = 3
-"""Tokens that an event counts as."""
+"""Tokens per event."""
 
 ROUTE = Route(
     "draft",
@@ -39,7 +39,7 @@
 
 @attrs.define
 class CutAnswer:
-    """An endpoint's answer that comes in pieces and may break off."""
+    """An endpoint's answer in chunks, which may be truncated."""
 
     pieces: list[bytes]
     breaks_off: bool
@@ -55,7 +55,7 @@
 
 @attrs.define
 class Caller:
-    """Stands for the exchange with a caller."""
+    """Fake of the exchange with a caller."""
 
     body: bytes = b""
     headers_sent: bool = False
@@ -73,7 +73,7 @@
 
 
 def delivery_to(caller: Caller, request: RoutedRequest, route: Route = ROUTE) -> StreamDelivery:
-    """Returns what gives a caller the runs of a stream; no turn is kept of it."""
+    """Returns a stream delivery to a caller that records no turn."""
     return StreamDelivery(
         cast(Exchange, caller),
         PlatformCallFormat(),
--- a/tests/lib/disks_elsewhere.py
+++ b/tests/lib/disks_elsewhere.py
@@ -1,4 +1,4 @@
-"""Stand-ins of disk hosts that answer from a thread of their own, over real sockets."""
+"""Fake disk hosts that answer over real sockets from a separate thread."""
 
 import asyncio
 import threading
@@ -13,13 +13,13 @@
 from bayhinge.coordination.clock import HybridClock, SystemClock
 
 ANSWERS_AFTER_S = 0.02
-"""A peer's time to answer."""
+"""Response time of a peer."""
 
 TEXT = b"what was said before"
 
 
 class Disk(UnaryPeerHandler):
-    """Takes every reservation, and has each turn."""
+    """Accepts every reservation and has a copy of every turn."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -43,7 +43,7 @@
 
 @contextmanager
 def disks_elsewhere(count: int) -> Iterator[tuple[list[str], list[Disk]]]:
-    """Runs peers in another thread, whose loop goes on while this one's stands still."""
+    """Runs peers in another thread, whose event loop runs on while the test's is blocked."""
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
--- a/tests/lib/fence_model.py
+++ b/tests/lib/fence_model.py
@@ -1,7 +1,7 @@
-"""Hosts, disks and the store's set of disks, on the rules' own code and the services' own fence.
+"""Model of entry hosts, disks and the store's disk set, with the source's own rules and fence.
 
-One program with a budget of one turn. Whoever stands on the other side of a cut hears nothing;
-nothing knows a clock.
+There is one program, whose budget allows one turn. Hosts on different sides of a partition exchange
+no messages; there is no clock.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 
 
 class Fence(SetFence):
-    """Keeps its file in memory; whether it has waited for long is said to it."""
+    """A fence whose file is in memory and whose timeout is triggered by ``wait``."""
 
     def __init__(self, tolerated: int, kept_version: int = 0) -> None:
         super().__init__(tolerated, Path())
@@ -90,11 +90,13 @@
 
 @attrs.define(eq=False)
 class Turn:
-    """A turn that asks for its tokens, then runs, then ends.
+    """A turn that reserves its tokens, runs and ends.
 
     Attributes:
-        written: disks that have written the reservation and have not answered yet.
-        held: answers that are under way.
+        written: generations of disks that have written the reservation and not answered yet.
+        held: answers in transit.
+        replies: answers that the host has received.
+        copies: generations of disks that store the turn's text.
     """
 
     attempt: str
@@ -111,11 +113,12 @@
 
 
 class Site:
-    """All of it. What may be lost at once is up to whoever plays it.
+    """The model's state and events; the caller decides which failures may coincide.
 
     Attributes:
-        changes_unheard_sets: whether a disk changes a set that it has not heard of yet, since the
-            one that it knows has settled. Two changes on end then break budgets.
+        changes_unheard_sets: a mutation: lets a disk change the newest set without knowing it, if
+            the set that it knows has settled. Two consecutive changes then violate budgets.
+        away: hosts on one side of the partition.
     """
 
     changes_unheard_sets = False
@@ -157,7 +160,7 @@
     def meet(self, one: str, other: str) -> bool:
         return (one in self.away) == (other in self.away)
 
-    # ---- news of the set ----
+    # ---- updates of the disk set ----
 
     def take(self, disk: Disk, disk_set: DiskSet) -> None:
         if disk_set.version > disk.disk_set.version:
@@ -177,7 +180,7 @@
             self._tell_fence(disk)
 
     def tell(self, name: str) -> None:
-        """Who is asked knows what anybody on its side knows."""
+        """Gives a host the newest disk set known on its side of the partition."""
         if name not in self.set_by_entry and name not in self.disk_by_host:
             return
         sets = [disk.disk_set for disk in self.disks if self.meet(name, disk.me.host)]
@@ -230,7 +233,7 @@
             self._change(disk, lambda found: with_member_added(found, disk.me))
 
     def drop_silent(self, disk: Disk) -> None:
-        """What others have taken lately it need not have read, for cuts may be of single ways."""
+        """Removes unreachable disks from the set, whether or not their entries have been read."""
         if not disk.is_member:
             return
         members = [one for one in disk.disk_set.members if one.host != disk.me.host]
@@ -245,7 +248,7 @@
         disk.is_retired = all(one.host != host for one in disk.disk_set.members)
 
     def hand_over(self, disk: Disk) -> None:
-        """A disk that has handed over enough is gone."""
+        """Copies a leaving disk's entries to the others; removes it once enough have them."""
         others = [one for one in disk.disk_set.members if one.host != disk.me.host]
         whole = 0
         for member in others:
@@ -286,7 +289,7 @@
         return turn
 
     def ask(self, turn: Turn, hosts: Collection[str]) -> None:
-        """The reservation reaches disks, which write it; each is told of the set if behind."""
+        """Delivers the reservation to disks; the side with the older disk set gets the newer."""
         self._ask_anew(turn)
         for member in self._places(turn):
             if member.host not in hosts or member.host in turn.replies:
@@ -304,7 +307,7 @@
                 self.learn(turn.entry, disk.disk_set)
 
     def answer(self, turn: Turn) -> None:
-        """Disks that have written the reservation look once more, and answer."""
+        """Disks that have written the reservation check the fence again and answer."""
         for disk in self.disks:
             if disk.me.generation not in turn.written:
                 continue
@@ -314,7 +317,7 @@
         turn.written.clear()
 
     def hear(self, turn: Turn) -> None:
-        """The answers reach the host, which decides once there are enough."""
+        """Delivers the answers to the host, which decides once it has a quorum."""
         turn.replies.update(turn.held)
         turn.held.clear()
         needed = reservations_needed(len(self._places(turn)), self.tolerated)
@@ -326,7 +329,7 @@
             self.settle(turn, HOSTS)
 
     def _ask_anew(self, turn: Turn) -> None:
-        """A quorum counts under one version of the set."""
+        """Restarts the reservation if the set has changed: a quorum is valid for one version."""
         known = self.set_by_entry[turn.entry].version
         if known != turn.version:
             turn.version = known
@@ -338,7 +341,7 @@
         return replicas_of(PROGRAM, self.sets[turn.version - 1].members, self.tolerated)
 
     def end(self, turn: Turn, hosts: Collection[str]) -> None:
-        """Its text goes to disks; it is acknowledged once it is on enough of them."""
+        """Writes the turn's text to disks; it is acknowledged once there are enough copies."""
         for disk in self.at(hosts):
             if self.meet(turn.entry, disk.me.host) and not disk.is_retired:
                 disk.settled_by_attempt[turn.attempt] = turn.tokens
@@ -348,22 +351,22 @@
             turn.is_acknowledged = turn.is_over = True
 
     def settle(self, turn: Turn, hosts: Collection[str]) -> None:
-        """It used nothing; who does not hear so counts it at its most."""
+        """Releases the tokens; disks that don't receive this count the full reservation."""
         turn.is_over, turn.tokens = True, 0
         for disk in self.at(hosts):
             if self.meet(turn.entry, disk.me.host) and not disk.is_retired:
                 disk.settled_by_attempt[turn.attempt] = 0
 
-    # ---- what must hold ----
+    # ---- invariants ----
 
     def committed(self) -> int:
         return sum(turn.tokens for turn in self.turns if turn.is_granted)
 
     def overspending(self) -> Iterator[tuple[int, list[str]]]:
-        """Yields quorums that would grant a turn now although the budget is spent.
+        """Yields the quorums that would grant another turn although the budget is spent.
 
-        Any host may know any version still, any disk may be told of it, and whom a host reaches
-        first is not up to us.
+        Covers every version that a host may still have, and every order in which it may reach
+        disks.
         """
         if self.committed() + TOKENS <= BUDGET:
             return
@@ -389,7 +392,7 @@
         return verdict is Verdict.TAKEN
 
     def knowing_last(self) -> list[Disk]:
-        """Returns the disks that know of the last turn that was granted tokens and used some."""
+        """Returns the disks with the reservation of the last granted turn that used tokens."""
         granted = [turn.attempt for turn in self.turns if turn.is_granted and turn.tokens]
         return [disk for disk in self.disks if granted and granted[-1] in disk.open_by_attempt]
 
@@ -397,7 +400,7 @@
         return [disk.me.host for disk in self.disks if turn.attempt in disk.turns]
 
     def is_called_unknown(self, turn: Turn, entry: str) -> bool:
-        """Whether a host is sure that there is no such turn: all that it asks answer so."""
+        """Returns whether a host would report the turn as unknown: no disk that it asks has it."""
         known = self.set_by_entry[entry]
         members = {one.host for one in known.members}
         near = {host for host in self.disk_by_host if self.meet(entry, host)}
--- a/tests/lib/fence_mutants.py
+++ b/tests/lib/fence_mutants.py
@@ -1,7 +1,7 @@
-"""``python -m tests.lib.fence_mutants --help``: how many draws each rule of the fence needs.
+"""``python -m tests.lib.fence_mutants --help``: mutation tests of the disk fence's model.
 
-Takes one rule after the other out of a scratch copy of the sources, draws orders of events on it
-from fresh seeds until an invariant breaks, and prints a row of a table.
+Removes one rule at a time from a scratch copy of the sources, draws event orders on it until an
+invariant fails, and prints a table row with the number of draws for each seed.
 """
 
 import argparse
@@ -70,7 +70,7 @@
 
 
 def draws_needed(folder: Path, seed: int, most: int) -> str:
-    """Returns how many orders of events were drawn until one broke an invariant."""
+    """Returns how many event orders were drawn until one violated an invariant."""
     ended = subprocess.run(
         [sys.executable, "-c", PLAY, str(most), str(seed)],
         cwd=ROOT,
@@ -87,12 +87,14 @@
 
 
 def main() -> int:
-    """Draws and prints."""
+    """Prints the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--copy", type=Path, required=True, help="a scratch folder")
     parser.add_argument("--seeds", type=int, nargs="*", default=[1, 2, 3])
-    parser.add_argument("--most", type=int, default=2000, help="draws a seed")
-    parser.add_argument("--only", nargs="*", default=[], help="rules; all where none is named")
+    parser.add_argument("--most", type=int, default=2000, help="most draws for a seed")
+    parser.add_argument(
+        "--only", nargs="*", default=[], help="rules to remove; all if none is given"
+    )
     options = parser.parse_args()
     print(f"| without | {' | '.join(f'seed {seed}' for seed in options.seeds)} |")
     for rule in options.only or ["", *EDITS_BY_RULE]:
--- a/tests/lib/jumping_clock.py
+++ b/tests/lib/jumping_clock.py
@@ -1,4 +1,4 @@
-"""A time of day that jumps at each reading, by hours and back."""
+"""A wall clock that jumps at each reading, by up to hours."""
 
 import itertools
 import time
@@ -17,7 +17,7 @@
 
 
 def jump(monkeypatch: pytest.MonkeyPatch, kind: str = "to and fro") -> None:
-    """Makes the time of day jump for the rest of a test; steady clocks stay steady."""
+    """Makes the wall clock jump for the rest of a test; monotonic clocks are unaffected."""
     true_time_s, true_time_ns = time.time, time.time_ns
     jumps = JUMPS_BY_KIND[kind]()
     monkeypatch.setattr(time, "time", lambda: true_time_s() + next(jumps))
--- a/tests/lib/log_lines.py
+++ b/tests/lib/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines that are collected while something runs in this process."""
+"""Captures the log messages of this process."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -11,7 +11,7 @@
 
 @contextmanager
 def collected_lines() -> Iterator[list[Line]]:
-    """Gives a list that grows with each line, until the block ends."""
+    """Yields a list to which log messages are appended until the block ends."""
     lines: list[Line] = []
     eliot.add_destinations(lines.append)
     try:
@@ -21,5 +21,5 @@
 
 
 def told(lines: list[Line], kind: str) -> list[Line]:
-    """Returns the lines of one kind."""
+    """Returns the messages of one type."""
     return [line for line in lines if line.get("message_type") == kind]
--- a/tests/lib/made_log.py
+++ b/tests/lib/made_log.py
@@ -1,4 +1,4 @@
-"""Makes logs of any length: ``python -m tests.lib.made_log 200000 FOLDER``."""
+"""Generates logs of any length: ``python -m tests.lib.made_log 200000 FOLDER``."""
 
 import random
 import sys
@@ -11,13 +11,13 @@
 ENDPOINTS = 30
 TURNS_OF_A_PROGRAM = 8
 LINES_PER_S = 900
-"""Of all hosts together: 10 MB a minute, as a large site writes."""
+"""Rate of all hosts together: about 10 MB a minute, as on a large site."""
 
 
 def made_lines(
     count: int, troubled: float, endpoints: int = ENDPOINTS, seed: int = 1
 ) -> Iterator[tuple[str, bytes]]:
-    """Yields hosts and lines in time order; ``troubled`` is the share of requests with trouble."""
+    """Yields hosts and lines in time order; ``troubled`` is the share of failing requests."""
     source = random.Random(seed)
     made = 0
     for number in range(endpoints):
@@ -59,7 +59,7 @@
 
 
 def write_log(folder: Path, count: int, troubled: float, endpoints: int = ENDPOINTS) -> list[Path]:
-    """Writes a file a host; returns them."""
+    """Writes one file for each host and returns the paths."""
     lines_by_host: dict[str, list[bytes]] = {}
     for host, line in made_lines(count, troubled, endpoints):
         lines_by_host.setdefault(host, []).append(line)
--- a/tests/lib/odd_objects.py
+++ b/tests/lib/odd_objects.py
@@ -1,4 +1,4 @@
-"""Objects as other writers may leave them in the store: each form with a name of its own."""
+"""Invalid objects, as other writers may leave them in the store, by description."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
     "cold_left_ms": 0,
     "seq": 4,
 }
-"""An entry that is well."""
+"""A valid entry."""
 
 
 def _with(**fields: Any) -> bytes:
@@ -93,7 +93,7 @@
     "not ASCII": "i-é",
     "4000 signs": "i" * 4000,
 }
-"""Names of entries that can't be an endpoint's id: it goes out in a header."""
+"""Names of entries that are invalid as endpoint ids, which are sent in a header."""
 
 
 def odd_configuration(**fields: Any) -> bytes:
@@ -128,7 +128,7 @@
     "a route without a path": odd_route(path_prefix=None),
     "a route whose path has no slash at its end": odd_route(path_prefix="/chat"),
 }
-"""Configurations that can't be used: the one in force stays."""
+"""Invalid configurations; the one in force stays."""
 
 CLOSING_ROUTE_FIELDS_BY_FORM: dict[str, dict[str, Any]] = {
     "route_kind missing": {"route_kind": None},
@@ -153,4 +153,4 @@
     "split with a negative weight": {"split": [{"service": "llm", "weight": -1}]},
     "split with weights of 0": {"split": [{"service": "llm", "weight": 0}]},
 }
-"""Fields of a route whose place is known and that can't be read otherwise."""
+"""Invalid fields of a route whose host and path are valid: only this route is disabled."""
--- a/tests/lib/platform_data.py
+++ b/tests/lib/platform_data.py
@@ -1,4 +1,4 @@
-"""Settings files and configurations as the users' platform writes them."""
+"""Settings files and configurations in the format of the users' platform."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -93,7 +93,7 @@
     halls: tuple[str, ...] = ("north", "south"),
     bounds: Mapping[str, object] | None = None,
 ) -> str:
-    """Returns a settings file; ``bounds`` stand beside the usual ones."""
+    """Returns a settings file; ``bounds`` are added to the default ones."""
     more_bounds = "\n".join(
         f"{name} = {str(value).lower()}" for name, value in (bounds or {}).items()
     )
--- a/tests/lib/platform_engine.py
+++ b/tests/lib/platform_engine.py
@@ -1,4 +1,4 @@
-"""Stand-ins of an engine and of a plain service that speak the users' platform's calls."""
+"""Fake engine and fake plain service with the HTTP interface of the users' platform."""
 
 import asyncio
 import itertools
@@ -13,13 +13,13 @@
 
 @attrs.define
 class Run:
-    """One request that was worked on.
+    """One execution of a request.
 
     Attributes:
-        made: the events that left the engine whole, byte for byte.
-        cut: what left of an event in whose middle it broke off.
-        number: runs of all engines are counted in the order in which they began.
-        began_s: when, on the steady clock.
+        made: the complete events that were sent, byte for byte.
+        cut: the part sent of an event that was truncated.
+        number: sequence number over the runs of all engines, by start.
+        began_s: start time, on the monotonic clock.
     """
 
     attempt: str
@@ -36,18 +36,18 @@
 
 @attrs.define
 class EngineTroubles:
-    """What goes wrong; lists of attempts count down.
+    """Faults of an engine.
 
     Attributes:
-        full: so many requests are turned away as not run.
-        breaks_after: streams break off after so many events.
-        loses_answers: so many requests run, and their connection is cut.
-        pause_s: before the answer, and between events.
-        cuts_events: a stream that breaks off does so in the middle of its next event.
-        cut_at: the bytes of that event that still leave; counted from its end where negative.
-        ends_well: an answer that was cut in an event ends as a whole one does.
-        silent_after: streams fall silent for good after so many events.
-        resumes_off_by: a resumed stream begins so many events too late, or too early.
+        full: number of requests still to be refused with 503 as not executed.
+        breaks_after: number of events after which streams are broken.
+        loses_answers: number of requests still to be executed without an answer.
+        pause_s: delay before the answer and between events.
+        cuts_events: whether a broken stream ends within its next event.
+        cut_at: end of the slice of that event that is still sent.
+        ends_well: whether such a stream ends without a connection error.
+        silent_after: number of events after which streams stall for good.
+        resumes_off_by: added to the number of the first event of a resumed stream.
     """
 
     full: int = 0
@@ -62,7 +62,7 @@
 
 
 class PlatformEngine(StandinServer):
-    """Streams events on ``/chat/`` and ``/draft/``, and answers whole elsewhere."""
+    """Streams events on ``/chat/`` and ``/draft/``; gives plain answers on other paths."""
 
     def __init__(self, instance: str, service: str, events: int = 3) -> None:
         super().__init__()
@@ -93,13 +93,13 @@
         }
 
     def event(self, stream: int, number: int) -> bytes:
-        """Returns one event of one of its streams, as it goes out."""
+        """Returns the bytes of one event."""
         return f"id: {number}\ndata: r{stream}e{number}\n\n".encode()
 
     async def restart(self, born_ms: int | None, moves: bool = False) -> None:
-        """Starts again under its id; connections to the former start stay open and say nothing.
+        """Restarts under its id; connections of the former incarnation stay open and stall.
 
-        Where it ``moves``, nobody listens at the former address.
+        If it ``moves``, it listens on a new port instead of the former one.
         """
         self.born_ms = born_ms
         self._start += 1
@@ -112,13 +112,13 @@
             self.port = self._runner.addresses[-1][1]
 
     async def _start_of(self, request: web.Request) -> int:
-        """Returns the start that a connection leads to; waits for good if that is over."""
+        """Returns the incarnation that a connection belongs to; stalls if that has ended."""
         start = self._start_by_connection.setdefault(request.transport, self._start)
         await self._live(start)
         return start
 
     async def _live(self, start: int, pause_s: float = 0.0) -> None:
-        """Pauses, and goes on only at the start that the request came to."""
+        """Pauses, then stalls unless the request's incarnation is the current one."""
         await asyncio.sleep(pause_s)
         if start != self._start:
             await asyncio.sleep(3600)
--- a/tests/lib/platform_site.py
+++ b/tests/lib/platform_site.py
@@ -1,4 +1,4 @@
-"""A whole small site on loopback: the platform's store, engines, disk hosts, entry hosts."""
+"""A small site on loopback: the platform's store, endpoints, disk hosts and entry hosts."""
 
 import asyncio
 import itertools
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class Reply:
-    """What a caller got; ``is_whole`` says whether the answer ended as it should."""
+    """A caller's answer; ``is_whole`` tells whether it was received completely."""
 
     status: int
     body: bytes
@@ -36,13 +36,13 @@
 
     @property
     def said(self) -> bytes:
-        """The data of the events, each with a line feed behind."""
+        """The data lines of the events, each followed by a line feed."""
         lines = self.body.split(b"\n")
         return b"".join(line[6:] + b"\n" for line in lines if line.startswith(b"data: "))
 
 
 class PlatformSite:
-    """Starts everything; hosts are told apart by loopback addresses, as machines are by theirs."""
+    """Runs all hosts in this process, each on a loopback address of its own."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self._halls = halls
         self._bounds = bounds
         self._folder = folder
-        # Suites that run side by side, and soaks, must not meet.
+        # Concurrent test runs and soaks must not share addresses.
         self._net = f"127.{next(_sites) % 100 + 100}.{os.getpid() % 250 + 1}"
         self.store = PlatformStoreServer()
         self.engines = [PlatformEngine("i-llm-1", "llm"), PlatformEngine("i-llm-2", "llm")]
@@ -84,7 +84,7 @@
                 for entry in self.entry_by_name.values()
             )
         )
-        # Within a second of a first start, long before callers come.
+        # Disks must catch up soon after a first start, before callers arrive.
         await self.until(
             lambda: all(disk._disk.fence.has_caught_up for disk in self.disk_by_name.values()),
             limit_s=2.0,
@@ -126,14 +126,14 @@
         return read_settings(path).ok
 
     async def start_entry(self, name: str, first_start: bool = False) -> EntryProgram:
-        """Starts a host; ``first_start`` where the whole system starts for the first time."""
+        """Starts an entry host; ``first_start`` if the whole system starts for the first time."""
         program = EntryProgram(self._settings(name, first_start, ""))
         await program.start()
         self.entry_by_name[name] = program
         return program
 
     async def crash_entry(self, name: str) -> None:
-        """Ends a host without any of its planned stop."""
+        """Stops an entry host without the steps of a planned stop."""
         program = self.entry_by_name.pop(name)
         gateway = program._gateway
         await gateway.gossip.stop()
@@ -248,7 +248,7 @@
     halls: tuple[str, ...] = ("north", "south"),
     bounds: Mapping[str, object] | None = None,
 ) -> None:
-    """Starts a site, plays a scenario and stops the site."""
+    """Starts a site, runs a scenario on it and stops the site."""
 
     async def main() -> None:
         site = PlatformSite(folder, entries, disks, halls, bounds)
--- a/tests/lib/platform_store.py
+++ b/tests/lib/platform_store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the users' platform's store, with the troubles that it may have."""
+"""Fake server of the users' platform's object store, with injectable faults."""
 
 import asyncio
 import json
@@ -12,15 +12,15 @@
 
 @attrs.define
 class StoreTroubles:
-    """What goes wrong: each may be switched on at any time.
+    """Faults of the store; each may be switched at any time.
 
     Attributes:
-        down: every call's connection is cut.
-        silent: no call is answered, and nothing is done.
-        loses_answers: writes are done, and their connection is cut.
-        refuses_with: every call gets this status.
-        hangs_watches: a watch hears nothing until its wait is over.
-        says: every call is answered with these bytes.
+        down: aborts the connection of every call.
+        silent: neither answers nor executes any call.
+        loses_answers: executes writes, then aborts their connections.
+        refuses_with: HTTP status of every answer; 0 for none.
+        hangs_watches: watches return no events until they time out.
+        says: body of every answer; empty for none.
     """
 
     down: bool = False
@@ -32,7 +32,7 @@
 
 
 class PlatformStoreServer(StandinServer):
-    """Objects by kind and name, lists, watches, conditions."""
+    """Objects by kind and name, with lists, watches and conditional writes."""
 
     def __init__(self, port: int = 0) -> None:
         super().__init__(port)
@@ -49,7 +49,7 @@
     def address(self) -> str:
         return f"127.0.0.1:{self.port}"
 
-    # ---- what operators and engines do ----
+    # ---- writes by operators and engines ----
 
     def put(self, kind: str, name: str, spec: Any) -> None:
         """Writes an object's spec."""
@@ -74,21 +74,21 @@
         return self._objects[kind, name]["status"]
 
     def forget_history(self) -> None:
-        """Drops the history; watches that stand behind it get 410."""
+        """Compacts the history; watches from earlier revisions get status 410."""
         self.oldest_revision = self.revision
         self._history.clear()
         self._wake()
 
     def go_away(self) -> None:
-        """Answers nothing from now on; what is under way is never answered, also later."""
+        """Stops answering; calls in progress are never answered, even after the return."""
         self._outages += 1
         self.troubles.silent = True
 
     def come_back(self) -> None:
-        """Answers calls that come from now on."""
+        """Answers new calls again."""
         self.troubles.silent = False
 
-    # ---- the calls ----
+    # ---- HTTP handlers ----
 
     def add_routes(self, app: web.Application) -> None:
         app.router.add_get("/-/objects/{kind}", self._list)
@@ -210,6 +210,6 @@
 
 
 def _json(body: Any, status: int = 200) -> web.Response:
-    # The standard library writes what other writers leave, however deep and whatever its text.
+    # The standard library also writes deeply nested objects and unusual text, unlike orjson.
     text = json.dumps(body).encode()
     return web.Response(body=text, status=status, content_type="application/json")
--- a/tests/lib/proof_model.py
+++ b/tests/lib/proof_model.py
@@ -1,10 +1,9 @@
-"""A drawn model of hosts that prove to each other that their configuration is the newest.
+"""Stateful model of hosts that confirm to each other that their configuration is current.
 
-Time is real time; each host has a clock of its own, which begins anywhere and runs at its own rate.
-Questions and answers wait on their way as long as they like, and get lost; hosts freeze, so that
-what comes for them waits, and their clocks run on. The decisions are the product's own. All that
-happens is drawn as steps with delays and played in the order of time; after each of them it is
-worked out until when each host would let keys in, and which were taken away too long before.
+Each host has a clock with its own offset and rate. Messages may be delayed or lost; a frozen host
+handles messages later while its clock runs on. The decisions are those of the source. Events are
+drawn with delays and played in order of time; after each of them an invariant checks that no host
+would accept a key longer than the bound after its revocation.
 """
 
 import heapq
@@ -24,10 +23,10 @@
 )
 
 BOUND_S = 5.0
-"""How long a key may be served after it was taken away."""
+"""A key may be accepted so long after its revocation."""
 
 WORST_RATE = 0.02
-"""Part by which a clock may be fast or slow."""
+"""Largest relative error of a clock's rate."""
 
 HOSTS = 3
 hosts = st.integers(0, HOSTS - 1)
@@ -36,7 +35,7 @@
 
 @attrs.define
 class Host:
-    """One host: its clock, what it knows, until when it is frozen and how long it was."""
+    """One host: its clock, its configuration and proofs, and its frozen time."""
 
     rate: float
     offset_s: float
@@ -47,12 +46,12 @@
 
 
 class ProofModel(RuleBasedStateMachine):
-    """The guards, each in a method of its own, so that mutants can leave one out."""
+    """The model; each guard is a method, so that a mutant can override it."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_s = 100.0
-        # When the store took each revision; every one takes a key away.
+        # Time of each revision's write; every revision revokes a key.
         self.taken_s = [0.0]
         self.hosts = [Host(1.0 + (n - 1) * WORST_RATE, 1000.0 * n) for n in range(HOSTS)]
         self._due: list[tuple[float, int, Callable[[], None]]] = []
@@ -61,35 +60,35 @@
     # ---- the guards ----
 
     def clock_s(self, host: Host) -> float:
-        """Runs on while the host is frozen."""
+        """Returns the host's clock, which runs on while the host is frozen."""
         return host.offset_s + self.now_s * host.rate
 
     def store_proof(self, revision: int, asked_s: float, got_s: float) -> FreshnessProof:
-        """Counts from when the store was asked."""
+        """Dates a proof by the time of the request to the store."""
         return FreshnessProof(revision, asked_s)
 
     def peer_proof(
         self, revision: int, age_s: float, asked_s: float, got_s: float
     ) -> FreshnessProof:
-        """Counts from when the peer was asked, and from the age that it told."""
+        """Dates a proof by the time of the request to the peer, less the age that it reported."""
         return confirmed_by_peer(revision, age_s, asked_s)
 
     def knows_enough(self, host: Host) -> int:
-        """The revision up to which proofs count."""
+        """Returns the newest revision of which proofs are valid at the host."""
         return host.known_revision
 
     def bound_s(self) -> float:
-        """The oldest proof that lets a key in."""
+        """Returns the largest age of a proof with which keys are accepted."""
         return proof_bounds(BOUND_S).admit_s
 
     def hear_nothing(self, host: Host) -> None:
-        """A watch ended without news: it proves nothing, for it may hang."""
+        """Handles a watch without updates; it proves nothing, as the watch may hang."""
 
-    # ---- what happens ----
+    # ---- events ----
 
     @rule(step_s=st.sampled_from([0.05, 0.5, 1.0, 2.5]))
     def time_passes(self, step_s: float) -> None:
-        """Plays what is due within the time."""
+        """Advances the time and runs the events that are due."""
         end_s = self.now_s + step_s
         while self._due and self._due[0][0] <= end_s:
             self.now_s, _, happens = heapq.heappop(self._due)
@@ -99,25 +98,25 @@
 
     @rule()
     def a_key_is_taken_away(self) -> None:
-        """Nobody hears of it yet."""
+        """Revokes a key in the store; no host knows of it yet."""
         self.taken_s.append(self.now_s)
 
     @rule(number=hosts, lag=st.integers(0, 1))
     def a_watch_tells(self, number: int, lag: int) -> None:
-        """A host learns of all revisions, or of all but the newest."""
+        """Delivers all revisions to a host, or all but the newest."""
         host = self.hosts[number]
         if self.runs(host):
             host.known_revision = max(host.known_revision, len(self.taken_s) - 1 - lag)
 
     @rule(number=hosts)
     def a_watch_is_silent(self, number: int) -> None:
-        """Its wait is over, and it has brought nothing."""
+        """Ends a watch without updates."""
         if self.runs(self.hosts[number]):
             self.hear_nothing(self.hosts[number])
 
     @rule(number=hosts, for_s=delays)
     def freezes(self, number: int, for_s: float) -> None:
-        """A host stands still, and what comes for it waits."""
+        """Freezes a host; its messages wait until it runs again."""
         host = self.hosts[number]
         if self.runs(host):
             host.frozen_until_s = self.now_s + for_s
@@ -125,7 +124,7 @@
 
     @rule(number=hosts, there_s=delays, back_s=delays)
     def the_store_is_asked(self, number: int, there_s: float, back_s: float) -> None:
-        """The question is on its way for a while, and so is its answer."""
+        """Asks the store for the configuration, with delays both ways."""
         host = self.hosts[number]
         if not self.runs(host):
             return
@@ -136,7 +135,7 @@
             self.at(self.now_s + back_s, lambda: self.runs_on(host, lambda: arrives(revision)))
 
         def arrives(revision: int) -> None:
-            # The store's answer holds the object itself.
+            # The store's answer contains the object itself.
             host.known_revision = max(host.known_revision, revision)
             host.proofs.record(self.store_proof(revision, asked_s, self.clock_s(host)))
 
@@ -144,7 +143,7 @@
 
     @rule(number=hosts, other=st.integers(1, HOSTS - 1), there_s=delays, back_s=delays)
     def a_peer_is_asked(self, number: int, other: int, there_s: float, back_s: float) -> None:
-        """The peer answers with its proof and that one's age."""
+        """Asks a peer, which answers with the revision and the age of its proof."""
         host, peer = self.hosts[number], self.hosts[(number + other) % HOSTS]
         if not self.runs(host):
             return
@@ -162,18 +161,18 @@
 
         self.at(self.now_s + there_s, lambda: self.runs_on(peer, answers))
 
-    # ---- inside ----
+    # ---- scheduling ----
 
     def runs(self, host: Host) -> bool:
-        """Tells whether a host is not frozen."""
+        """Returns whether a host is not frozen."""
         return self.now_s >= host.frozen_until_s
 
     def at(self, due_s: float, happens: Callable[[], None]) -> None:
-        """Plays something later."""
+        """Schedules an event."""
         heapq.heappush(self._due, (due_s, next(self._numbers), happens))
 
     def runs_on(self, host: Host, happens: Callable[[], None]) -> None:
-        """Plays something at a host, once it runs."""
+        """Runs an event at a host as soon as it is not frozen."""
         if self.runs(host):
             happens()
         else:
@@ -181,7 +180,7 @@
 
     @invariant()
     def no_key_is_let_in_too_late(self) -> None:
-        """Looks ahead: if nothing else happens, until when does each host let keys in?"""
+        """Checks until when each host would accept revoked keys if nothing else happened."""
         for host in self.hosts:
             age_s = host.proofs.age_s(self.knows_enough(host), self.clock_s(host))
             unknown = self.taken_s[host.known_revision + 1 :]
--- a/tests/lib/proof_mutants.py
+++ b/tests/lib/proof_mutants.py
@@ -1,18 +1,18 @@
-"""The model of proofs with one guard left out each."""
+"""Mutants of the proof model, each without one guard."""
 
 from bayhinge._internal.decisions.proof_age import FreshnessProof
 from tests.lib.proof_model import BOUND_S, Host, ProofModel
 
 
 class CountsFromTheAnswer(ProofModel):
-    """The store's answer counts from when it came."""
+    """Dates the store's proof by the arrival of the answer."""
 
     def store_proof(self, revision: int, asked_s: float, got_s: float) -> FreshnessProof:
         return FreshnessProof(revision, got_s)
 
 
 class GrowsYoungerOnTheWay(ProofModel):
-    """What a peer says counts from when it came."""
+    """Dates a peer's proof by the arrival of its answer."""
 
     def peer_proof(
         self, revision: int, age_s: float, asked_s: float, got_s: float
@@ -21,7 +21,7 @@
 
 
 class ForgetsThePeersAge(ProofModel):
-    """What a peer says counts from when the peer was asked."""
+    """Ignores the age that a peer reports."""
 
     def peer_proof(
         self, revision: int, age_s: float, asked_s: float, got_s: float
@@ -30,28 +30,28 @@
 
 
 class CountsWhatItDoesNotKnow(ProofModel):
-    """A proof of a later revision counts at once."""
+    """Accepts proofs of revisions that the host does not have."""
 
     def knows_enough(self, host: Host) -> int:
         return len(self.taken_s)
 
 
 class TakesSilenceForAProof(ProofModel):
-    """A watch that ended without news proves that there is none."""
+    """Takes a watch that ended without updates for a proof."""
 
     def hear_nothing(self, host: Host) -> None:
         host.proofs.record(FreshnessProof(host.known_revision, self.clock_s(host)))
 
 
 class StandsStillWhileFrozen(ProofModel):
-    """The clock counts only the time in which the process ran."""
+    """Uses a clock that stops while the process is frozen."""
 
     def clock_s(self, host: Host) -> float:
         return host.offset_s + (self.now_s - host.frozen_s) * host.rate
 
 
 class LeavesNoRoomForClocks(ProofModel):
-    """The whole bound is used."""
+    """Uses the whole bound, with no allowance for clock rates."""
 
     def bound_s(self) -> float:
         return BOUND_S
--- a/tests/lib/read_only_store.py
+++ b/tests/lib/read_only_store.py
@@ -1,10 +1,10 @@
-"""A store that is only read: whoever writes to it fails."""
+"""A store that supports only lists and changes."""
 
 from bayhinge.coordination.store import ObjectStore, StoredObject
 
 
 class ReadOnlyStore(ObjectStore):
-    """Refuses what a reader never asks for; lists and changes are a subclass's."""
+    """Raises on every other call; subclasses define lists and changes."""
 
     async def get(self, key: str) -> StoredObject | None:
         raise NotImplementedError
--- a/tests/lib/silence.py
+++ b/tests/lib/silence.py
@@ -1,4 +1,4 @@
-"""Open connections that fall silent for good, without a reset, while new ones work."""
+"""Silences open connections for good, without a reset, while new ones work."""
 
 import ctypes
 import os
@@ -9,13 +9,13 @@
 
 SO_ATTACH_FILTER = 26
 _DROP_ALL = struct.pack("HBBI", 0x06, 0, 0, 0)
-"""One instruction of the kernel's classic packet filter: take nothing of the packet."""
+"""One instruction of a classic BPF program: drop the packet."""
 
 
 def fall_silent(sock: socket.socket) -> None:
-    """Drops every packet that comes for a socket: its kernel side then acknowledges nothing.
+    """Drops every packet to a socket, so that the kernel acknowledges nothing.
 
-    Probes get no answer either, as behind a device that has forgotten the connection.
+    Keepalive probes get no answer either, as behind a NAT that has dropped the connection.
     """
     program = ctypes.create_string_buffer(_DROP_ALL)
     filter_program = struct.pack("HL", 1, ctypes.addressof(program))
@@ -23,9 +23,9 @@
 
 
 def silence_connections(listeners: Iterable[str]) -> int:
-    """Silences both ends of every open connection of this process to the listening addresses.
+    """Silences both ends of this process's open connections to the listening addresses.
 
-    Returns how many ends there were.
+    Returns the number of silenced sockets.
     """
     wanted = set(listeners)
     count = 0
@@ -35,7 +35,7 @@
                 continue
             sock = socket.socket(fileno=os.dup(int(descriptor.name)))
         except OSError:
-            # Closed since the folder was read.
+            # Closed since the directory was read.
             continue
         with sock:
             if wanted & _ends(sock):
@@ -45,7 +45,7 @@
 
 
 def _ends(sock: socket.socket) -> set[str]:
-    """Returns both addresses of an open TCP connection; none for other sockets."""
+    """Returns both addresses of an open TCP connection; an empty set for other sockets."""
     try:
         if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM:
             return set()
--- a/tests/lib/silent_store.py
+++ b/tests/lib/silent_store.py
@@ -1,4 +1,4 @@
-"""A store in virtual time that falls silent: calls under way then are never answered."""
+"""A fake store that can stop answering; calls in progress then time out."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -26,9 +26,9 @@
 
 @attrs.define
 class StoreTruth:
-    """What the store holds: one object and others beside it, and whether it answers.
+    """The objects of the store, and whether it answers.
 
-    All share one revision, as they do in the platform's store.
+    One revision counter covers all objects, as in the platform's store.
     """
 
     key: str
@@ -41,7 +41,7 @@
     )
 
     def put(self, key: str | None = None) -> None:
-        """Writes an object anew: the one, or another one."""
+        """Writes a new revision of an object, by default that of ``self.key``."""
         self.revision += 1
         self.revision_by_key[key or self.key] = self.revision
         self.changed.set()
@@ -55,7 +55,7 @@
         self.is_away = False
 
     def under(self, prefix: str, after_revision: int = 0) -> tuple[StoredObject, ...]:
-        """Returns the objects under a prefix that were written behind a revision."""
+        """Returns the objects under a prefix that were written after a revision."""
         return tuple(
             StoredObject(key, str(revision).encode(), revision)
             for key, revision in self.revision_by_key.items()
@@ -64,7 +64,7 @@
 
 
 class SilentStore(ReadOnlyStore, PollingStore):
-    """One process's client of the store; only reads."""
+    """A read-only client of the store, one for each host."""
 
     def __init__(self, truth: StoreTruth) -> None:
         self._truth = truth
--- a/tests/lib/watching_site.py
+++ b/tests/lib/watching_site.py
@@ -1,4 +1,4 @@
-"""Hosts that watch one store for their halls and tell each other of changes, in virtual time."""
+"""Hosts that watch one store for their halls and notify each other of changes."""
 
 import asyncio
 import itertools
@@ -25,7 +25,7 @@
 
 
 class SiteWays(Peers):
-    """Every host reaches every other."""
+    """Connections between all hosts."""
 
     def __init__(self) -> None:
         self.followers_by_address: dict[str, dict[str, PrefixFollower]] = {}
@@ -42,7 +42,7 @@
 
 
 class WatchingSite:
-    """Hosts that watch one store for their halls, and tell each other of changes."""
+    """Runs the followers of all hosts; each host has a store client of its own."""
 
     def __init__(self, halls: int, hosts_per_hall: int) -> None:
         self.truth = StoreTruth("config/main")
@@ -80,7 +80,7 @@
                 followers["config/"].observe_revision(teller.revision, address)
 
     async def greet_always(self, period_s: float) -> None:
-        """Each host receives heartbeats of one other after the other, as hosts do."""
+        """Delivers heartbeats: in each period, every host receives that of one other host."""
         addresses = list(self.ways.followers_by_address)
         for number in itertools.count(1):
             await asyncio.sleep(period_s)
@@ -91,7 +91,7 @@
                     told.observe_revision(follower.revision, other)
 
     def take_down(self, hosts: int) -> None:
-        """The first hosts do nothing any more."""
+        """Stops the first hosts."""
         for task in self.tasks[: hosts * len(PREFIXES)]:
             task.cancel()
         for address in list(self.ways.followers_by_address)[:hosts]:
@@ -111,7 +111,7 @@
         return loop.time() - began_s
 
     async def calls_within(self, seconds: float) -> int:
-        """Plays on for a time and stops; returns how often the store was called meanwhile."""
+        """Runs for a time, stops all followers and returns the number of store calls meanwhile."""
         before = sum(store.calls for store in self.stores)
         await asyncio.sleep(seconds)
         self.stop()
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The fault soak: real daemons as processes, faults from outside, promises checked meanwhile."""
+"""Soak tests: daemons run as processes under injected faults while invariants are checked."""
--- a/tests/soak/accounts.py
+++ b/tests/soak/accounts.py
@@ -1,7 +1,7 @@
-"""Client accounts of a soak: keys that callers bear, keys that are taken away, limits; and a check.
+"""Client accounts of a soak: API keys, revocations and rate limits, and checks on them.
 
-Three accounts: one keeps its keys and has no limit, one loses keys, one has a limit that
-changes. Some callers bear keys that were taken away or that never were.
+Three accounts: one with a permanent key and no limit, one whose keys are revoked, one whose
+rate limit changes. Some callers use revoked or unknown keys.
 """
 
 import itertools
@@ -18,7 +18,7 @@
 from tests.soak.ledger import Sent
 
 TAKEN_AWAY_S = 2.0
-"""How long a key may be served after the store has taken its end."""
+"""A key may be served so long after its revocation was written to the store."""
 
 WINDOW_S, OVERAGE, SLACK = 5.0, 0.1, 4.0
 BOUNDS = {
@@ -30,17 +30,17 @@
 }
 
 LIMITS = ((4.0, 4.0), (8.0, 4.0), (2.0, 2.0))
-"""Rates and bursts that the third account has by turns."""
+"""Rates (requests per second) and bursts of the limited account."""
 
 SETTLE_S = WINDOW_S + 3.0
-"""A lower limit binds a window after the version that sets it is in force."""
+"""A lower limit holds from one window after its configuration version is in force."""
 
 NEVER_KNOWN = "neverknownkey00000000"
 
 
 @attrs.define
 class Accounts:
-    """What the configuration says of accounts, and what it has said before."""
+    """The accounts of the current configuration, and the history of keys and limits."""
 
     source: random.Random
     steady: str = "steadykey0aaaaaaaaaaa"
@@ -52,7 +52,7 @@
     )
 
     def tenants(self) -> list[dict[str, Any]]:
-        """Returns the accounts as the platform's configuration has them."""
+        """Returns the accounts in the format of the platform's configuration."""
         rate, burst = self.limits[-1][1]
         return [
             {"name": "steady", "api_keys": [self.steady]},
@@ -64,7 +64,7 @@
         return [key for key in self.losing if key not in self.taken_s_by_key]
 
     def take_one_away(self) -> str | None:
-        """Takes a key away; the store must be told before anything else runs."""
+        """Revokes a key; the caller must write the configuration before its next await."""
         left = self._left()
         if not left:
             return None
@@ -72,11 +72,11 @@
         return left[0]
 
     def change_limit(self) -> None:
-        """Sets another limit; the store must be told before anything else runs."""
+        """Sets another limit; the caller must write the configuration before its next await."""
         self.limits.append((time.monotonic(), self.source.choice(LIMITS)))
 
     def key_of(self, program: str) -> str:
-        """Returns the key that a program's caller bears."""
+        """Returns the key that a program's caller sends."""
         drawn = random.Random(program).random()
         if drawn < 0.4:
             return self.steady
@@ -84,20 +84,20 @@
             return self.limited
         if drawn < 0.6:
             return NEVER_KNOWN
-        # The next to go, so that a key goes while programs use it, and some callers go on.
+        # The key that is revoked next, so that keys are revoked while programs use them.
         left = self._left() or self.losing
         return left[0]
 
     def name_of(self, key: str) -> str | None:
-        """Returns the account that has, or had, a key."""
+        """Returns the account that a key belongs to or belonged to."""
         if key in self.losing:
             return "losing"
         return {self.steady: "steady", self.limited: "limited"}.get(key)
 
-    # ---- what must hold ----
+    # ---- checks ----
 
     def check(self, sent: dict[str, Sent], runs: list[Run], logs: Iterable[Path]) -> list[str]:
-        """Returns every promise on keys and limits that was broken."""
+        """Returns the violations of rules on keys and limits."""
         return [
             *itertools.chain.from_iterable(
                 self._check_run(sent.get(run.attempt), run) for run in runs
@@ -112,18 +112,18 @@
             return
         named = [value for name, value in run.headers if name.lower() == "bayhinge-tenant"]
         if named != [self.name_of(sent.key)]:
-            yield f"{run.attempt}: ran for {named}, its key is of {self.name_of(sent.key)}"
+            yield f"{run.attempt}: ran for {named}, its key belongs to {self.name_of(sent.key)}"
         if any(name.lower() == "authorization" for name, _ in run.headers):
-            yield f"{run.attempt}: an endpoint was shown its key"
+            yield f"{run.attempt}: its key was sent to an endpoint"
         taken_s = self.taken_s_by_key.get(sent.key)
         if taken_s is not None and sent.sent_s - taken_s > TAKEN_AWAY_S:
             late_s = sent.sent_s - taken_s
-            yield f"{run.attempt}: sent {late_s:.2f} s after its key was taken away, and it ran"
+            yield f"{run.attempt}: sent {late_s:.2f} s after its key was revoked, and it ran"
 
     def _check_refusals(self, sent: Iterable[Sent]) -> Iterator[str]:
         for one in sent:
             if one.status == 401 and one.key in {self.steady, self.limited}:
-                yield f"{one.attempt}: refused with 401, and its key counts"
+                yield f"{one.attempt}: refused with 401 although its key is valid"
 
     def _check_limit(self, sent: dict[str, Sent], runs: list[Run]) -> Iterator[str]:
         began_s_by_attempt: dict[str, float] = {}
@@ -136,11 +136,11 @@
             count = sum(from_s <= one < from_s + WINDOW_S for one in times[number:])
             if count > self._allowed(from_s):
                 most = self._allowed(from_s)
-                yield f"{count} of a limited account ran in {WINDOW_S} s, {most:.0f} may"
+                yield f"{count} limited requests ran in {WINDOW_S} s, {most:.0f} may"
                 return
 
     def _allowed(self, from_s: float) -> float:
-        """The highest limit that may still bind some host within a window that begins then."""
+        """Returns the most requests that may be admitted in a window that begins at ``from_s``."""
         until_s = from_s + WINDOW_S
         last = max((at for at, _ in self.limits if at <= from_s - SETTLE_S), default=0.0)
         open_limits = [limit for at, limit in self.limits if last <= at <= until_s]
@@ -152,4 +152,4 @@
         for path in logs:
             written = path.read_bytes()
             if any(secret in written for secret in secrets):
-                yield f"{path.name}: a key, or its digest, was written"
+                yield f"{path.name}: contains a key or its digest"
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that play programs over kept connections, and note what they see."""
+"""Callers that run programs over persistent connections and record the answers."""
 
 import asyncio
 import itertools
@@ -16,17 +16,17 @@
 CALL_S = 3.0
 
 MOST_TOKENS = 9
-"""What the stand-in's streams come to: a budget leaves no room for a turn that is not counted."""
+"""Tokens of one stream of the stand-in engine, so that an uncounted turn exceeds the budget."""
 
 TRIES = 6
 
 
 @attrs.define
 class Callers:
-    """Plays programs until it is told to stop.
+    """Runs programs until ``is_stopping`` is set.
 
-    Some callers leave a host as soon as they may know that it stops; others use it, and their
-    connections to it, until its process is gone.
+    Some callers stop using a host once they can see that it is leaving; others keep using it,
+    and their connections to it, until its process has exited.
     """
 
     entries: list[Daemon]
@@ -40,7 +40,7 @@
     _numbers: "itertools.count[int]" = attrs.field(factory=itertools.count)
 
     async def play(self, name: str, stays: bool) -> None:
-        """Plays one program after the other, over connections of its own."""
+        """Runs one program after the other over connections of its own."""
         if stays:
             self._staying.add(name)
         async with aiohttp.ClientSession() as session:
@@ -104,7 +104,7 @@
         return None
 
     async def _draft(self, session: aiohttp.ClientSession, program: str, budget: int) -> None:
-        """Asks for a stream that may be resumed, and goes on behind its last event if it breaks."""
+        """Requests a resumable stream, and resumes it after its last event if it breaks."""
         headers = {
             "Bayhinge-Program-Id": program,
             "Bayhinge-Session-Id": program,
@@ -130,7 +130,7 @@
         await self._send(session, sent, f"/{kind}/x", {"Bayhinge-Program-Id": program})
 
     def _new(self, kind: str, body: bytes, program: str) -> Sent:
-        # A caller keeps off hosts that it knows to be gone, as the platform's callers do.
+        # Like the platform's callers, avoids hosts that are known to be down.
         stays = program.rpartition("-")[0] in self._staying
         well = [
             entry for entry in self.entries if not entry.is_hurt and (stays or not entry.is_leaving)
--- a/tests/soak/daemons.py
+++ b/tests/soak/daemons.py
@@ -1,4 +1,4 @@
-"""Starts entry and disk hosts as real processes, and ends only these, by their ids."""
+"""Starts entry and disk hosts as real processes, and stops only these, by their pids."""
 
 import asyncio
 import os
@@ -19,11 +19,11 @@
 
 @attrs.define
 class Daemon:
-    """One host: its settings, its process, and whether it may be counted on.
+    """One host: its settings, its process and whether a fault affects it.
 
-    ``is_hurt`` is set while a fault of its own is under way, and stays set after a kill
-    until the host is back; ``is_leaving`` from when all callers may know of a planned stop until
-    the process is gone.
+    Attributes:
+        is_hurt: a fault affects this host; after a kill, until the host has recovered.
+        is_leaving: a planned stop is visible to all callers and the process has not exited yet.
     """
 
     name: str
@@ -65,10 +65,10 @@
         self.starts += 1
 
     async def until_listening(self) -> None:
-        """Waits until an entry host takes callers' connections.
+        """Waits until an entry host accepts connections of callers.
 
         Raises:
-            TimeoutError: it does not within the time that a start may take.
+            TimeoutError: it does not within ``START_S``.
         """
         async with asyncio.timeout(START_S):
             while True:
@@ -85,24 +85,24 @@
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """Ends the process as a crash does."""
+        """Kills the process, also if it is stopped by SIGSTOP."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         if self.process is not None:
             await self.process.wait()
 
     async def stop(self) -> int:
-        """Asks for a planned stop and waits for its end."""
+        """Requests a planned stop, waits for the exit and returns the exit status."""
         self.send(signal.SIGTERM)
         assert self.process is not None
         return await self.process.wait()
 
     def wipe(self) -> None:
-        """Loses the disk; the process must be down."""
+        """Deletes the data folder; the process must not run."""
         shutil.rmtree(self.data_folder, ignore_errors=True)
 
     def limit_files(self, size: int | None) -> None:
-        """Makes the disk refuse writes beyond ``size`` bytes a file; None ends it."""
+        """Limits files of the process to ``size`` bytes, so that writes fail; None lifts it."""
         _, hard = resource.prlimit(self.pid, resource.RLIMIT_FSIZE)
         soft = hard if size is None else size
         resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (soft, hard))
--- a/tests/soak/endpoint_faults.py
+++ b/tests/soak/endpoint_faults.py
@@ -1,4 +1,4 @@
-"""Faults of endpoints: they break off, leave, start again; others write odd entries for them."""
+"""Faults of endpoints: broken streams, departures, restarts, invalid entries in the store."""
 
 import asyncio
 import itertools
@@ -13,15 +13,15 @@
 from tests.soak.proxy import Proxy, Trouble
 
 EVENT_CUTS = (1, 4, 5, 6, 12, -9, -4, -2, -1)
-"""Where an event is cut: in its first line, between lines, before its end."""
+"""Offsets at which an event is cut: in its first line, between lines, before its terminator."""
 
 STREAMING = "llm"
-"""The service whose endpoints answer with streams."""
+"""Name of the service whose endpoints stream."""
 
 
 @attrs.define
 class EndpointFaults:
-    """Each kind, and a series of each that runs beside the others."""
+    """Injects faults of endpoints; each method is one kind."""
 
     source: random.Random
     store: PlatformStoreServer
@@ -32,11 +32,11 @@
     _lock_by_endpoint: dict[Endpoint, asyncio.Lock] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Starts, and odd entries, of one endpoint come one after the other."""
+        """Creates the locks that serialize restarts and entry writes of an endpoint."""
         self._lock_by_endpoint = {endpoint: asyncio.Lock() for endpoint in self.endpoints}
 
     def series(self) -> list[Callable[[], Awaitable[None]]]:
-        """Returns the kinds; each is played again and again."""
+        """Returns the kinds of faults; the caller repeats each of them."""
         return [
             self.trouble_engine,
             self.break_streams,
@@ -46,7 +46,7 @@
         ]
 
     async def trouble_engine(self) -> None:
-        """The way to one endpoint, or the endpoint itself."""
+        """Disturbs the connections to one endpoint, or the endpoint itself."""
         endpoint = self.source.choice(self.endpoints)
         engine, proxy = endpoint.engine, endpoint.proxy
         kind = self.source.choice(["reset", "delay", "full", "lost", "leaves"])
@@ -66,9 +66,9 @@
                 self.store.put("servers", engine.instance, endpoint.entry())
 
     async def break_streams(self) -> None:
-        """Streams of one endpoint, or of all, break off; mostly in the middle of an event.
+        """Breaks the streams of one endpoint or of all, mostly in the middle of an event.
 
-        Now and then an endpoint that goes on with a stream gives an event again.
+        Some endpoints repeat an event when they resume a stream.
         """
         streaming = [one for one in self.endpoints if one.engine.service == STREAMING]
         one = self.source.choice(streaming)
@@ -89,7 +89,7 @@
             endpoint.engine.troubles.resumes_off_by = 0
 
     async def start_again(self) -> None:
-        """An endpoint crashes in the middle of its streams and starts again, once or twice."""
+        """Crashes an endpoint in the middle of its streams and restarts it, once or twice."""
         endpoint = self.source.choice(self.endpoints)
         async with self._lock_by_endpoint[endpoint]:
             for _ in range(self.source.choice((1, 1, 2))):
@@ -108,14 +108,14 @@
             endpoint.proxy = Proxy("127.0.0.1", 0)
             await endpoint.proxy.start()
         await endpoint.start_again()
-        # Its entry comes at once, or after the hosts have found it by themselves.
+        # Its entry is written at once, or after hosts have detected the restart themselves.
         await asyncio.sleep(self.source.choice((0.0, 0.0, 0.5)))
         self.store.put("servers", endpoint.engine.instance, endpoint.entry())
         if moves:
             await former.stop()
 
     async def _start_again_behind_a_cut(self, endpoint: Endpoint) -> None:
-        """Hosts hear nothing of its end: what was open stays open, and says nothing more."""
+        """Restarts while partitioned: open connections stay open and pass no more data."""
         endpoint.proxy.set_trouble(Trouble.SILENT)
         endpoint.proxy.silence_open_connections()
         await endpoint.engine.crash()
@@ -127,7 +127,7 @@
         self.store.put("servers", endpoint.engine.instance, endpoint.entry())
 
     async def exchange_addresses(self) -> None:
-        """Two endpoints start again, each at the other's address: of its service, or another."""
+        """Restarts two endpoints, of one service or of two, each at the other's address."""
         one, other = self.source.sample(self.endpoints, 2)
         first, second = sorted((one, other), key=self.endpoints.index)
         async with self._lock_by_endpoint[first], self._lock_by_endpoint[second]:
@@ -140,7 +140,7 @@
                 self.store.put("servers", endpoint.engine.instance, endpoint.entry())
 
     async def write_odd_entry(self) -> None:
-        """An entry that names no endpoint: a new one, or over a good one, which comes back."""
+        """Writes an invalid entry, under a new name or in place of a valid one for a while."""
         endpoint = self.source.choice(self.endpoints)
         good = endpoint.engine.entry() | {"address": f"127.0.0.1:{self.never.port}"}
         spec = odd_entry(good, self.source)
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under their ids, behind ways that may be cut; and one never to use."""
+"""Restartable endpoints behind proxies, and a decoy that must receive no request."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 
 
 class RestartingEngine(PlatformEngine):
-    """An engine whose every event tells which start made it, and that may crash at any moment."""
+    """An engine that can crash at any time; its events name the incarnation that sent them."""
 
     def __init__(self, instance: str, service: str) -> None:
         super().__init__(instance, service)
@@ -20,25 +20,25 @@
         self._transports: set[asyncio.BaseTransport] = set()
 
     async def on_start(self) -> None:
-        """Listens, as a start that knows nothing of former ones."""
+        """Starts listening as a new incarnation."""
         self.starts += 1
         self._seq = 0
-        # Two starts within a millisecond are two starts.
+        # Two incarnations must differ, also if they start within one millisecond.
         self.born_ms = max((self.born_ms or 0) + 1, time.time_ns() // 1_000_000)
         await super().on_start()
 
     def entry(self, state: str = "ready") -> dict[str, object]:
-        """Returns its entry, with the moment of its start."""
+        """Returns its entry, with its start time."""
         self._seq += 1
         return super().entry(state) | {"born": self.born_ms, "seq": self._seq}
 
     def event(self, stream: int, number: int) -> bytes:
-        """Returns an event that no other run of any start has."""
+        """Returns an event that is unique over all runs and incarnations."""
         mark = f"{self.instance}-{self.starts}-{stream}"
         return f"id: {number}\ndata: {mark} piece {number}\n\n".encode()
 
     async def crash(self) -> None:
-        """Ends as a killed process does: in the middle of whatever it does."""
+        """Aborts all connections and stops listening, like a killed process."""
         for transport in list(self._transports):
             if isinstance(transport, asyncio.WriteTransport):
                 transport.abort()
@@ -47,7 +47,7 @@
         await self._runner.cleanup()
 
     async def start_again(self) -> None:
-        """Starts at another port; see :attr:`PlatformEngine.port`."""
+        """Restarts on another port; see :attr:`PlatformEngine.port`."""
         self.port = 0
         await self.on_start()
 
@@ -58,7 +58,7 @@
 
 
 class NeverToUse(PlatformEngine):
-    """Listens where entries point that name no endpoint, and notes what it is asked for."""
+    """The address in invalid entries; records the requests that it receives."""
 
     def __init__(self) -> None:
         super().__init__("i-never", "none")
@@ -71,7 +71,7 @@
 
 @attrs.define(eq=False)
 class Endpoint:
-    """An engine and the way to it; the proxy's address is the one that hosts know."""
+    """An engine behind a proxy, whose address is the one in the store."""
 
     engine: RestartingEngine
     proxy: Proxy
@@ -81,7 +81,7 @@
         return self.engine.entry() | {"address": f"127.0.0.1:{self.proxy.port}"}
 
     async def start_again(self) -> None:
-        """Starts the engine behind the same address."""
+        """Restarts the engine behind the same proxy."""
         await self.engine.start_again()
         self.proxy.target_port = self.engine.port
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Series of faults that overlap, within what the site must bear."""
+"""Faults of hosts and of the store, which overlap within what a site must tolerate."""
 
 import asyncio
 import random
@@ -17,24 +17,24 @@
 from tests.soak.proxy import Proxy, Trouble
 
 CATCH_UP_S = 2.5
-"""A disk that was lost counts as lost for so long after it is back."""
+"""Time for a disk host to catch up after its return; no other is disturbed until then."""
 
 FULL_DISK_BYTES = 1
 
 IN_TOUCH_S = 3.0
-"""A host counts as in touch so long after the last trouble of its own or of the store."""
+"""Hosts are in contact with the store so long after its last outage."""
 
 CHECK_S = 8.0
-"""A check of the configuration is left where troubles go on for so long."""
+"""A check of the configuration is skipped if outages of the store last longer."""
 
 APPLY_S = 2.0
-"""A version is in force so long after the store has taken it."""
+"""A version must be in force so long after it was written to the store."""
 
 SHORT_SILENCE_S = (0.05, 0.6)
-"""A watch of entries pauses for 0.2 to 0.8 s behind a change, and notes no silence within that."""
+"""Shorter than a watch's pause of 0.2 to 0.8 s after a change, so that it may go unnoticed."""
 
 SOON_S = 0.5
-"""A change comes at most so long behind a short silence."""
+"""Largest delay of a change after a short silence."""
 
 METRICS_PORT = 9464
 VERSION_LINE = "bayhinge_configuration_version "
@@ -42,7 +42,7 @@
 
 @attrs.define
 class Faults:
-    """Every kind of fault, and a series of each that runs beside the others."""
+    """Injects faults of hosts and of the store; each method is one kind."""
 
     source: random.Random
     store: PlatformStoreServer
@@ -62,7 +62,7 @@
     entry_lock: asyncio.Lock = attrs.field(factory=asyncio.Lock)
 
     def series(self) -> list[Callable[[], Awaitable[None]]]:
-        """Returns the kinds that strike hosts and the store; each is played again and again."""
+        """Returns the kinds of faults; the caller repeats each of them."""
         return [
             self.trouble_store,
             self.change_behind_outage,
@@ -76,7 +76,7 @@
         ]
 
     async def trouble_store(self) -> None:
-        """The way from one host, or from all, to the platform's store."""
+        """Disturbs the connections of one host, or of all, to the platform's store."""
         kinds = [Trouble.DELAY, Trouble.RESET, Trouble.REFUSE, Trouble.SILENT, Trouble.NO_ANSWERS]
         trouble = self.source.choice(kinds)
         proxies = self.source.choice([self.store_proxies, [self.source.choice(self.store_proxies)]])
@@ -90,18 +90,18 @@
 
     @asynccontextmanager
     async def _store_trouble(self) -> AsyncIterator[None]:
-        """Notes a trouble of the store while it lasts, and when the last one ended."""
+        """Counts disturbances of the store, and records when the last one ended."""
         self.store_troubles += 1
         yield
         self.store_troubles -= 1
         self.store_well_since_s = asyncio.get_running_loop().time()
 
     async def change_behind_outage(self) -> None:
-        """The store answers nothing for a while; a change comes right behind."""
+        """The store stops answering for a while; a change follows at once."""
         await self._change_behind((0.3, 9.0), 0.0)
 
     async def change_behind_short_silence(self) -> None:
-        """The store answers nothing within the pause of some watches; a change comes soon."""
+        """The store stops answering within the pause of some watches; a change follows soon."""
         await self._change_behind(SHORT_SILENCE_S, SOON_S)
 
     async def _change_behind(self, silence_s: tuple[float, float], soon_s: float) -> None:
@@ -124,7 +124,7 @@
         self.store.put("config", "main", CONFIGURATION | {"version": self.version} | accounts)
 
     async def take_key_away(self) -> None:
-        """An account loses a key; at times in a silence of the store, which knows of it alone."""
+        """Revokes a key, at times while the store does not answer."""
         assert self.accounts is not None
         await asyncio.sleep(self.source.uniform(0.0, 1.5))
         if self.accounts.take_one_away() is not None:
@@ -132,7 +132,7 @@
             self.said(f"a key is taken away with version {self.version}")
 
     async def change_limit(self) -> None:
-        """An account's limit changes."""
+        """Changes an account's limit."""
         assert self.accounts is not None
         self.accounts.change_limit()
         self._put_next_version()
@@ -140,7 +140,7 @@
         await asyncio.sleep(self.source.uniform(2.0, 5.0))
 
     async def change_in_series(self) -> None:
-        """Versions follow each other sooner than any of them is in force."""
+        """Writes versions faster than they come into force."""
         async with self.store_lock:
             for _ in range(self.source.randint(2, 6)):
                 self._put_next_version()
@@ -148,19 +148,19 @@
             version = self.version
             self.said(f"a series of versions up to {version}")
             await asyncio.sleep(APPLY_S)
-            # Keys and limits change meanwhile, and their versions have had less time.
+            # Concurrent changes of keys and limits write later versions, which had less time.
             await self._check_configuration(version)
 
     async def reload_settings(self) -> None:
-        """Some hosts are told to read their settings again, whatever they are doing."""
+        """Sends SIGHUP to some hosts, which then reload their settings."""
         hosts = [host for host in (*self.entries, *self.disks) if not host.is_hurt]
         chosen = [host for host in hosts if self.source.random() < 0.5]
-        self.said(f"{len(chosen)} hosts read their settings again")
+        self.said(f"{len(chosen)} hosts reload their settings")
         for host in chosen:
             host.send(signal.SIGHUP)
 
     async def _check_configuration(self, version: int) -> None:
-        """Every host in touch must have the version in force."""
+        """Checks that every host in contact with the store applies the version."""
         loop = asyncio.get_running_loop()
         starts = {entry.name: entry.starts for entry in self.entries if not entry.is_hurt}
         limit_s = loop.time() + CHECK_S
@@ -183,7 +183,7 @@
                 self.problems.append(f"{entry.name}: version {found}, {version} should be in force")
 
     async def lose_store_answers(self) -> None:
-        """Writes are done and not answered; or the history is dropped."""
+        """Loses the answers of writes, or drops the store's history."""
         if self.source.random() < 0.5:
             self.said("store loses answers")
             async with self._store_trouble():
@@ -196,17 +196,17 @@
                 self.store.forget_history()
 
     async def silence_connections(self) -> None:
-        """Open connections to the store and to endpoints fall silent for good."""
+        """Open connections to the store and to endpoints pass no more data; new ones work."""
         proxies = [*self.store_proxies, *(endpoint.proxy for endpoint in self.endpoints)]
         chosen = [proxy for proxy in proxies if self.source.random() < 0.6]
-        self.said(f"open connections of {len(chosen)} of {len(proxies)} ways fall silent")
+        self.said(f"open connections of {len(chosen)} of {len(proxies)} proxies fall silent")
         async with self._store_trouble():
             for proxy in chosen:
                 proxy.silence_open_connections()
         await asyncio.sleep(self.source.uniform(1.0, 3.0))
 
     async def hurt_disk(self) -> None:
-        """One disk at a time is killed, frozen, wiped, or refuses writes."""
+        """Kills, freezes or wipes one disk host, or makes it refuse writes; one at a time."""
         async with self.disk_lock:
             disk = self.source.choice(self.disks)
             kind = self.source.choice(["kill", "freeze", "wipe", "full"])
@@ -230,7 +230,7 @@
             disk.is_hurt = False
 
     async def hurt_entry(self) -> None:
-        """One entry host is killed or frozen."""
+        """Kills or freezes one entry host."""
         async with self.entry_lock:
             entry = self.source.choice(self.entries)
             kind = self.source.choice(["kill", "freeze"])
@@ -244,19 +244,19 @@
                 await entry.kill()
                 await asyncio.sleep(self.source.uniform(0.0, 1.0))
                 await entry.start()
-            # Beside busy processes a start takes longer than the pause below (by its log).
+            # On a busy machine a start takes longer than the pause below.
             await entry.until_listening()
             await asyncio.sleep(1.5)
             entry.is_hurt = False
 
     async def stop_entry(self) -> None:
-        """A planned stop: nothing that the host has read may be cut."""
+        """Stops an entry host as planned; requests that it has read must be answered."""
         async with self.entry_lock:
             entry = self.source.choice(self.entries)
             self.said(f"{entry.name} planned stop")
             stopping = asyncio.ensure_future(entry.stop())
-            # Callers learn within a second that it leaves; until then all of them go on using it,
-            # and some do until the process is gone.
+            # Callers see within a second that it is leaving; until then all of them use it, and
+            # some do so until the process has exited.
             await asyncio.sleep(1.0)
             entry.is_leaving = True
             await stopping
@@ -269,7 +269,7 @@
 
 
 async def _version_in_force(entry: Daemon) -> int:
-    """Returns the configuration's version at a host, from its metrics page; 0 if it says none."""
+    """Returns the configuration version in a host's metrics; 0 if there is none."""
     timeout = aiohttp.ClientTimeout(total=1.0)
     try:
         async with (
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,4 +1,4 @@
-"""What callers sent and got, and the promises that must hold over all of it."""
+"""Records what callers sent and received, and checks the invariants on it."""
 
 from collections import Counter, defaultdict
 
@@ -19,12 +19,13 @@
 
     Attributes:
         status: 0 where the connection ended without an answer.
-        told_unrun: the answer promises that it did not run.
-        was_excused: the host that took it was hurt meanwhile, so it may end without an answer.
-        was_leaving: the host was stopping as planned; what it had read may not be cut.
-        previous: the attempt whose turn this one goes on behind.
-        after: the event that the caller had of the stream.
-        key: of the client account, where there are any; ``sent_s`` is on the steady clock.
+        told_unrun: the answer states that the request did not run.
+        was_excused: its host had a fault meanwhile, so it may end without an answer.
+        was_leaving: its host was stopping as planned; a request that it had read must be answered.
+        previous: the attempt of the turn that this one continues.
+        after: number of the last event that the caller has received of the stream.
+        key: the API key of the client account, if there is one.
+        sent_s: time of sending, on the monotonic clock.
     """
 
     attempt: str
@@ -51,10 +52,10 @@
 
 @attrs.define
 class Draft:
-    """One stream that its caller resumed until it was whole.
+    """One stream that its caller resumed until it was complete.
 
     Attributes:
-        event_ids: of the events that came whole, over all attempts.
+        event_ids: ids of the complete events, over all attempts.
     """
 
     program: str
@@ -62,13 +63,13 @@
 
     @property
     def last_event_id(self) -> int:
-        """The event behind which its caller goes on; 0 before the first."""
+        """The event after which the caller resumes; 0 before the first."""
         return next((number for number in reversed(self.event_ids) if number is not None), 0)
 
     is_whole: bool = False
 
     def take(self, sent: Sent) -> None:
-        """Takes what one attempt brought."""
+        """Adds the events of one attempt."""
         if sent.status != 200:
             return
         events, _ = split_events(sent.answer)
@@ -78,7 +79,7 @@
 
 @attrs.define
 class Ledger:
-    """Everything that callers saw; engines and services keep what they ran."""
+    """Requests and answers as callers saw them; endpoints keep the runs."""
 
     sent_by_attempt: dict[str, Sent] = attrs.field(factory=dict)
     budget_by_program: dict[str, tuple[int, int]] = attrs.field(factory=dict)
@@ -86,7 +87,7 @@
     problems: list[str] = attrs.field(factory=list)
 
     def check(self, endpoints: list[PlatformEngine]) -> list[str]:
-        """Returns every promise that was broken, with the request that shows it."""
+        """Returns the violated invariants, each with the request that shows it."""
         runs = [run for endpoint in endpoints for run in endpoint.runs]
         runs_by_attempt: defaultdict[str, list[Run]] = defaultdict(list)
         for run in sorted(runs, key=lambda run: run.number):
@@ -95,9 +96,11 @@
         for run in runs:
             sent = self.sent_by_attempt.get(run.attempt)
             if sent is None:
-                problems.append(f"{run.attempt}: ran, and nobody sent it")
+                problems.append(f"{run.attempt}: ran although no caller sent it")
             elif sent.expected_body is not None and run.body != sent.expected_body:
-                problems.append(f"{run.attempt}: ran with another body than its chain")
+                problems.append(
+                    f"{run.attempt}: ran with a body that differs from its chain of turns"
+                )
         for sent in self.sent_by_attempt.values():
             own = runs_by_attempt[sent.attempt]
             problems += self._check_one(sent, len(own))
@@ -115,14 +118,14 @@
         if sent.told_unrun and ran and sent.kind not in MAY_REPEAT:
             problems.append(f"{name}: told that it did not run, and it ran")
         if sent.status == 404:
-            problems.append(f"{name}: told that it does not exist")
+            problems.append(f"{name}: answered 404 for a route that exists")
         if sent.status == 200 and sent.is_whole and not ran:
-            problems.append(f"{name}: answered, and nobody ran it")
+            problems.append(f"{name}: answered although no endpoint ran it")
         whole = sent.kind not in STREAMS and sent.status == 200 and sent.is_whole
         if whole and sent.answer != b"answer to " + sent.body:
-            problems.append(f"{name}: got another answer")
+            problems.append(f"{name}: received a wrong answer")
         if sent.is_ended and sent.status == 0 and not sent.was_excused:
-            # A host that is stopping may close what it has not read.
+            # A stopping host may close connections whose request it has not read.
             if not sent.was_leaving:
                 problems.append(f"{name}: no answer from a host that was well")
             elif ran:
@@ -131,7 +134,7 @@
 
     @staticmethod
     def _check_stream(sent: Sent, runs: list[Run], events: int) -> list[str]:
-        """Each piece is one that a run of the attempt made, in its order, to the last."""
+        """Checks that every event was produced by a run of the attempt, in order and to the end."""
         if sent.kind not in STREAMS or sent.status != 200:
             return []
         problems = stream_problems(sent.answer, sent.is_whole, runs, sent.after)
@@ -141,7 +144,7 @@
         return [f"{sent.attempt} ({sent.kind} at {sent.at}): {problem}" for problem in problems]
 
     def _check_history(self, sent: Sent, previous_runs: list[Run]) -> list[str]:
-        """What a turn goes on behind is what was asked and said before, by the run that said it."""
+        """Checks that a turn's history equals the texts of the previous turn and of its run."""
         if not sent.previous or sent.expected_body is None:
             return []
         previous = self.sent_by_attempt[sent.previous]
@@ -156,7 +159,7 @@
             if sent.kind in STREAMS:
                 used[sent.program] += sent.answer.count(b"data: ") * TOKENS_PER_EVENT
         return [
-            f"program {program}: {used[program]} tokens handed out of {budget}"
+            f"program {program}: {used[program]} tokens delivered, budget {budget}"
             for program, (budget, most) in self.budget_by_program.items()
             if used[program] > budget + most
         ]
--- a/tests/soak/mutants.py
+++ b/tests/soak/mutants.py
@@ -1,8 +1,8 @@
-"""``python -m tests.soak.mutants --help``: how many drawn soaks each guard's absence needs.
+"""``python -m tests.soak.mutants --help``: mutation tests of the soak.
 
-Takes one guard after the other out of a scratch copy of the sources, plays fresh seeds against it
-until one shows a broken promise, and prints a row of a table. A guard whose absence no seed shows
-is guarded by other tests, or by nothing.
+Removes one guard at a time from a scratch copy of the sources, runs soaks with fresh seeds on it
+until one finds a violation, and prints a table row for each guard. A guard whose removal no seed
+detects is covered by other tests or by none.
 """
 
 import argparse
@@ -21,10 +21,10 @@
 
 _FIRST_PROBLEM = re.compile(r"PROBLEMS\n *(?P<problem>.+)$", re.MULTILINE)
 SHOWN = 240
-"""Letters of a finding in a row."""
+"""Characters of a violation that a row shows."""
 
 SEED_LIMIT_S = 120.0
-"""A seed of 40 s of faults takes 50 to 60 s beside other work; a mutant may hang its hosts."""
+"""Above the 50 to 60 s that a soak with 40 s of faults takes; a mutant may hang its hosts."""
 
 BOOK = "decisions/endpoint_book.py"
 QUORUM = "decisions/disk_quorum.py"
@@ -225,16 +225,16 @@
     "homes begin with little": ("tests/unit/test_quota_bucket.py",),
     "unused rights are given back": (f"{_FUNCTIONAL}accounts.py",),
 }
-"""Tests that should notice a guard's absence; a play of them is cheaper than one soak."""
+"""Tests that should fail without a guard; running them is cheaper than a soak."""
 
 
 class SoakNotPlayedError(Exception):
-    """A soak ended without a verdict."""
+    """A soak ended without a result."""
 
 
 @attrs.frozen
 class Row:
-    """One guard: the seeds played or test files run without it, and what showed it, if any did."""
+    """The seeds or test files that were run without a guard, and the violation found, if any."""
 
     guard: str
     seeds: int
@@ -247,7 +247,7 @@
 
 
 def seeds_needed(guard: str, options: argparse.Namespace) -> Row:
-    """Plays fresh seeds on a copy without a guard until one shows it."""
+    """Runs soaks on a copy without a guard until a seed finds a violation."""
     folder = _copy_without(guard, options)
     for seed in range(options.first, options.first + options.most):
         problem = _play(folder, seed, options)
@@ -266,7 +266,7 @@
 
 
 def failing_tests(guard: str, options: argparse.Namespace) -> Row:
-    """Runs the tests that should notice a guard's absence; says which fail."""
+    """Runs the tests that should fail without a guard; returns those that did."""
     folder = _copy_without(guard, options)
     ended = subprocess.run(
         [sys.executable, "-m", "pytest", "--maxfail=2", *TESTS_BY_GUARD[guard]],
@@ -295,38 +295,48 @@
             timeout=SEED_LIMIT_S,
         )
     except subprocess.TimeoutExpired:
-        return f"seed {seed} did not end"
+        return f"seed {seed} timed out"
     if ended.returncode == 0:
         return ""
     found = _FIRST_PROBLEM.search(ended.stdout)
     if found is None:
-        # Its addresses were taken, say: that shows nothing of the guard.
+        # For example, an address was in use: this says nothing about the guard.
         raise SoakNotPlayedError(f"seed {seed}: {ended.stderr.strip()[-SHOWN:]}")
     return found["problem"]
 
 
 def rows(options: argparse.Namespace) -> Iterator[Row]:
-    """Plays each guard that was asked for."""
+    """Yields the row of each selected guard."""
     for guard in options.only or EDITS_BY_GUARD:
         yield failing_tests(guard, options) if options.tests else seeds_needed(guard, options)
 
 
 def main() -> int:
-    """Plays and prints."""
+    """Prints the table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--copy", type=Path, required=True, help="a scratch folder")
-    parser.add_argument("--sources", type=Path, default=ROOT / "src", help="what is copied")
+    parser.add_argument("--sources", type=Path, default=ROOT / "src", help="the sources to copy")
     parser.add_argument("--first", type=int, default=1, help="the first seed")
-    parser.add_argument("--most", type=int, default=50, help="seeds a guard")
-    parser.add_argument("--seconds", type=float, default=6.0, help="faults of one soak")
-    parser.add_argument("--net", default="127.76.1", help="the loopback net of the hosts")
-    parser.add_argument("--kind", choices=PLAN_BY_KIND, default="overlapping", help="the faults")
-    parser.add_argument("--also", nargs="*", default=[], help="kinds of faults to play in any case")
+    parser.add_argument("--most", type=int, default=50, help="most seeds for a guard")
     parser.add_argument(
-        "--tests", action="store_true", help="run tests that should notice it, in place of soaks"
+        "--seconds", type=float, default=6.0, help="duration of fault injection in a soak"
     )
-    parser.add_argument("--only", nargs="*", default=[], help="guards; all where none is named")
-    print("| without | seeds needed | what the first one showed |\n| --- | --- | --- |")
+    parser.add_argument(
+        "--net", default="127.76.1", help="first three octets of the hosts' loopback addresses"
+    )
+    parser.add_argument(
+        "--kind", choices=PLAN_BY_KIND, default="overlapping", help="the fault plan"
+    )
+    parser.add_argument(
+        "--also", nargs="*", default=[], help="faults to inject besides the drawn ones"
+    )
+    parser.add_argument(
+        "--tests", action="store_true", help="run the tests that should fail, instead of soaks"
+    )
+    parser.add_argument(
+        "--only", nargs="*", default=[], help="guards to remove; all if none is given"
+    )
+    print("| without | seeds needed | first violation |\n| --- | --- | --- |")
     for row in rows(parser.parse_args()):
         print(row, flush=True)
     return 0
--- a/tests/soak/odd_entries.py
+++ b/tests/soak/odd_entries.py
@@ -1,4 +1,4 @@
-"""Entries as other writers may leave them: none of them names an endpoint to use."""
+"""Generates invalid endpoint entries, as other writers may leave them in the store."""
 
 import random
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 Spec = dict[str, object]
 
 FIELDS = ("service", "address", "slots", "state")
-"""Fields without which, or with another type of which, an entry names no endpoint."""
+"""An entry is invalid if one of these fields is missing or has a wrong type."""
 
 OTHER_TYPES: tuple[Any, ...] = (None, True, 7.5, -1, [], {"a": 1}, ["ready"])
 
@@ -43,5 +43,5 @@
 
 
 def odd_entry(good: Spec, draw: random.Random) -> Any:
-    """Returns a good entry made odd in one way."""
+    """Returns a valid entry made invalid in one way."""
     return draw.choice(FORMS)(good, draw)
--- a/tests/soak/plans.py
+++ b/tests/soak/plans.py
@@ -1,4 +1,4 @@
-"""What a soak plays: the size of its site, and the series of faults that run beside each other."""
+"""Plans of soaks: the size of the site and the faults that are injected concurrently."""
 
 import random
 from abc import ABC, abstractmethod
@@ -12,31 +12,31 @@
 Fault = Callable[[], Awaitable[None]]
 
 SIZES = ((3, 3), (3, 3), (3, 3), (3, 3), (7, 3), (4, 5))
-"""Entry and disk hosts of a site, one is drawn; a process has some 35 MB."""
+"""Numbers of entry and disk hosts, of which one pair is drawn; a process uses about 35 MB."""
 
 MANY_WATCHERS = (7, 3)
-"""Entry and disk hosts where two halls have several watchers each."""
+"""Numbers of entry and disk hosts with which two halls have several watchers each."""
 
 
 class Plan(ABC):
     """One kind of soak."""
 
     has_accounts = False
-    """Whether callers bear keys of client accounts."""
+    """Whether callers send API keys of client accounts."""
 
     @abstractmethod
     def size(self, seed: int) -> tuple[int, int]:
-        """Returns the numbers of entry and disk hosts."""
+        """Returns the numbers of entry and disk hosts for a seed."""
 
     @abstractmethod
     def series(
         self, source: random.Random, faults: Faults, of_endpoints: EndpointFaults
     ) -> list[Fault]:
-        """Returns the faults; each is played again and again."""
+        """Returns the faults; each of them is repeated."""
 
 
 class Overlapping(Plan):
-    """Some of all kinds of faults, drawn."""
+    """Draws some of all kinds of faults."""
 
     def size(self, seed: int) -> tuple[int, int]:
         return random.Random(f"size {seed}").choice(SIZES)
@@ -50,9 +50,9 @@
 
 @attrs.frozen
 class ShortSilences(Plan):
-    """Short silences of the store beside entries that change, so that some watches alone hang.
+    """Short silences of the store while entries change, so that only some watches hang.
 
-    A draw of all kinds seldom brings these together.
+    A draw from all kinds seldom combines these.
     """
 
     hurts_entries: bool
@@ -70,7 +70,7 @@
 
 
 class KeysAndLimits(Overlapping):
-    """Keys that are taken away and limits that change, while hosts and the store are hurt."""
+    """Revokes keys and changes limits during faults of hosts and of the store."""
 
     has_accounts = True
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,7 +1,7 @@
-"""A loopback proxy that delays, resets, cuts one way, or falls silent.
+"""A loopback TCP proxy that can delay, reset, refuse or silently drop traffic.
 
-Connections that are open may also fall silent for good while new ones work; on loopback this shows
-as bytes that are taken and never passed on.
+Open connections can also be silenced for good while new ones work: their bytes are accepted and
+never forwarded.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 
 class Trouble(StrEnum):
-    """What the proxy does to every connection through it."""
+    """The fault that a proxy applies to every connection."""
 
     NONE = "none"
     DELAY = "delay"
@@ -27,7 +27,7 @@
 
 @attrs.define
 class Proxy:
-    """One listening address before one target; the trouble may change at any time."""
+    """Forwards one listening address to one target; the fault may change at any time."""
 
     target_host: str
     target_port: int
@@ -47,13 +47,13 @@
         self._cut_all()
 
     def set_trouble(self, trouble: Trouble) -> None:
-        """Begins or ends a trouble; a reset also ends the connections that are open."""
+        """Sets the fault; RESET and REFUSE also abort open connections."""
         self.trouble = trouble
         if trouble in {Trouble.RESET, Trouble.REFUSE}:
             self._cut_all()
 
     def silence_open_connections(self) -> None:
-        """What is open passes nothing on any more; what is opened from now on works."""
+        """Stops forwarding on open connections for good; later connections work."""
         self._silences += 1
 
     def _cut_all(self) -> None:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""``python -m tests.soak.run --seeds 50 --seconds 20``: plays soaks and reports what broke."""
+"""``python -m tests.soak.run --seeds 50 --seconds 20``: runs seeded soaks, prints violations."""
 
 import argparse
 import asyncio
@@ -28,12 +28,19 @@
 ENDPOINTS = (("i-llm-1", "llm"), ("i-llm-2", "llm"), ("i-app-1", "app"), ("i-app-2", "app"))
 CALLERS = 6
 RECOVERY_S = 6.0
-"""Time after the last fault within which every host must serve again."""
+"""Every host must serve again within this time after the last fault."""
 
 
 @attrs.define
 class Result:
-    """One soak: what broke, what was played, and how much was served."""
+    """Outcome of one soak.
+
+    Attributes:
+        problems: invariants that were violated.
+        story: the injected faults, with seconds since the start.
+        checks: how many configuration versions were checked on the hosts.
+        folder: holds the logs of the hosts.
+    """
 
     seed: int
     problems: list[str]
@@ -45,7 +52,7 @@
 
 
 class Soak:
-    """One site of processes, played with one seed."""
+    """One site of real processes, with faults drawn from one seed."""
 
     def __init__(
         self,
@@ -74,7 +81,7 @@
         self._story: list[str] = []
         self._checks = 0
         self._began_s = time.monotonic()
-        self._say(f"started at {time.time():.2f} by the hosts' logs")
+        self._say(f"started at {time.time():.2f} (timestamps in the hosts' logs)")
 
     async def play(self) -> Result:
         ledger = Ledger()
@@ -94,7 +101,7 @@
                 runs = [run for endpoint in self._endpoints for run in endpoint.engine.runs]
                 logs = sorted(self._folder.glob("*.log"))
                 problems += self._accounts.check(ledger.sent_by_attempt, runs, logs)
-            problems += [f"asked for by an odd entry: {what}" for what in self._never.asked]
+            problems += [f"request sent to an invalid entry: {what}" for what in self._never.asked]
             problems += self._failed_alone()
         finally:
             await self._end()
@@ -140,7 +147,7 @@
         for daemon in (*self._disks, *self._entries):
             await daemon.start(first_start=True)
         async with asyncio.timeout(START_S):
-            while not await self._all_ready():  # noqa: ASYNC110 - it asks real processes
+            while not await self._all_ready():  # noqa: ASYNC110 - polls real processes
                 await asyncio.sleep(0.1)
 
     async def _store_proxy(self) -> str:
@@ -177,7 +184,7 @@
         limit_s = time.monotonic() + self._seconds
         series = self._plan.series(self._source, faults, of_endpoints)
 
-        # What a guard is for must be played where its absence is looked for.
+        # A soak against a mutant must include the faults that its guard protects against.
         others = [one for one in faults.series() + of_endpoints.series() if one not in series]
         series += [one for one in others if one.__name__ in self._also]
 
@@ -191,7 +198,7 @@
         return faults.problems
 
     async def _recovers(self, callers: Callers) -> list[str]:
-        """After the last fault every host is ready, and turns are served again."""
+        """Checks that every host gets ready and turns are served after the last fault."""
         for proxy in self._proxies():
             proxy.set_trouble(Trouble.NONE)
         before = callers.served_turns
@@ -206,9 +213,9 @@
         return [*self._store_proxies, *(endpoint.proxy for endpoint in self._endpoints)]
 
     def _failed_alone(self) -> list[str]:
-        """A process must not end by itself."""
+        """Returns the processes that exited without being stopped."""
         return [
-            f"{daemon.name} ended by itself with {daemon.process.returncode}"
+            f"{daemon.name} exited unexpectedly with {daemon.process.returncode}"
             for daemon in (*self._disks, *self._entries)
             if daemon.process is not None and daemon.process.returncode is not None
         ]
@@ -236,18 +243,26 @@
     kind: str = "overlapping",
     also: Collection[str] = (),
 ) -> Result:
-    """Plays one seed in a folder of its own; ``also`` names kinds of faults besides those drawn."""
+    """Runs one soak in the given folder; ``also`` names faults to inject besides the drawn ones."""
     return asyncio.run(Soak(seed, seconds, folder, net, kind, also).play())
 
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", type=int, default=10, help="how many seeds to play")
-    parser.add_argument("--first", type=int, default=0, help="the first seed; 0 draws one")
-    parser.add_argument("--seconds", type=float, default=20.0, help="faults of one soak")
-    parser.add_argument("--net", default="127.77.1", help="the loopback net of the site's hosts")
-    parser.add_argument("--kind", choices=PLAN_BY_KIND, default="overlapping", help="the faults")
-    parser.add_argument("--also", nargs="*", default=[], help="kinds of faults to play in any case")
+    parser.add_argument("--seeds", type=int, default=10, help="number of seeds")
+    parser.add_argument("--first", type=int, default=0, help="the first seed; 0 for a random one")
+    parser.add_argument(
+        "--seconds", type=float, default=20.0, help="duration of fault injection in a soak"
+    )
+    parser.add_argument(
+        "--net", default="127.77.1", help="first three octets of the hosts' loopback addresses"
+    )
+    parser.add_argument(
+        "--kind", choices=PLAN_BY_KIND, default="overlapping", help="the fault plan"
+    )
+    parser.add_argument(
+        "--also", nargs="*", default=[], help="faults to inject besides the drawn ones"
+    )
     options = parser.parse_args()
     first = options.first or random.SystemRandom().randrange(1, 1_000_000)
     failed = 0
--- a/tests/soak/stream_check.py
+++ b/tests/soak/stream_check.py
@@ -1,4 +1,4 @@
-"""Compares a stream that a caller got, byte by byte, with the runs that made it."""
+"""Compares a stream that a caller received, byte by byte, with the runs that produced it."""
 
 from collections.abc import Sequence
 
@@ -8,30 +8,35 @@
 
 
 def split_events(answer: bytes) -> tuple[list[bytes], bytes]:
-    """Returns the whole events of an answer, ends included, and what is left behind the last."""
+    """Returns the complete events of an answer, with their terminators, and the rest."""
     *events, rest = answer.split(END_OF_EVENT)
     return [event + END_OF_EVENT for event in events], rest
 
 
 def said_in(events: Sequence[bytes]) -> bytes:
-    """Returns the data of events, each line with a line feed behind: what a turn said."""
+    """Returns the data lines of events, each followed by a line feed: the text of a turn."""
     lines = b"".join(events).split(b"\n")
     return b"".join(line[6:] + b"\n" for line in lines if line.startswith(b"data: "))
 
 
 def event_id(event: bytes) -> int | None:
-    """Returns an event's number; None if its first line is no number's."""
+    """Returns an event's number; None if its first line is not a valid ``id``."""
     first, _, _ = event.partition(b"\n")
     number = first.removeprefix(b"id: ")
     return int(number) if first.startswith(b"id: ") and number.isdigit() else None
 
 
 def stream_problems(answer: bytes, is_whole: bool, runs: Sequence[Run], after: int) -> list[str]:
-    """Returns what in an answer none of the attempt's runs made, or made in another order.
+    """Returns the parts of an answer that no run of the attempt produced, or not in this order.
 
-    ``runs`` are those of the attempt, in the order in which they began; ``after`` is the event that
-    the caller had. Within the events of one run none may be left out, and no earlier run may follow
-    a later one.
+    Events of one run must be contiguous, and events of an earlier run must not follow those of a
+    later one.
+
+    Args:
+        answer: the bytes that the caller received.
+        is_whole: whether the answer ended without an error.
+        runs: the runs of the attempt, in the order in which they began.
+        after: number of the last event that the caller had before.
     """
     events, rest = split_events(answer)
     place_by_event = {
